--- a/dispatch/accounts.go
+++ b/dispatch/accounts.go
@@ -15,32 +15,32 @@
 // hashAccount names an account among gateways.
 func hashAccount(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// ownUses gives what this gateway's callers do.
-func (d *Dispatcher) ownUses(now time.Time) []rollup.AccountUse {
+// ownUsage gives what this gateway's callers do.
+func (d *Dispatcher) ownUsage(now time.Time) []rollup.AccountUse {
 	if d.Allowances == nil {
 		return nil
 	}
 	var out []rollup.AccountUse
 	for name, use := range d.Allowances.Uses(now) {
 		out = append(out, rollup.AccountUse{
-			Account: hashAccount(name), Admitted: told(use.Admitted), Steady: told(use.Steady), Asked: told(use.Asked),
+			Account: hashAccount(name), Admitted: encodeRate(use.Admitted), Steady: encodeRate(use.Steady), Asked: encodeRate(use.Asked),
 			Window: int(math.Ceil(use.Window)),
 		})
 	}
 	return out
 }
 
-// regionUses gives what the callers of all the region's gateways do. The lock is held.
-func (d *Dispatcher) regionUses(now time.Time) []rollup.AccountUse {
+// regionUsage gives what the callers of all the region's gateways do. The lock is held.
+func (d *Dispatcher) regionUsage(now time.Time) []rollup.AccountUse {
 	if d.Allowances == nil {
 		return nil
 	}
-	sums := d.board.Others().Accounts
-	for _, own := range d.ownUses(now) {
-		sum := sums[own.Account]
+	sums := d.aggregator.Others().Accounts
+	for _, own := range d.ownUsage(now) {
+		others := sums[own.Account]
 		sums[own.Account] = rollup.AccountUse{
-			Account: own.Account, Admitted: sum.Admitted + own.Admitted, Steady: sum.Steady + own.Steady,
-			Asked: sum.Asked + own.Asked, Window: sum.Window + own.Window,
+			Account: own.Account, Admitted: others.Admitted + own.Admitted, Steady: others.Steady + own.Steady,
+			Asked: others.Asked + own.Asked, Window: others.Window + own.Window,
 		}
 	}
 	out := make([]rollup.AccountUse, 0, len(sums))
@@ -50,9 +50,9 @@
 	return out
 }
 
-// hearNearUses takes over what the callers of the region's other gateways do. The lock
+// applyLocalUsage takes over what the callers of the region's other gateways do. The lock
 // is held.
-func (d *Dispatcher) hearNearUses(others rollup.Others) {
+func (d *Dispatcher) applyLocalUsage(others rollup.Others) {
 	if d.Allowances == nil {
 		return
 	}
@@ -62,45 +62,45 @@
 	}
 	uses := make(map[string]allowance.Use, len(others.Accounts))
 	for _, use := range others.Accounts {
-		if name, ok := d.accounts[use.Account]; ok {
-			uses[name] = useOf(use)
+		if name, ok := d.accountNames[use.Account]; ok {
+			uses[name] = decodeUsage(use)
 		}
 	}
 	d.Allowances.HearNear(uses, coverage, d.Clock())
 }
 
-// hearFarUses takes over what callers do in another region. The lock is held.
-func (d *Dispatcher) hearFarUses(region string, told []rollup.AccountUse, at time.Time) {
+// applyRemoteUsage takes over what callers do in another region. The lock is held.
+func (d *Dispatcher) applyRemoteUsage(region string, reported []rollup.AccountUse, at time.Time) {
 	if d.Allowances == nil {
 		return
 	}
-	uses := make(map[string]allowance.Use, len(told))
-	for _, use := range told {
-		if name, ok := d.accounts[use.Account]; ok {
-			uses[name] = useOf(use)
+	uses := make(map[string]allowance.Use, len(reported))
+	for _, use := range reported {
+		if name, ok := d.accountNames[use.Account]; ok {
+			uses[name] = decodeUsage(use)
 		}
 	}
 	d.Allowances.HearFar(region, uses, at, d.Clock())
 }
 
-func useOf(use rollup.AccountUse) allowance.Use {
-	units := func(told int) float64 { return float64(max(0, told)) / useScale }
+func decodeUsage(use rollup.AccountUse) allowance.Use {
+	units := func(encoded int) float64 { return float64(max(0, encoded)) / usageScale }
 	return allowance.Use{Admitted: units(use.Admitted), Steady: units(use.Steady), Asked: units(use.Asked), Window: float64(max(0, use.Window))}
 }
 
-// useScale is in how many parts of a unit uses are told: with whole ones, an account that
+// usageScale is in how many parts of a unit uses are told: with whole ones, an account that
 // is counted in requests was not heard of where each gateway had less than one a second.
-const useScale = 100
+const usageScale = 100
 
-func told(unitsPerSecond float64) int { return int(math.Round(unitsPerSecond * useScale)) }
+func encodeRate(unitsPerSecond float64) int { return int(math.Round(unitsPerSecond * usageScale)) }
 
-// takeAccounts takes over the accounts of a catalog. The lock is held.
-func (d *Dispatcher) takeAccounts() {
-	clear(d.accounts)
-	for _, a := range d.table.Accounts() {
-		d.accounts[hashAccount(a.Name)] = a.Name
+// updateAccounts takes over the accounts of a catalog. The lock is held.
+func (d *Dispatcher) updateAccounts() {
+	clear(d.accountNames)
+	for _, a := range d.catalog.Accounts() {
+		d.accountNames[hashAccount(a.Name)] = a.Name
 	}
 	if d.Allowances != nil {
-		d.Allowances.Take(d.table.Accounts(), d.Clock())
+		d.Allowances.Take(d.catalog.Accounts(), d.Clock())
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -43,37 +43,37 @@
 type Dispatcher struct {
 	Deps
 
-	mu       sync.Mutex
-	state    ledger.State
-	table    *catalog.Table
-	pools    map[string]*pool
-	cleared  map[string]time.Time  // when a data centre's evacuation ended
-	board    *rollup.Board         // of what other gateways do
-	near     near                  // the gateways of this region
-	alike    int                   // gateways of this region whose load is known, this one included
-	leading  bool                  // this gateway sums the loads of others
-	toldFar  time.Time             // when other regions were last told
-	far      map[string]*farRegion // by name: the other regions
-	byHash   map[uint64]*engine
-	accounts map[uint32]string // names by hash
-	sent     []sent            // parts to tell the other gateways
-	tidied   time.Time         // when old parts were last forgotten
-	watch    *quarantine.Watch // of engines whose connections broke
-	doubts   chan Doubt
+	mu                sync.Mutex
+	state             ledger.State
+	catalog           *catalog.Table
+	pools             map[string]*pool
+	evacuationEnded   map[string]time.Time     // when a data centre's evacuation ended
+	aggregator        *rollup.Board            // of what other gateways do
+	gateways          gatewayList              // the gateways of this region
+	reportingGateways int                      // gateways of this region whose load is known, this one included
+	isGroupLeader     bool                     // this gateway sums the loads of others
+	regionReportSent  time.Time                // when other regions were last told
+	remotes           map[string]*remoteRegion // by name: the other regions
+	enginesByHash     map[uint64]*engine
+	accountNames      map[uint32]string // names by hash
+	sentBlocks        []sentBlock       // parts to tell the other gateways
+	lastCleanup       time.Time         // when old parts were last forgotten
+	crashDetector     *quarantine.Watch // of engines whose connections broke
+	suspectEngines    chan Doubt
 	// suspects are the requests under which engines crashed.
-	suspects *quarantine.Table
-	limits   *ratelimit.Table // that engines name
-	pushback *pushback.Table  // what engines ask of this gateway
+	quarantine *quarantine.Table
+	limits     *ratelimit.Table // that engines name
+	pushback   *pushback.Table  // what engines ask of this gateway
 }
 
 // New makes a dispatcher that knows no service.
 func New(deps Deps) *Dispatcher {
 	self := roster.Host{Name: deps.Name, Role: roster.RoleGateway, Region: deps.Region, DataCentre: deps.DataCentre}
 	return &Dispatcher{
-		Deps: deps, table: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
-		board:   rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
-		cleared: make(map[string]time.Time), alike: 1, far: make(map[string]*farRegion), byHash: make(map[uint64]*engine), accounts: make(map[uint32]string),
-		watch: quarantine.NewWatch(), doubts: make(chan Doubt, mostDoubts), suspects: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
+		Deps: deps, catalog: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
+		aggregator:      rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
+		evacuationEnded: make(map[string]time.Time), reportingGateways: 1, remotes: make(map[string]*remoteRegion), enginesByHash: make(map[uint64]*engine), accountNames: make(map[uint32]string),
+		crashDetector: quarantine.NewWatch(), suspectEngines: make(chan Doubt, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
 	}
 }
 
@@ -84,11 +84,11 @@
 	now := d.Clock()
 	for _, dataCentre := range d.state.Evacuated {
 		if !state.IsEvacuated(dataCentre) {
-			d.cleared[dataCentre] = now
+			d.evacuationEnded[dataCentre] = now
 		}
 	}
-	d.state, d.table = state, table
-	d.takeAccounts()
+	d.state, d.catalog = state, table
+	d.updateAccounts()
 	for _, s := range table.Services() {
 		if p, ok := d.pools[s.Name]; ok {
 			p.service = s
@@ -107,42 +107,42 @@
 	d.refresh(d.Clock())
 }
 
-// tidyEvery is how often parts that are no longer believed kept are forgotten, and
+// cleanupInterval is how often parts that are no longer believed kept are forgotten, and
 // beliefs are logged.
-const tidyEvery = 5 * time.Second
+const cleanupInterval = 5 * time.Second
 
 // refresh brings the pools up to date. The lock is held.
 func (d *Dispatcher) refresh(now time.Time) {
 	engines := d.Engines.All()
-	seen := make(map[string]bool, len(engines))
+	registered := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		p, ok := d.pools[e.Service]
 		if !ok || d.Regions[e.DataCentre] != d.Region {
 			continue
 		}
-		seen[e.ID] = true
-		p.set(e)
+		registered[e.ID] = true
+		p.update(e)
 	}
-	forget := now.Sub(d.tidied) > tidyEvery
-	if forget {
-		d.tidied = now
-		d.logBeliefs()
+	cleanup := now.Sub(d.lastCleanup) > cleanupInterval
+	if cleanup {
+		d.lastCleanup = now
+		d.logEstimates()
 	}
 	for _, p := range d.pools {
-		p.drop(seen, forget, now)
+		p.removeUnregistered(registered, cleanup, now)
 	}
-	if forget {
-		d.forgetAway(now)
-		d.suspects.Forget(now)
+	if cleanup {
+		d.forgetRemoteBlocks(now)
+		d.quarantine.Forget(now)
 	}
-	d.judgeDoubted(engines, now)
-	d.lookNear(now)
-	d.index()
-	if forget {
-		d.forgetGone(now)
+	d.resolveSuspects(engines, now)
+	d.updateGateways(now)
+	d.indexEngines()
+	if cleanup {
+		d.forgetRemovedEngines(now)
 	}
 	for _, p := range d.pools {
-		d.sortOut(p, now)
+		d.classifyEngines(p, now)
 	}
 }
 
@@ -164,23 +164,23 @@
 }
 
 // Acquire gives a ticket for the best engine. The error is a *request.NotRun.
-func (d *Dispatcher) Acquire(ask Ask) (*Ticket, error) {
+func (d *Dispatcher) Acquire(req Ask) (*Ticket, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	p, ok := d.pools[ask.Service]
+	p, ok := d.pools[req.Service]
 	if !ok {
-		return nil, &request.NotRun{Reason: request.ReasonNoEngine, Message: "service " + ask.Service + " is not declared", RetryAfter: retrySoon}
+		return nil, &request.NotRun{Reason: request.ReasonNoEngine, Message: "service " + req.Service + " is not declared", RetryAfter: noEngineRetryAfter}
 	}
-	if err := d.checkSuspect(ask, now); err != nil {
+	if err := d.checkQuarantine(req, now); err != nil {
 		return nil, err
 	}
-	chosen, best := d.choose(p, ask, now)
+	chosen, expected := d.choose(p, req, now)
 	if chosen == nil {
-		return nil, d.refusal(p, ask, now)
+		return nil, d.noEngineError(p, req, now)
 	}
-	if err := ask.admits(best); err != nil {
+	if err := req.checkAdmission(expected); err != nil {
 		return nil, err
 	}
-	return d.grant(p, chosen, ask, best, now), nil
+	return d.issueTicket(p, chosen, req, expected, now), nil
 }
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -29,12 +29,12 @@
 	defer d.mu.Unlock()
 	now := d.Clock()
 	var out []EngineStatus
-	for _, s := range d.table.Services() {
+	for _, s := range d.catalog.Services() {
 		p, ok := d.pools[s.Name]
 		if !ok {
 			continue
 		}
-		for _, e := range p.ordered {
+		for _, e := range p.sorted {
 			out = append(out, d.engineStatus(p, e, now))
 		}
 	}
@@ -42,11 +42,11 @@
 }
 
 func (d *Dispatcher) engineStatus(p *pool, e *engine, now time.Time) EngineStatus {
-	why := d.bar(p, e, now)
+	reason := d.exclusionOf(p, e, now)
 	s := EngineStatus{
-		Engine: e.ID, Service: p.service.Name, Why: string(why),
-		For: between(d.barBegan(e, why, now), now), Ends: between(now, d.barEnds(e, why, now)),
-		Requests: e.own.Requests, Others: e.others.Requests, Silent: between(e.sign, now),
+		Engine: e.ID, Service: p.service.Name, Why: string(reason),
+		For: durationBetween(d.exclusionStart(e, reason, now), now), Ends: durationBetween(now, d.exclusionEnd(e, reason, now)),
+		Requests: e.ownLoad.Requests, Others: e.peerLoad.Requests, Silent: durationBetween(e.lastHeard, now),
 		Counts: d.pushback.Counts(e.hash),
 	}
 	if limit, limited := d.limits.Status(e.hash, now); limited {
@@ -55,8 +55,8 @@
 	return s
 }
 
-// between gives the time from one moment to a later one; 0 where either isn't known.
-func between(from, to time.Time) time.Duration {
+// durationBetween gives the time from one moment to a later one; 0 where either isn't known.
+func durationBetween(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
 	}
--- a/dispatch/expect.go
+++ b/dispatch/expect.go
@@ -23,68 +23,68 @@
 
 // Weights of the expectation.
 const (
-	// harmShare weighs the delay that reading a prompt causes to each stream
+	// interferenceWeight weighs the delay that reading a prompt causes to each stream
 	// that runs there against the delay of the request itself. Streams bear
 	// pauses, up to a point.
-	harmShare = 0.15
-	// slowShare weighs the time that a stream takes longer, because prompts
+	interferenceWeight = 0.15
+	// slowdownWeight weighs the time that a stream takes longer, because prompts
 	// are read beside it, against the wait for its first event.
-	slowShare = 0.06
-	// roomShare is how full an engine's memory may get before requests are
+	slowdownWeight = 0.06
+	// cacheFillLimit is how full an engine's memory may get before requests are
 	// put back there: what is expected is not exact.
-	roomShare = 0.85
-	// fullTime is what a full memory costs, for each time over.
-	fullTime = 3 * time.Second
-	// failTime is what a failed request costs: its caller has to come back, after
+	cacheFillLimit = 0.85
+	// overflowPenalty is what a full memory costs, for each time over.
+	overflowPenalty = 3 * time.Second
+	// failurePenalty is what a failed request costs: its caller has to come back, after
 	// some seconds as a rule, with what is left of its time.
-	failTime = 3 * time.Second
-	// againShare is what it costs, beside the reading itself, to read a shared part
+	failurePenalty = 3 * time.Second
+	// rereadWeight is what it costs, beside the reading itself, to read a shared part
 	// that another engine keeps, as a share of its reading: the time of the engine is
 	// lost to all others.
-	againShare = 3.6
-	// lateTime is what a choice costs by which the request would be begun too late
+	rereadWeight = 3.6
+	// latePenalty is what a choice costs by which the request would be begun too late
 	// to be admitted: any other is better.
-	lateTime = 5 * time.Second
-	// guessKept is the share of the shared parts that the engine ranked first
+	latePenalty = 5 * time.Second
+	// assumedCachedShare is the share of the shared parts that the engine ranked first
 	// is believed to keep, where this gateway hasn't sent them anywhere.
-	guessKept = 0.95
+	assumedCachedShare = 0.95
 )
 
-// knowledge is what is known of one engine when a request comes.
-type knowledge struct {
-	load    Load
-	slots   int
-	room    int           // tokens of memory; 0 for an engine without model
-	kept    int           // tokens of the prompt believed kept
-	failing float64       // share of requests that failed lately, beyond the usual
-	speed   Speed         // of the service's engines
-	doubt   time.Duration // by how much expectations are usually off
-	slow    float64       // times longer than its peers; 0 where not known
-	first   bool          // ranked first for the prompt's shared parts
-	copies  int           // tokens of the prompt beside those that another engine has to copy
-	copying time.Duration // how long that takes
+// costInputs is what is known of one engine when a request comes.
+type costInputs struct {
+	load         Load
+	slots        int
+	cacheTokens  int           // tokens of memory; 0 for an engine without model
+	cached       int           // tokens of the prompt believed kept
+	failureRate  float64       // share of requests that failed lately, beyond the usual
+	throughput   Speed         // of the service's engines
+	usualError   time.Duration // by how much expectations are usually off
+	slowdown     float64       // times longer than its peers; 0 where not known
+	preferred    bool          // ranked first for the prompt's shared parts
+	transferable int           // tokens of the prompt beside those that another engine has to copy
+	transferTime time.Duration // how long that takes
 }
 
 // score is the expectation for one engine; the lowest is chosen.
 type score struct {
-	queue   time.Duration // until the request is begun
-	wait    time.Duration // until the answer begins
-	cost    time.Duration // wait, and what the choice costs otherwise
-	kept    int
-	copied  int     // of those, tokens that the engine copies
-	source  *engine // from which
-	first   bool
-	load    Load
-	rank    uint64
-	silence bool // not heard lately: used only where nothing else can be
-
-	patience time.Duration // the longest queue for which the request is admitted
+	queue        time.Duration // until the request is begun
+	wait         time.Duration // until the answer begins
+	cost         time.Duration // wait, and what the choice costs otherwise
+	cached       int
+	transferred  int     // of those, tokens that the engine copies
+	source       *engine // from which
+	preferred    bool
+	load         Load
+	rank         uint64
+	unresponsive bool // not heard lately: used only where nothing else can be
+
+	maxQueue time.Duration // the longest queue for which the request is admitted
 	late     bool          // the queue is longer
 }
 
 func (s score) less(o score) bool {
-	if s.silence != o.silence {
-		return !s.silence
+	if s.unresponsive != o.unresponsive {
+		return !s.unresponsive
 	}
 	if s.cost != o.cost {
 		return s.cost < o.cost
@@ -95,96 +95,96 @@
 // String is what the log shows.
 func (s score) String() string {
 	return fmt.Sprintf("wait=%v cost=%v kept=%d copied=%d first=%t requests=%d unread=%d held=%d silent=%t",
-		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.kept, s.copied, s.first, s.load.Requests, s.load.Unread, s.load.Held, s.silence)
+		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.cached, s.transferred, s.preferred, s.load.Requests, s.load.Unread, s.load.Held, s.unresponsive)
 }
 
-// reading gives how long an engine reads so many tokens.
-func (v Speed) reading(tokens int) time.Duration {
-	return time.Duration(tokens) * v.Token
+// readTime gives how long an engine reads so many tokens.
+func (t Speed) readTime(tokens int) time.Duration {
+	return time.Duration(tokens) * t.Token
 }
 
-// expect gives the expectation for a request. trip is the time that it takes
+// estimate gives the expectation for a request. trip is the time that it takes
 // beside to get there and back.
-func expect(k knowledge, ask Ask, trip time.Duration) score {
-	p := ask.Prompt
-	s := score{kept: k.kept, first: k.first, load: k.load}
-	over := float64(k.load.Requests+1-k.slots) / float64(max(1, k.slots))
-	s.queue = time.Duration(max(0, over) * float64(k.speed.Hold))
-	if k.room == 0 {
-		s.wait = s.queue + k.speed.Hold
-		crowd := time.Duration(float64(k.load.Requests) / float64(max(1, k.slots)) * float64(k.speed.Hold))
-		s.cost = s.wait + crowd
+func estimate(in costInputs, req Ask, roundTrip time.Duration) score {
+	p := req.Prompt
+	s := score{cached: in.cached, preferred: in.preferred, load: in.load}
+	overload := float64(in.load.Requests+1-in.slots) / float64(max(1, in.slots))
+	s.queue = time.Duration(max(0, overload) * float64(in.throughput.Hold))
+	if in.cacheTokens == 0 {
+		s.wait = s.queue + in.throughput.Hold
+		sharing := time.Duration(float64(in.load.Requests) / float64(max(1, in.slots)) * float64(in.throughput.Hold))
+		s.cost = s.wait + sharing
 	} else {
-		s.kept = max(s.kept, k.guess(p))
-		s.queue += k.speed.reading(k.load.Unread)
-		s.wait, s.cost = k.reads(p, s.kept)
-		if k.copies > 0 {
-			wait, cost := k.reads(p, s.kept+k.copies)
-			wait += k.copying
-			cost += k.copying + time.Duration(copyShare*float64(k.speed.reading(k.copies)))
+		s.cached = max(s.cached, in.assumedCached(p))
+		s.queue += in.throughput.readTime(in.load.Unread)
+		s.wait, s.cost = in.readCost(p, s.cached)
+		if in.transferable > 0 {
+			wait, cost := in.readCost(p, s.cached+in.transferable)
+			wait += in.transferTime
+			cost += in.transferTime + time.Duration(transferCostShare*float64(in.throughput.readTime(in.transferable)))
 			if cost < s.cost {
-				s.wait, s.cost, s.copied = wait, cost, k.copies
-				s.kept += k.copies
+				s.wait, s.cost, s.transferred = wait, cost, in.transferable
+				s.cached += in.transferable
 			}
 		}
 		s.wait += s.queue
-		s.cost += s.queue + k.slowness(p) + k.fullness(p)
+		s.cost += s.queue + in.slowdownCost(p) + in.overflowCost(p)
 	}
-	if k.slow > 1 {
-		s.queue = time.Duration(float64(s.queue) * k.slow)
-		s.wait = time.Duration(float64(s.wait) * k.slow)
-		s.cost = time.Duration(float64(s.cost) * k.slow)
+	if in.slowdown > 1 {
+		s.queue = time.Duration(float64(s.queue) * in.slowdown)
+		s.wait = time.Duration(float64(s.wait) * in.slowdown)
+		s.cost = time.Duration(float64(s.cost) * in.slowdown)
 	}
-	s.wait += trip
-	s.cost += trip + time.Duration(k.failing*float64(failTime))
-	s.patience = ask.patience(s.wait-s.queue, k.doubt)
-	if s.late = ask.Target > 0 && s.queue > s.patience; s.late {
-		s.cost += lateTime
+	s.wait += roundTrip
+	s.cost += roundTrip + time.Duration(in.failureRate*float64(failurePenalty))
+	s.maxQueue = req.maxQueueTime(s.wait-s.queue, in.usualError)
+	if s.late = req.Target > 0 && s.queue > s.maxQueue; s.late {
+		s.cost += latePenalty
 	}
 	return s
 }
 
-// reads gives the time until an engine that keeps so much of a prompt has read the rest,
+// readCost gives the time until an engine that keeps so much of a prompt has read the rest,
 // and what that costs.
-func (k knowledge) reads(p Prompt, kept int) (wait, cost time.Duration) {
-	unread := max(0, p.TokensIn-kept)
-	wait = k.speed.Fixed + k.speed.reading(unread)
-	return wait, wait + k.again(p, kept) + k.harm(unread)
+func (in costInputs) readCost(p Prompt, cached int) (wait, cost time.Duration) {
+	unread := max(0, p.TokensIn-cached)
+	wait = in.throughput.Fixed + in.throughput.readTime(unread)
+	return wait, wait + in.rereadCost(p, cached) + in.interferenceCost(unread)
 }
 
-// again is what it costs to read shared parts that are kept elsewhere.
-func (k knowledge) again(p Prompt, kept int) time.Duration {
-	return time.Duration(againShare * float64(k.speed.reading(max(0, p.sharedTokens()-kept))))
+// rereadCost is what it costs to read shared parts that are kept elsewhere.
+func (in costInputs) rereadCost(p Prompt, cached int) time.Duration {
+	return time.Duration(rereadWeight * float64(in.throughput.readTime(max(0, p.sharedTokens()-cached))))
 }
 
-// guess gives the tokens that the engine may keep by other gateways' requests.
-func (k knowledge) guess(p Prompt) int {
-	if !k.first {
+// assumedCached gives the tokens that the engine may keep by other gateways' requests.
+func (in costInputs) assumedCached(p Prompt) int {
+	if !in.preferred {
 		return 0
 	}
-	return int(guessKept * float64(p.sharedTokens()))
+	return int(assumedCachedShare * float64(p.sharedTokens()))
 }
 
-// harm is what the reading of the prompt costs the streams that run there.
-func (k knowledge) harm(unread int) time.Duration {
-	return time.Duration(harmShare * float64(k.load.Requests) * float64(k.speed.reading(unread)))
+// interferenceCost is what the reading of the prompt costs the streams that run there.
+func (in costInputs) interferenceCost(unread int) time.Duration {
+	return time.Duration(interferenceWeight * float64(in.load.Requests) * float64(in.throughput.readTime(unread)))
 }
 
-// slowness is how much longer the stream takes because of other prompts.
-func (k knowledge) slowness(p Prompt) time.Duration {
-	busy := min(k.load.Reading*k.speed.Token.Seconds(), maxBusy)
-	return time.Duration(slowShare * float64(p.TokensOut) * float64(k.speed.Out) * busy / (1 - busy))
+// slowdownCost is how much longer the stream takes because of other prompts.
+func (in costInputs) slowdownCost(p Prompt) time.Duration {
+	readShare := min(in.load.Reading*in.throughput.Token.Seconds(), maxReadShare)
+	return time.Duration(slowdownWeight * float64(p.TokensOut) * float64(in.throughput.Out) * readShare / (1 - readShare))
 }
 
-// maxBusy bounds the share of its time that an engine reads prompts, in the
+// maxReadShare bounds the share of its time that an engine reads prompts, in the
 // estimate of what that does to streams.
-const maxBusy = 0.9
+const maxReadShare = 0.9
 
-// fullness is what it costs if the memory doesn't hold the request.
-func (k knowledge) fullness(p Prompt) time.Duration {
-	over := float64(k.load.Held+p.TokensIn+p.TokensOut) - roomShare*float64(k.room)
-	if over <= 0 {
+// overflowCost is what it costs if the memory doesn't hold the request.
+func (in costInputs) overflowCost(p Prompt) time.Duration {
+	excess := float64(in.load.Held+p.TokensIn+p.TokensOut) - cacheFillLimit*float64(in.cacheTokens)
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration((0.2 + over/float64(k.room)) * float64(fullTime))
+	return time.Duration((0.2 + excess/float64(in.cacheTokens)) * float64(overflowPenalty))
 }
--- a/dispatch/far.go
+++ b/dispatch/far.go
@@ -8,115 +8,115 @@
 	"time"
 )
 
-// farRegion is what is known of another region.
-type farRegion struct {
-	at       time.Time // when its last word was heard
-	services map[string]Digest
-	away     []*Away         // sent there, and not in its word yet
-	kept     map[string]kept // by service: parts of prompts that were sent there
+// remoteRegion is what is known of another region.
+type remoteRegion struct {
+	reportedAt time.Time // when its last word was heard
+	digests    map[string]Digest
+	inFlight   []*Away                 // sent there, and not in its word yet
+	cached     map[string]cachedBlocks // by service: parts of prompts that were sent there
 }
 
 // Away is a request on its way to another region. It counts as load there until its
 // answer begins, it has failed, or the region's own word can tell of it.
 type Away struct {
 	dispatcher *Dispatcher
-	region     *farRegion
+	region     *remoteRegion
 	service    string
-	at         time.Time
+	sentAt     time.Time
 	load       Load
 }
 
 // Sent notes that this gateway sends a request to another region, so that the next
 // one sees it before the region's own word tells of it. End must be called when the
 // answer has begun, or none will come.
-func (d *Dispatcher) Sent(region string, ask Ask) *Away {
+func (d *Dispatcher) Sent(region string, req Ask) *Away {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	far, ok := d.far[region]
+	remote, ok := d.remotes[region]
 	if !ok {
 		return &Away{dispatcher: d}
 	}
-	a := &Away{dispatcher: d, region: far, service: ask.Service, at: now, load: Load{Requests: 1}}
-	if p, ok := d.pools[ask.Service]; ok && p.service.Model != nil {
-		k := far.knowledge(ask, p.speeds.speed(), d.homeRegion(p, ask, now) == region, now)
-		a.load.Unread = max(0, ask.Prompt.TokensIn-max(k.kept, k.guess(ask.Prompt)))
-		a.load.Held = ask.Prompt.TokensIn + ask.Prompt.TokensOut
-		far.keptOf(ask.Service).note(ask.Prompt, now)
+	r := &Away{dispatcher: d, region: remote, service: req.Service, sentAt: now, load: Load{Requests: 1}}
+	if p, ok := d.pools[req.Service]; ok && p.service.Model != nil {
+		in := remote.costInputs(req, p.throughput.throughput(), d.homeRegion(p, req, now) == region, now)
+		r.load.Unread = max(0, req.Prompt.TokensIn-max(in.cached, in.assumedCached(req.Prompt)))
+		r.load.Held = req.Prompt.TokensIn + req.Prompt.TokensOut
+		remote.cachedFor(req.Service).record(req.Prompt, now)
 	}
-	far.away = append(far.away, a)
-	return a
+	remote.inFlight = append(remote.inFlight, r)
+	return r
 }
 
 // End takes the request off the load of the other region. It may be called again.
-func (a *Away) End() {
-	a.dispatcher.mu.Lock()
-	defer a.dispatcher.mu.Unlock()
-	if a.region == nil {
+func (r *Away) End() {
+	r.dispatcher.mu.Lock()
+	defer r.dispatcher.mu.Unlock()
+	if r.region == nil {
 		return
 	}
-	a.region.away = slices.DeleteFunc(a.region.away, func(o *Away) bool { return o == a })
-	a.region = nil
+	r.region.inFlight = slices.DeleteFunc(r.region.inFlight, func(o *Away) bool { return o == r })
+	r.region = nil
 }
 
-// hear takes the region's own word. What was sent less than a round trip before may
+// applyDigests takes the region's own word. What was sent less than a round trip before may
 // not be in it.
-func (f *farRegion) hear(digests []Digest, roundTrip time.Duration, now time.Time) {
-	f.at = now
-	f.services = make(map[string]Digest, len(digests))
-	for _, one := range digests {
-		f.services[one.Service] = one
+func (r *remoteRegion) applyDigests(digests []Digest, roundTrip time.Duration, now time.Time) {
+	r.reportedAt = now
+	r.digests = make(map[string]Digest, len(digests))
+	for _, digest := range digests {
+		r.digests[digest.Service] = digest
 	}
-	f.away = slices.DeleteFunc(f.away, func(a *Away) bool { return now.Sub(a.at) > roundTrip })
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *Away) bool { return now.Sub(a.sentAt) > roundTrip })
 }
 
-// heard tells whether the region's word is fresh enough to count.
-func (f *farRegion) heard(now time.Time) bool { return now.Sub(f.at) <= digestLife }
+// isFresh tells whether the region's word is fresh enough to count.
+func (r *remoteRegion) isFresh(now time.Time) bool { return now.Sub(r.reportedAt) <= digestTTL }
 
-// sent gives the load of a service that is on its way.
-func (f *farRegion) sent(service string) Load {
+// inFlightLoad gives the load of a service that is on its way.
+func (r *remoteRegion) inFlightLoad(service string) Load {
 	var sum Load
-	for _, a := range f.away {
-		if a.service == service {
-			sum = sum.plus(a.load)
+	for _, one := range r.inFlight {
+		if one.service == service {
+			sum = sum.plus(one.load)
 		}
 	}
 	return sum
 }
 
-func (f *farRegion) keptOf(service string) kept {
-	k, ok := f.kept[service]
+func (r *remoteRegion) cachedFor(service string) cachedBlocks {
+	blocks, ok := r.cached[service]
 	if !ok {
-		k = make(kept)
-		f.kept[service] = k
+		blocks = make(cachedBlocks)
+		r.cached[service] = blocks
 	}
-	return k
+	return blocks
 }
 
-// knowledge gives what the expectation of the region's engines rests on; here is
+// costInputs gives what the expectation of the region's engines rests on; here is
 // their speed in this region, for a word that tells none. A keeper of the prompt's
 // parts is one engine, so that the mean load counts, else the least.
-func (f *farRegion) knowledge(ask Ask, here Speed, isHome bool, now time.Time) knowledge {
-	digest := f.services[ask.Service]
-	k := knowledge{
-		slots: digest.Slots, room: digest.Room, first: isHome, failing: digest.Failing, speed: digest.Speed,
-		kept: f.keptOf(ask.Service).tokens(ask.Prompt, now), load: digest.Least.load(),
+func (r *remoteRegion) costInputs(req Ask, fallback Speed, isHome bool, now time.Time) costInputs {
+	digest := r.digests[req.Service]
+	in := costInputs{
+		slots: digest.Slots, cacheTokens: digest.Room, preferred: isHome, failureRate: digest.Failing, throughput: digest.Speed,
+		cached: r.cachedFor(req.Service).tokens(req.Prompt, now), load: digest.Least.load(),
 	}
-	if k.speed.Hold <= 0 {
-		k.speed = here
+	if in.throughput.Hold <= 0 {
+		in.throughput = fallback
 	}
-	if ask.Prompt.Affinity() != "" && (isHome || k.kept > 0) {
-		k.load = digest.Mean.load()
+	if req.Prompt.Affinity() != "" && (isHome || in.cached > 0) {
+		in.load = digest.Mean.load()
 	}
-	return k
+	return in
 }
 
-// forgetAway forgets the parts that other regions are no longer believed to keep. The
+// forgetRemoteBlocks forgets the parts that other regions are no longer believed to keep. The
 // lock is held.
-func (d *Dispatcher) forgetAway(now time.Time) {
-	for _, far := range d.far {
-		for _, k := range far.kept {
-			k.forget(now)
+func (d *Dispatcher) forgetRemoteBlocks(now time.Time) {
+	for _, remote := range d.remotes {
+		for _, blocks := range remote.cached {
+			blocks.removeExpired(now)
 		}
 	}
 }
--- a/dispatch/illness.go
+++ b/dispatch/illness.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// usual estimates which share of a route's requests fails at any engine. Some kinds
+// failureBaseline estimates which share of a route's requests fails at any engine. Some kinds
 // of request fail often by themselves, and fail again wherever they are sent: that
 // is no sign of an ill engine. The zero value knows nothing.
-type usual struct {
+type failureBaseline struct {
 	failed   float64
 	requests float64
 }
 
 const (
-	// priorFailing and priorRequests are believed before the first answer: engines
+	// priorFailureRate and priorRequests are believed before the first answer: engines
 	// that are well fail seldom, and some ten answers tell otherwise.
-	priorFailing  = 0.02
-	priorRequests = 10
-	// usualRequests is over how many requests the share is taken. It is long beside
+	priorFailureRate = 0.02
+	priorRequests    = 10
+	// baselineRequests is over how many requests the share is taken. It is long beside
 	// what an ill engine gets before it is avoided, so that it doesn't become usual.
-	usualRequests = 200
+	baselineRequests = 200
 )
 
-func (u usual) share() float64 {
-	return (u.failed + priorFailing*priorRequests) / (u.requests + priorRequests)
+func (b failureBaseline) rate() float64 {
+	return (b.failed + priorFailureRate*priorRequests) / (b.requests + priorRequests)
 }
 
-func (u *usual) note(failed bool) {
-	keep := 1 - 1/float64(usualRequests)
-	u.failed, u.requests = keep*u.failed, keep*u.requests+1
+func (b *failureBaseline) record(failed bool) {
+	decay := 1 - 1/float64(baselineRequests)
+	b.failed, b.requests = decay*b.failed, decay*b.requests+1
 	if failed {
-		u.failed++
+		b.failed++
 	}
 }
 
-// illness estimates by how much the share of an engine's requests that fail lies
+// excessFailures estimates by how much the share of an engine's requests that fail lies
 // above what is usual for them. What isn't significant counts as nothing: where one
 // in seven requests fails by itself, the plain share of the last few moved between
 // 0 and 0.5, and half of all requests were sent to other regions at 110 ms each; the
@@ -46,55 +46,55 @@
 // day before three regions of one engine each). It is forgotten with time, so that an
 // engine which gets nothing because it failed is tried again. The zero value has seen
 // nothing.
-type illness struct {
-	failed   float64
-	expected float64 // that would have failed anywhere
-	variance float64 // of that number
-	requests float64
-	at       time.Time
+type excessFailures struct {
+	failed    float64
+	expected  float64 // that would have failed anywhere
+	variance  float64 // of that number
+	requests  float64
+	updatedAt time.Time
 }
 
 const (
-	// fadeTime is after how long without requests what was seen counts a third.
-	fadeTime = 3 * time.Second
-	// keepRequest is how much earlier requests count with each new one: some ten
+	// decayTime is after how long without requests what was seen counts a third.
+	decayTime = 3 * time.Second
+	// decayPerRequest is how much earlier requests count with each new one: some ten
 	// are remembered.
-	keepRequest = 0.9
-	// doubt is how many standard deviations above the usual are taken for chance.
-	doubt = 1.5
-	// wellRequests is how many requests without failure an engine is believed to
+	decayPerRequest = 0.9
+	// significance is how many standard deviations above the usual are taken for chance.
+	significance = 1.5
+	// priorSuccesses is how many requests without failure an engine is believed to
 	// have had before the first.
-	wellRequests = 2
+	priorSuccesses = 2
 )
 
-// fade forgets up to now.
-func (i *illness) fade(now time.Time) {
-	i.scale(math.Exp(-float64(now.Sub(i.at)) / float64(fadeTime)))
-	i.at = now
+// decay forgets up to now.
+func (f *excessFailures) decay(now time.Time) {
+	f.scale(math.Exp(-float64(now.Sub(f.updatedAt)) / float64(decayTime)))
+	f.updatedAt = now
 }
 
-func (i *illness) scale(by float64) {
-	i.failed *= by
-	i.expected *= by
-	i.variance *= by
-	i.requests *= by
+func (f *excessFailures) scale(factor float64) {
+	f.failed *= factor
+	f.expected *= factor
+	f.variance *= factor
+	f.requests *= factor
 }
 
-// note takes one more outcome of a request of which that share usually fails.
-func (i *illness) note(failed bool, usual float64, now time.Time) {
-	i.fade(now)
-	i.scale(keepRequest)
-	i.requests++
-	i.expected += usual
-	i.variance += usual * (1 - usual)
+// record takes one more outcome of a request of which that share usually fails.
+func (f *excessFailures) record(failed bool, usualRate float64, now time.Time) {
+	f.decay(now)
+	f.scale(decayPerRequest)
+	f.requests++
+	f.expected += usualRate
+	f.variance += usualRate * (1 - usualRate)
 	if failed {
-		i.failed++
+		f.failed++
 	}
 }
 
-// value gives the share of requests that fail beyond the usual.
-func (i illness) value(now time.Time) float64 {
-	i.fade(now)
-	beyond := i.failed - i.expected - doubt*math.Sqrt(i.variance)
-	return max(0, beyond/(i.requests+wellRequests))
+// rate gives the share of requests that fail beyond the usual.
+func (f excessFailures) rate(now time.Time) float64 {
+	f.decay(now)
+	excess := f.failed - f.expected - significance*math.Sqrt(f.variance)
+	return max(0, excess/(f.requests+priorSuccesses))
 }
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -14,12 +14,12 @@
 // HeardLimit takes what the head of the engine's answer says of how many requests it takes.
 // It is called as soon as the head is there: the next request may be chosen an engine for
 // before the answer ends.
-func (t *Ticket) HeardLimit(word ratelimit.Word) {
+func (t *Ticket) HeardLimit(signal ratelimit.Word) {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	if d.limits.Hear(t.engine.hash, word, t.began, now) {
+	if d.limits.Hear(t.engine.hash, signal, t.sentAt, now) {
 		d.logLimit(t.engine, "its answer", now)
 	}
 }
@@ -33,9 +33,9 @@
 	return t.limit.String()
 }
 
-// takeLimited counts a ticket towards the limits that engines name: it uses its engine's up,
+// chargeLimits counts a ticket towards the limits that engines name: it uses its engine's up,
 // and is kept away from those whose shares are spent. The lock is held.
-func (d *Dispatcher) takeLimited(t *Ticket, now time.Time) {
+func (d *Dispatcher) chargeLimits(t *Ticket, now time.Time) {
 	for _, e := range t.pool.limited {
 		if e != t.engine && !d.limits.Allows(e.hash, now) {
 			d.limits.KeptAway(e.hash, now)
@@ -55,30 +55,30 @@
 	}
 }
 
-// hearLimits takes what another gateway of the region tells of limits. The lock is held.
-func (d *Dispatcher) hearLimits(m rollup.Message, now time.Time) {
+// mergeLimits takes what another gateway of the region tells of limits. The lock is held.
+func (d *Dispatcher) mergeLimits(m rollup.Message, now time.Time) {
 	for _, hash := range d.limits.HearNotes(m.Report.Limits, now) {
-		if e, ok := d.byHash[hash]; ok {
+		if e, ok := d.enginesByHash[hash]; ok {
 			d.logLimit(e, m.From, now)
 		}
 	}
 }
 
 // logLimit logs a limit that is new here.
-func (d *Dispatcher) logLimit(e *engine, by string, now time.Time) {
-	s, limited := d.limits.Status(e.hash, now)
+func (d *Dispatcher) logLimit(e *engine, source string, now time.Time) {
+	status, limited := d.limits.Status(e.hash, now)
 	if !limited {
-		d.Log.Info("engine's limit lifted", zap.String("engine", e.ID), zap.String("told_by", by))
+		d.Log.Info("engine's limit lifted", zap.String("engine", e.ID), zap.String("told_by", source))
 		return
 	}
-	d.Log.Info("engine's limit", zap.String("engine", e.ID), zap.String("told_by", by),
-		zap.Float64("per_second", s.PerSecond), zap.Float64("share", s.Share), zap.Int("sharers", s.Sharers))
+	d.Log.Info("engine's limit", zap.String("engine", e.ID), zap.String("told_by", source),
+		zap.Float64("per_second", status.PerSecond), zap.Float64("share", status.Share), zap.Int("sharers", status.Sharers))
 }
 
-// forgetGone drops what engines that are gone have said of themselves. The lock is held.
-func (d *Dispatcher) forgetGone(now time.Time) {
+// forgetRemovedEngines drops what engines that are gone have said of themselves. The lock is held.
+func (d *Dispatcher) forgetRemovedEngines(now time.Time) {
 	known := func(hash uint64) bool {
-		_, known := d.byHash[hash]
+		_, known := d.enginesByHash[hash]
 		return known
 	}
 	d.limits.Forget(known, now)
@@ -98,12 +98,12 @@
 	defer d.mu.Unlock()
 	now := d.Clock()
 	var out []LimitStatus
-	for _, s := range d.table.Services() {
+	for _, s := range d.catalog.Services() {
 		p, ok := d.pools[s.Name]
 		if !ok {
 			continue
 		}
-		for _, e := range p.ordered {
+		for _, e := range p.sorted {
 			if status, limited := d.limits.Status(e.hash, now); limited {
 				out = append(out, LimitStatus{Engine: e.ID, Service: s.Name, Status: status})
 			}
--- a/dispatch/prompt.go
+++ b/dispatch/prompt.go
@@ -27,8 +27,8 @@
 	Tokens int
 }
 
-// shared gives the parts that other requests have too.
-func (p Prompt) shared() []Part {
+// sharedBlocks gives the parts that other requests have too.
+func (p Prompt) sharedBlocks() []Part {
 	if len(p.Parts) == 0 {
 		return nil
 	}
@@ -38,8 +38,8 @@
 // sharedTokens counts the tokens of the shared parts.
 func (p Prompt) sharedTokens() int {
 	n := 0
-	for _, part := range p.shared() {
-		n += part.Tokens
+	for _, block := range p.sharedBlocks() {
+		n += block.Tokens
 	}
 	return n
 }
@@ -47,7 +47,7 @@
 // Affinity gives the key by which gateways agree on an engine: the deepest
 // shared part, which stands for all before it.
 func (p Prompt) Affinity() string {
-	if shared := p.shared(); len(shared) > 0 {
+	if shared := p.sharedBlocks(); len(shared) > 0 {
 		return shared[len(shared)-1].ID
 	}
 	return ""
@@ -64,31 +64,31 @@
 	return d.Sum64()
 }
 
-// keepTime is how long a part is believed to be kept after its last use. What
+// cacheLifetime is how long a part is believed to be kept after its last use. What
 // is used less often gives way to other prompts.
-const keepTime = 40 * time.Second
+const cacheLifetime = 40 * time.Second
 
-// kept remembers which parts were sent to one engine lately, and when; by hash,
+// cachedBlocks remembers which parts were sent to one engine lately, and when; by hash,
 // as gateways tell each other.
-type kept map[uint32]time.Time
+type cachedBlocks map[uint32]time.Time
 
-// hashPart gives a part's hash. Two parts that share one cost a wrong guess.
-func hashPart(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+// hashBlock gives a part's hash. Two parts that share one cost a wrong guess.
+func hashBlock(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// note remembers the parts of a prompt.
-func (k kept) note(p Prompt, now time.Time) {
-	for _, part := range p.Parts {
-		k[hashPart(part.ID)] = now
+// record remembers the parts of a prompt.
+func (b cachedBlocks) record(p Prompt, now time.Time) {
+	for _, block := range p.Parts {
+		b[hashBlock(block.ID)] = now
 	}
 }
 
 // tokens gives how many tokens of the prompt's beginning are believed kept: up to
 // the last part that is, for a part is only kept with all before it.
-func (k kept) tokens(p Prompt, now time.Time) int {
+func (b cachedBlocks) tokens(p Prompt, now time.Time) int {
 	n, total := 0, 0
-	for _, part := range p.Parts {
-		total += part.Tokens
-		if k.has(hashPart(part.ID), now) {
+	for _, block := range p.Parts {
+		total += block.Tokens
+		if b.has(hashBlock(block.ID), now) {
 			n = total
 		}
 	}
@@ -96,50 +96,50 @@
 }
 
 // has tells whether a part is believed kept.
-func (k kept) has(part uint32, now time.Time) bool {
-	at, ok := k[part]
-	return ok && now.Sub(at) <= keepTime
+func (b cachedBlocks) has(block uint32, now time.Time) bool {
+	at, ok := b[block]
+	return ok && now.Sub(at) <= cacheLifetime
 }
 
-// forget drops what is no longer believed.
-func (k kept) forget(now time.Time) {
-	for id, at := range k {
-		if now.Sub(at) > keepTime {
-			delete(k, id)
+// removeExpired drops what is no longer believed.
+func (b cachedBlocks) removeExpired(now time.Time) {
+	for id, at := range b {
+		if now.Sub(at) > cacheLifetime {
+			delete(b, id)
 		}
 	}
 }
 
-// sent is a shared part that this gateway has sent to an engine.
-type sent struct {
+// sentBlock is a shared part that this gateway has sent to an engine.
+type sentBlock struct {
 	at     time.Time
-	part   uint32
+	block  uint32
 	engine uint64
 }
 
 const (
-	// sentLife is how long a part that was sent is told to the other gateways:
+	// sentBlockTTL is how long a part that was sent is told to the other gateways:
 	// four reports, any of which may be lost. Where leaders pass them on, every part
 	// takes 14 bytes of a message for each gateway and 0.1 s.
-	sentLife = 400 * time.Millisecond
-	// leastShared is how many tokens are worth telling of.
-	leastShared = 500
+	sentBlockTTL = 400 * time.Millisecond
+	// minSharedTokens is how many tokens are worth telling of.
+	minSharedTokens = 500
 )
 
-// noteSent remembers the deepest shared part of a prompt to be told. The
+// recordSentBlock remembers the deepest shared part of a prompt to be told. The
 // dispatcher's lock is held.
-func (d *Dispatcher) noteSent(p Prompt, e *engine, now time.Time) {
-	if key := p.Affinity(); key != "" && p.sharedTokens() >= leastShared {
-		d.sent = append(d.sent, sent{now, hashPart(key), e.hash})
+func (d *Dispatcher) recordSentBlock(p Prompt, e *engine, now time.Time) {
+	if key := p.Affinity(); key != "" && p.sharedTokens() >= minSharedTokens {
+		d.sentBlocks = append(d.sentBlocks, sentBlock{now, hashBlock(key), e.hash})
 	}
 }
 
-// recentlySent gives the parts to tell, and forgets those told for long enough.
-func (d *Dispatcher) recentlySent(now time.Time) []rollup.SentPart {
-	d.sent = slices.DeleteFunc(d.sent, func(s sent) bool { return now.Sub(s.at) > sentLife })
-	out := make([]rollup.SentPart, len(d.sent))
-	for i, s := range d.sent {
-		out[i] = rollup.SentPart{Part: s.part, Engine: s.engine}
+// recentSentBlocks gives the parts to tell, and forgets those told for long enough.
+func (d *Dispatcher) recentSentBlocks(now time.Time) []rollup.SentPart {
+	d.sentBlocks = slices.DeleteFunc(d.sentBlocks, func(s sentBlock) bool { return now.Sub(s.at) > sentBlockTTL })
+	out := make([]rollup.SentPart, len(d.sentBlocks))
+	for i, s := range d.sentBlocks {
+		out[i] = rollup.SentPart{Part: s.block, Engine: s.engine}
 	}
 	return out
 }
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -12,13 +12,13 @@
 
 // HeardPushback takes what the head of the engine's answer asks for. It is called as soon as the
 // head is there: the next request may be chosen an engine for before the answer ends.
-func (t *Ticket) HeardPushback(word pushback.Word) {
+func (t *Ticket) HeardPushback(signal pushback.Word) {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	if d.pushback.Hear(e.hash, word, now) {
-		d.Log.Info("engine rests", zap.String("engine", e.ID), zap.Stringer("for", word))
+	if d.pushback.Hear(e.hash, signal, now) {
+		d.Log.Info("engine rests", zap.String("engine", e.ID), zap.Stringer("for", signal))
 	}
 }
 
@@ -28,20 +28,20 @@
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.leaves(e, "its answer", d.Clock())
+	d.markDraining(e, "its answer", d.Clock())
 }
 
-// leaves takes over that an engine leaves. The lock is held.
-func (d *Dispatcher) leaves(e *engine, by string, now time.Time) {
+// markDraining takes over that an engine leaves. The lock is held.
+func (d *Dispatcher) markDraining(e *engine, source string, now time.Time) {
 	if d.pushback.HearLeaving(e.hash, now) {
-		d.Log.Info("engine leaves", zap.String("engine", e.ID), zap.String("told_by", by))
+		d.Log.Info("engine leaves", zap.String("engine", e.ID), zap.String("told_by", source))
 	}
 }
 
-// isLeaving tells whether an engine says in its answers that it leaves. The lock is held.
-func (d *Dispatcher) isLeaving(hash uint64, now time.Time) bool {
-	bar, barred := d.pushback.Bar(hash, now)
-	return barred && bar.Reason == pushback.Leaving
+// isDraining tells whether an engine says in its answers that it leaves. The lock is held.
+func (d *Dispatcher) isDraining(hash uint64, now time.Time) bool {
+	pushed, excluded := d.pushback.Bar(hash, now)
+	return excluded && pushed.Reason == pushback.Leaving
 }
 
 // Unwanted says that an engine wants no more requests, or will end, since it was chosen.
@@ -56,11 +56,11 @@
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch why := d.bar(t.pool, t.engine, d.Clock()); why {
-	case "", whyTrying, whyLimited, whyFailing, whyRestTold, whyCold:
+	switch reason := d.exclusionOf(t.pool, t.engine, d.Clock()); reason {
+	case "", excludedTrial, excludedLimited, excludedFailing, excludedPeerBackoff, excludedCold:
 		return nil
 	default:
-		return &Unwanted{t.Engine, string(why)}
+		return &Unwanted{t.Engine, string(reason)}
 	}
 }
 
@@ -70,18 +70,18 @@
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pushback.Taken(t.engine.hash, t.began)
+	d.pushback.Taken(t.engine.hash, t.sentAt)
 }
 
-// beginPushedBack counts a ticket towards what engines ask for. The lock is held.
-func (d *Dispatcher) beginPushedBack(t *Ticket, now time.Time) {
-	for _, e := range t.pool.asked {
-		if e != t.engine && d.bar(t.pool, e, now).pushback() {
+// beginPushback counts a ticket towards what engines ask for. The lock is held.
+func (d *Dispatcher) beginPushback(t *Ticket, now time.Time) {
+	for _, e := range t.pool.pushedBack {
+		if e != t.engine && d.exclusionOf(t.pool, e, now).isPushback() {
 			d.pushback.KeptAway(e.hash)
 			d.countPushback(e, "kept_away")
 		}
 	}
-	if d.bar(t.pool, t.engine, now).pushback() {
+	if d.exclusionOf(t.pool, t.engine, now).isPushback() {
 		d.countPushback(t.engine, "sent_in_spite")
 		d.Log.Error("request sent to an engine that wants none", zap.String("engine", t.engine.ID))
 	}
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -37,7 +37,7 @@
 	Reading  int
 }
 
-func digestLoad(l Load) DigestLoad {
+func newDigestLoad(l Load) DigestLoad {
 	return DigestLoad{Requests: l.Requests, Unread: l.Unread, Held: l.Held, Reading: int(l.Reading)}
 }
 
@@ -46,37 +46,37 @@
 }
 
 const (
-	// tellFarEvery is how often a region tells the others.
-	tellFarEvery = 250 * time.Millisecond
-	// speakers is how many gateways of a region tell the others: two, so that
+	// regionReportInterval is how often a region tells the others.
+	regionReportInterval = 250 * time.Millisecond
+	// regionReporters is how many gateways of a region tell the others: two, so that
 	// the loss of one isn't felt.
-	speakers = 2
-	// digestLife is how old a region's word may be to count, from when it was heard:
+	regionReporters = 2
+	// digestTTL is how old a region's word may be to count, from when it was heard:
 	// it comes several times within it.
-	digestLife = 800 * time.Millisecond
-	// unknownTrip is assumed to a region that no connection has been opened to:
+	digestTTL = 800 * time.Millisecond
+	// defaultRoundTrip is assumed to a region that no connection has been opened to:
 	// regions of one continent are about as far apart.
-	unknownTrip = 100 * time.Millisecond
-	// awayTime is what it costs beside the trip to send a request to another
+	defaultRoundTrip = 100 * time.Millisecond
+	// remoteCost is what it costs beside the trip to send a request to another
 	// region: the bytes cross a slow network that costs money.
-	awayTime = 40 * time.Millisecond
+	remoteCost = 40 * time.Millisecond
 )
 
-// speaks tells whether this gateway tells the other regions of this one.
-func (d *Dispatcher) speaks() bool {
-	mine := Rank(d.Region, d.Name)
+// reportsRegion tells whether this gateway tells the other regions of this one.
+func (d *Dispatcher) reportsRegion() bool {
+	ownRank := Rank(d.Region, d.Name)
 	higher := 0
 	for _, h := range d.Peers() {
-		if h.Region == d.Region && h.Name != d.Name && !h.Stopping && Rank(d.Region, h.Name) > mine {
+		if h.Region == d.Region && h.Name != d.Name && !h.Stopping && Rank(d.Region, h.Name) > ownRank {
 			higher++
 		}
 	}
-	return higher < speakers
+	return higher < regionReporters
 }
 
-// farListeners gives the addresses of the gateways of other regions that are told of
+// regionReportRecipients gives the addresses of the gateways of other regions that are told of
 // this one.
-func (d *Dispatcher) farListeners() []string {
+func (d *Dispatcher) regionReportRecipients() []string {
 	hosts := d.Peers()
 	var regions, out []string
 	for _, h := range hosts {
@@ -92,14 +92,14 @@
 func (d *Dispatcher) RegionWord() rollup.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	word, _ := d.regionWord(d.Clock())
-	return word
+	report, _ := d.regionReport(d.Clock())
+	return report
 }
 
-// regionWord is RegionWord with the lock held; false where it can't be packed.
-func (d *Dispatcher) regionWord(now time.Time) (rollup.Message, bool) {
+// regionReport is RegionWord with the lock held; false where it can't be packed.
+func (d *Dispatcher) regionReport(now time.Time) (rollup.Message, bool) {
 	var digests []Digest
-	for _, s := range d.table.Services() {
+	for _, s := range d.catalog.Services() {
 		if p, ok := d.pools[s.Name]; ok {
 			digests = append(digests, d.digest(p, now))
 		}
@@ -109,71 +109,71 @@
 		d.Log.Error("load not told to other regions", telemetry.Cause(err))
 		return rollup.Message{}, false
 	}
-	return rollup.Message{From: d.Name, Far: []rollup.FarWord{{Region: d.Region, Body: body, Accounts: d.regionUses(now), Crashes: d.suspects.TellFar(now)}}}, true
+	return rollup.Message{From: d.Name, Far: []rollup.FarWord{{Region: d.Region, Body: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.TellFar(now)}}}, true
 }
 
 func (d *Dispatcher) digest(p *pool, now time.Time) Digest {
-	g := Digest{Service: p.service.Name, Speed: p.speeds.speed()}
+	out := Digest{Service: p.service.Name, Speed: p.throughput.throughput()}
 	if p.service.Model != nil {
-		g.Room = p.service.Model.CacheTokens
+		out.Room = p.service.Model.CacheTokens
 	}
 	var sum, least Load
-	for _, e := range d.telling(p, now) {
+	for _, e := range d.digestEngines(p, now) {
 		load := e.load(now)
-		if g.Engines == 0 || load.Unread < least.Unread || (load.Unread == least.Unread && load.Requests < least.Requests) {
+		if out.Engines == 0 || load.Unread < least.Unread || (load.Unread == least.Unread && load.Requests < least.Requests) {
 			least = load
 		}
-		g.Engines++
-		g.Slots = e.Slots
+		out.Engines++
+		out.Slots = e.Slots
 		sum = sum.plus(load)
-		g.Failing += e.failing.value(now)
+		out.Failing += e.failures.rate(now)
 	}
-	if n := g.Engines; n > 0 {
-		g.Mean, g.Least, g.Failing = digestLoad(sum.over(n)), digestLoad(least), g.Failing/float64(n)
+	if n := out.Engines; n > 0 {
+		out.Mean, out.Least, out.Failing = newDigestLoad(sum.dividedBy(n)), newDigestLoad(least), out.Failing/float64(n)
 	}
-	return g
+	return out
 }
 
-// telling gives the engines that a region's word is of: those that can take requests and
+// digestEngines gives the engines that a region's word is of: those that can take requests and
 // aren't cold, and such that name limits only where there are no others.
-func (d *Dispatcher) telling(p *pool, now time.Time) []*engine {
-	var free, limited []*engine
-	for _, e := range p.ordered {
-		why := d.bar(p, e, now)
+func (d *Dispatcher) digestEngines(p *pool, now time.Time) []*engine {
+	var unlimited, limited []*engine
+	for _, e := range p.sorted {
+		reason := d.exclusionOf(p, e, now)
 		switch {
-		case why != "" && why != whyLimited, d.isCold(p, e, now):
+		case reason != "" && reason != excludedLimited, d.isCold(p, e, now):
 		case d.limits.Limited(e.hash):
 			limited = append(limited, e)
 		default:
-			free = append(free, e)
+			unlimited = append(unlimited, e)
 		}
 	}
-	if len(free) > 0 {
-		return free
+	if len(unlimited) > 0 {
+		return unlimited
 	}
 	return limited
 }
 
-// over gives the load of one engine where n share it.
-func (l Load) over(n int) Load {
+// dividedBy gives the load of one engine where n share it.
+func (l Load) dividedBy(n int) Load {
 	return Load{l.Requests / n, l.Unread / n, l.Held / n, l.Reading / float64(n)}
 }
 
-// hearRegion takes another region's word. The lock is held.
-func (d *Dispatcher) hearRegion(w rollup.FarWord, now time.Time) {
-	d.hearFar(w, now)
-	far, ok := d.far[w.Region]
+// receiveRegionReport takes another region's word. The lock is held.
+func (d *Dispatcher) receiveRegionReport(r rollup.FarWord, now time.Time) {
+	d.mergeRemoteCrashes(r, now)
+	remote, ok := d.remotes[r.Region]
 	if !ok {
-		far = &farRegion{kept: make(map[string]kept)}
-		d.far[w.Region] = far
+		remote = &remoteRegion{cached: make(map[string]cachedBlocks)}
+		d.remotes[r.Region] = remote
 	}
 	var digests []Digest
-	if err := cbor.Unmarshal(w.Body, &digests); err != nil {
-		d.Log.Warn("another region's word can't be read", zap.String("region", w.Region), telemetry.Cause(err))
+	if err := cbor.Unmarshal(r.Body, &digests); err != nil {
+		d.Log.Warn("another region's word can't be read", zap.String("region", r.Region), telemetry.Cause(err))
 		return
 	}
-	far.hear(digests, d.roundTrip(w.Region), now.Add(-w.Age))
-	d.hearFarUses(w.Region, w.Accounts, now.Add(-w.Age))
+	remote.applyDigests(digests, d.roundTrip(r.Region), now.Add(-r.Age))
+	d.applyRemoteUsage(r.Region, r.Accounts, now.Add(-r.Age))
 }
 
 // Place says where a request should run.
@@ -191,48 +191,48 @@
 // expected to serve it better, the trip and the reading of the prompt counted.
 // here tells whether this region is one of the choices; reachable lists the
 // others that have a gateway.
-func (d *Dispatcher) ChooseRegion(ask Ask, here bool, reachable []string) Place {
+func (d *Dispatcher) ChooseRegion(req Ask, localPermitted bool, reachable []string) Place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	p, ok := d.pools[ask.Service]
+	p, ok := d.pools[req.Service]
 	if !ok {
 		return Place{Region: d.Region, Here: -1}
 	}
-	if err := d.checkSuspect(ask, now); err != nil {
+	if err := d.checkQuarantine(req, now); err != nil {
 		return Place{Region: d.Region, Here: -1, Refusal: err}
 	}
-	home := d.homeRegion(p, ask, now)
+	home := d.homeRegion(p, req, now)
 	best := Place{Region: d.Region, Here: -1, Home: home == d.Region}
-	if here {
-		if e, s := d.choose(p, ask, now); e != nil {
-			best.Here, best.Queue, best.Refusal = s.cost, s.queue, ask.admits(s)
+	if localPermitted {
+		if e, s := d.choose(p, req, now); e != nil {
+			best.Here, best.Queue, best.Refusal = s.cost, s.queue, req.checkAdmission(s)
 		}
 	}
 	best.There = best.Here
 	for _, region := range reachable {
-		s, ok := d.expectIn(region, p, ask, region == home, now)
-		if cost := s.cost + awayTime; ok && (best.There < 0 || cost < best.There) {
-			best = Place{Region: region, Here: best.Here, There: cost, Queue: s.queue, Refusal: ask.admits(s), Home: region == home}
+		s, ok := d.estimateRemote(region, p, req, region == home, now)
+		if cost := s.cost + remoteCost; ok && (best.There < 0 || cost < best.There) {
+			best = Place{Region: region, Here: best.Here, There: cost, Queue: s.queue, Refusal: req.checkAdmission(s), Home: region == home}
 		}
 	}
 	return best
 }
 
-// expectIn gives the expectation for a request in another region; false where
+// estimateRemote gives the expectation for a request in another region; false where
 // nothing is known of it, or no engine can be used there.
-func (d *Dispatcher) expectIn(region string, p *pool, ask Ask, isHome bool, now time.Time) (score, bool) {
-	far, ok := d.far[region]
-	if !ok || !far.heard(now) || far.services[p.service.Name].Engines == 0 {
+func (d *Dispatcher) estimateRemote(region string, p *pool, req Ask, isHome bool, now time.Time) (score, bool) {
+	remote, ok := d.remotes[region]
+	if !ok || !remote.isFresh(now) || remote.digests[p.service.Name].Engines == 0 {
 		return score{}, false
 	}
-	k := far.knowledge(ask, p.speeds.speed(), isHome, now)
+	in := remote.costInputs(req, p.throughput.throughput(), isHome, now)
 	// All gateways of this region do as this one does.
-	sent := far.sent(p.service.Name)
-	sent.Requests, sent.Unread, sent.Held = sent.Requests*d.alike, sent.Unread*d.alike, sent.Held*d.alike
-	k.load = k.load.plus(sent.over(far.services[p.service.Name].Engines))
-	k.doubt = p.speeds.doubt()
-	return expect(k, ask, d.roundTrip(region)), true
+	inFlight := remote.inFlightLoad(p.service.Name)
+	inFlight.Requests, inFlight.Unread, inFlight.Held = inFlight.Requests*d.reportingGateways, inFlight.Unread*d.reportingGateways, inFlight.Held*d.reportingGateways
+	in.load = in.load.plus(inFlight.dividedBy(remote.digests[p.service.Name].Engines))
+	in.usualError = p.throughput.usualError()
+	return estimate(in, req, d.roundTrip(region)), true
 }
 
 // roundTrip gives the usual round trip to another region.
@@ -240,31 +240,31 @@
 	if known, ok := d.Trip(region); ok {
 		return known
 	}
-	return unknownTrip
+	return defaultRoundTrip
 }
 
 // homeRegion gives the region where a prompt's shared parts are kept: the one
 // ranked first, by weighted rendezvous hashing, of those where the request may
 // run; "" where the prompt has none. A region counts by its engines.
-func (d *Dispatcher) homeRegion(p *pool, ask Ask, now time.Time) string {
-	key := ask.Prompt.Affinity()
+func (d *Dispatcher) homeRegion(p *pool, req Ask, now time.Time) string {
+	key := req.Prompt.Affinity()
 	if key == "" {
 		return ""
 	}
 	home, highest := "", math.Inf(-1)
 	consider := func(region string, engines int) {
-		if engines == 0 || (ask.Permitted != nil && !ask.Permitted(region)) {
+		if engines == 0 || (req.Permitted != nil && !req.Permitted(region)) {
 			return
 		}
-		u := (float64(Rank(key, region)>>11) + 0.5) / (1 << 53)
-		if w := -float64(engines) / math.Log(u); w > highest {
-			home, highest = region, w
+		uniform := (float64(Rank(key, region)>>11) + 0.5) / (1 << 53)
+		if weight := -float64(engines) / math.Log(uniform); weight > highest {
+			home, highest = region, weight
 		}
 	}
-	consider(d.Region, p.ready)
-	for region, far := range d.far {
-		if far.heard(now) {
-			consider(region, far.services[p.service.Name].Engines)
+	consider(d.Region, p.readyEngines)
+	for region, remote := range d.remotes {
+		if remote.isFresh(now) {
+			consider(region, remote.digests[p.service.Name].Engines)
 		}
 	}
 	return home
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -25,87 +25,87 @@
 // than these. Engines of two accelerators read 30 to 60 tokens in a millisecond and
 // give one in 4 to 10.
 const (
-	believedFixed  = 20 * time.Millisecond
-	believedTokens = 9000
-	believedRead   = 250 * time.Millisecond // to read so many tokens
-	believedOut    = 8 * time.Millisecond
-	believedHold   = 2 * time.Second       // of a model's request
-	believedPlain  = 20 * time.Millisecond // of any other
+	priorOverhead       = 20 * time.Millisecond
+	priorReadTokens     = 9000
+	priorReadTime       = 250 * time.Millisecond // to read so many tokens
+	priorOutputPerToken = 8 * time.Millisecond
+	priorModelSlotTime  = 2 * time.Second       // of a model's request
+	priorPlainSlotTime  = 20 * time.Millisecond // of any other
 )
 
-// speeds learns the Speed of a service's engines. It is guarded by the Dispatcher's
-// lock; newSpeeds makes one.
-type speeds struct {
-	first *pace.Line // time until the first event, by the tokens to be read until then
-	out   *pace.Mean
-	hold  *pace.Mean
+// throughputEstimator learns the Speed of a service's engines. It is guarded by the Dispatcher's
+// lock; newThroughputEstimator makes one.
+type throughputEstimator struct {
+	firstEvent     *pace.Line // time until the first event, by the tokens to be read until then
+	outputPerToken *pace.Mean
+	slotTime       *pace.Mean
 
 	model   bool // the service's engines run one
 	answers int  // that something was learned from
 }
 
-func newSpeeds(model bool) *speeds {
-	hold := believedPlain
+func newThroughputEstimator(model bool) *throughputEstimator {
+	slotTime := priorPlainSlotTime
 	if model {
-		hold = believedHold
+		slotTime = priorModelSlotTime
 	}
-	return &speeds{
-		first: pace.NewLine(believedFixed, believedTokens, believedFixed+believedRead),
-		out:   pace.NewMean(believedOut), hold: pace.NewMean(hold), model: model,
+	return &throughputEstimator{
+		firstEvent:     pace.NewLine(priorOverhead, priorReadTokens, priorOverhead+priorReadTime),
+		outputPerToken: pace.NewMean(priorOutputPerToken), slotTime: pace.NewMean(slotTime), model: model,
 	}
 }
 
-// speed gives what is believed now.
-func (s *speeds) speed() Speed {
-	return Speed{Fixed: s.first.Fixed(), Token: time.Duration(s.first.PerUnit()), Out: s.out.Value(), Hold: s.hold.Value()}
+// throughput gives what is believed now.
+func (s *throughputEstimator) throughput() Speed {
+	return Speed{Fixed: s.firstEvent.Fixed(), Token: time.Duration(s.firstEvent.PerUnit()), Out: s.outputPerToken.Value(), Hold: s.slotTime.Value()}
 }
 
-// doubt gives by how much the expected time until an answer begins is usually off.
+// usualError gives by how much the expected time until an answer begins is usually off.
 // Without a model the whole answer comes at once, when the request leaves its slot.
-func (s *speeds) doubt() time.Duration {
+func (s *throughputEstimator) usualError() time.Duration {
 	if s.model {
-		return s.first.Error()
+		return s.firstEvent.Error()
 	}
-	return s.hold.Error()
+	return s.slotTime.Error()
 }
 
-// logBeliefs logs what is believed of the engines' speeds, and of the way to the other
+// logEstimates logs what is believed of the engines' speeds, and of the way to the other
 // regions. The lock is held.
-func (d *Dispatcher) logBeliefs() {
+func (d *Dispatcher) logEstimates() {
 	for _, service := range slices.Sorted(maps.Keys(d.pools)) {
-		speeds := d.pools[service].speeds
-		now := speeds.speed()
-		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", now.Fixed), zap.Duration("token_read", now.Token),
-			zap.Duration("token_out", now.Out), zap.Duration("hold", now.Hold), zap.Duration("usual_error", speeds.doubt()), zap.Int("answers", speeds.answers))
+		estimator := d.pools[service].throughput
+		t := estimator.throughput()
+		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", t.Fixed), zap.Duration("token_read", t.Token),
+			zap.Duration("token_out", t.Out), zap.Duration("hold", t.Hold), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
 	}
-	for _, region := range slices.Sorted(maps.Keys(d.far)) {
+	for _, region := range slices.Sorted(maps.Keys(d.remotes)) {
 		roundTrip, known := d.Trip(region)
-		d.Log.Info("trip believed", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.far[region].at)))
+		d.Log.Info("trip believed", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.remotes[region].reportedAt)))
 	}
 }
 
-// learnBegun learns from the begin of an answer, if the engine wasn't cold and had
+// recordFirstEvent learns from the begin of an answer, if the engine wasn't cold and had
 // a slot free: then only the reading of prompts comes before it.
-func (t *Ticket) learnBegun(now time.Time) {
+func (t *Ticket) recordFirstEvent(now time.Time) {
 	if t.Cold || t.queued || t.CopyFrom != "" || t.pool.service.Model == nil {
 		return
 	}
-	took := now.Sub(t.began)
-	line := t.pool.speeds.first
+	took := now.Sub(t.sentAt)
+	estimate := t.pool.throughput.firstEvent
 	// An error that is usual says nothing of the engine.
-	usual := line.Error()
-	t.engine.slow.Note(line.At(t.work)+usual, took+usual, now)
-	line.Note(t.work, took)
+	usualError := estimate.Error()
+	t.engine.slowdown.Note(estimate.At(t.readTokens)+usualError, took+usualError, now)
+	estimate.Note(t.readTokens, took)
 }
 
-// learnEnd learns from a whole answer.
-func (t *Ticket) learnEnd(now time.Time) {
-	if t.Cold || t.queued || t.firstAt.IsZero() {
+// recordCompletion learns from a whole answer.
+func (t *Ticket) recordCompletion(now time.Time) {
+	if t.Cold || t.queued || t.firstEventAt.IsZero() {
 		return
 	}
-	t.pool.speeds.answers++
-	t.pool.speeds.hold.Note(now.Sub(t.began))
-	if t.out > 0 {
-		t.pool.speeds.out.Note(now.Sub(t.firstAt) / time.Duration(t.out))
+	t.pool.throughput.answers++
+	t.pool.throughput.slotTime.Note(now.Sub(t.sentAt))
+	if t.outputTokens > 0 {
+		t.pool.throughput.outputPerToken.Note(now.Sub(t.firstEventAt) / time.Duration(t.outputTokens))
 	}
 }
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -11,140 +11,142 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// why is a reason not to use an engine; "" for none.
-type why string
+// exclusion is a reason not to use an engine; "" for none.
+type exclusion string
 
 // The reasons beside the phases of the registry.
 const (
-	whyEvacuated why = "evacuated"
-	whyTakenAway why = "taken away"       // its lender has taken it away
-	whyReplaced  why = "replaced"         // another incarnation answers at its address
-	whyLeaving   why = "leaving"          // it says so in its answers
-	whyResting   why = "resting"          // it asked this gateway for rest
-	whyTrying    why = "trying"           // after its rest, one request goes first
-	whyLimited   why = "limited"          // this gateway has no part of the limit that it names, or has used it
-	whyFailing   why = "failing"          // it has failed lately
-	whyRestTold  why = "rests for others" // it asked other gateways for rest, and hasn't answered this one since
-	whyCold      why = "cold"             // another gateway warms it up, or it is too soon
-	whyTried     why = "tried"            // this request has been there
+	excludedEvacuated   exclusion = "evacuated"
+	excludedRecalled    exclusion = "taken away"       // its lender has taken it away
+	excludedReplaced    exclusion = "replaced"         // another incarnation answers at its address
+	excludedDraining    exclusion = "leaving"          // it says so in its answers
+	excludedBackoff     exclusion = "resting"          // it asked this gateway for rest
+	excludedTrial       exclusion = "trying"           // after its rest, one request goes first
+	excludedLimited     exclusion = "limited"          // this gateway has no part of the limit that it names, or has used it
+	excludedFailing     exclusion = "failing"          // it has failed lately
+	excludedPeerBackoff exclusion = "rests for others" // it asked other gateways for rest, and hasn't answered this one since
+	excludedCold        exclusion = "cold"             // another gateway warms it up, or it is too soon
+	excludedTried       exclusion = "tried"            // this request has been there
 )
 
-// passes tells whether a reason may end between two refreshes, so that the engine is looked at
+// isTransient tells whether a reason may end between two refreshes, so that the engine is looked at
 // with each request.
-func (w why) passes() bool {
-	switch w {
-	case whyResting, whyTrying, whyLimited, whyFailing, whyRestTold:
+func (x exclusion) isTransient() bool {
+	switch x {
+	case excludedBackoff, excludedTrial, excludedLimited, excludedFailing, excludedPeerBackoff:
 		return true
 	default:
 		return false
 	}
 }
 
-// yields tells whether an engine with that reason is used where no other can be: it may serve all
+// isOverridable tells whether an engine with that reason is used where no other can be: it may serve all
 // the same.
-func (w why) yields() bool { return w == whyFailing || w == whyRestTold }
+func (x exclusion) isOverridable() bool { return x == excludedFailing || x == excludedPeerBackoff }
 
-// pushback tells whether the engine itself has asked for it.
-func (w why) pushback() bool { return w == whyLeaving || w == whyResting || w == whyTrying }
+// isPushback tells whether the engine itself has asked for it.
+func (x exclusion) isPushback() bool {
+	return x == excludedDraining || x == excludedBackoff || x == excludedTrial
+}
 
-// bar gives the first reason why an engine gets nothing: first what ends its life, then what it
+// exclusionOf gives the first reason why an engine gets nothing: first what ends its life, then what it
 // asks for itself or bears, and last what this gateway makes of it, which alone the last resort may
 // overrule. It is asked for each engine with each request. The lock is held.
-func (d *Dispatcher) bar(p *pool, e *engine, now time.Time) why {
-	asked, pushedBack := d.pushback.Bar(e.hash, now)
+func (d *Dispatcher) exclusionOf(p *pool, e *engine, now time.Time) exclusion {
+	pushed, pushedBack := d.pushback.Bar(e.hash, now)
 	switch {
 	case e.Phase >= registry.Draining:
-		return why(e.Phase.String())
+		return exclusion(e.Phase.String())
 	case d.state.IsEvacuated(e.DataCentre):
-		return whyEvacuated
+		return excludedEvacuated
 	case !e.GoneAt.IsZero() && now.After(e.GoneAt):
-		return whyTakenAway
-	case e.misdirected:
-		return whyReplaced
+		return excludedRecalled
+	case e.replaced:
+		return excludedReplaced
 	case pushedBack:
-		return whyOf(asked.Reason)
+		return pushbackExclusion(pushed.Reason)
 	case !d.limits.Allows(e.hash, now):
-		return whyLimited
+		return excludedLimited
 	case d.isCold(p, e, now) && !d.mayWarm(e, now):
-		return whyCold
-	case now.Before(e.avoidUntil):
-		return whyFailing
-	case now.Before(e.restTold):
-		return whyRestTold
+		return excludedCold
+	case now.Before(e.excludedUntil):
+		return excludedFailing
+	case now.Before(e.peerBackoffUntil):
+		return excludedPeerBackoff
 	default:
 		return ""
 	}
 }
 
-// barBegan gives since when a reason holds; zero where that isn't known, or no matter of time.
-func (d *Dispatcher) barBegan(e *engine, w why, now time.Time) time.Time {
-	switch w {
-	case whyTakenAway:
+// exclusionStart gives since when a reason holds; zero where that isn't known, or no matter of time.
+func (d *Dispatcher) exclusionStart(e *engine, x exclusion, now time.Time) time.Time {
+	switch x {
+	case excludedRecalled:
 		return e.GoneAt
-	case whyReplaced:
-		return e.misdirectedAt
-	case whyLeaving, whyResting, whyTrying:
-		asked, _ := d.pushback.Bar(e.hash, now)
-		return asked.Since
+	case excludedReplaced:
+		return e.replacedAt
+	case excludedDraining, excludedBackoff, excludedTrial:
+		pushed, _ := d.pushback.Bar(e.hash, now)
+		return pushed.Since
 	default:
 		return time.Time{}
 	}
 }
 
-// barEnds gives until when a reason holds: now for none, and zero where that isn't known, or
+// exclusionEnd gives until when a reason holds: now for none, and zero where that isn't known, or
 // never.
-func (d *Dispatcher) barEnds(e *engine, w why, now time.Time) time.Time {
-	switch w {
+func (d *Dispatcher) exclusionEnd(e *engine, x exclusion, now time.Time) time.Time {
+	switch x {
 	case "":
 		return now
-	case whyResting, whyTrying:
-		asked, _ := d.pushback.Bar(e.hash, now)
-		return asked.Until
-	case whyLimited:
-		return d.limitEnds(e, now)
-	case whyFailing:
-		return e.avoidUntil
-	case whyRestTold:
-		return e.restTold
-	case whyCold:
-		return d.warms(e)
+	case excludedBackoff, excludedTrial:
+		pushed, _ := d.pushback.Bar(e.hash, now)
+		return pushed.Until
+	case excludedLimited:
+		return d.limitEnd(e, now)
+	case excludedFailing:
+		return e.excludedUntil
+	case excludedPeerBackoff:
+		return e.peerBackoffUntil
+	case excludedCold:
+		return d.nextWarmRequest(e)
 	default:
 		return time.Time{}
 	}
 }
 
-// soonest is the first of several times. The zero value has none.
-type soonest struct{ at time.Time }
+// earliest is the first of several times. The zero value has none.
+type earliest struct{ at time.Time }
 
 // add takes one more; zero is none.
-func (s *soonest) add(at time.Time) {
+func (s *earliest) add(at time.Time) {
 	if !at.IsZero() && (s.at.IsZero() || at.Before(s.at)) {
 		s.at = at
 	}
 }
 
-// in gives how long it takes until then; 0 where there is none.
-func (s *soonest) in(now time.Time) time.Duration {
+// waitFrom gives how long it takes until then; 0 where there is none.
+func (s *earliest) waitFrom(now time.Time) time.Duration {
 	if s.at.IsZero() {
 		return 0
 	}
 	return max(0, s.at.Sub(now))
 }
 
-func whyOf(reason pushback.Reason) why {
+func pushbackExclusion(reason pushback.Reason) exclusion {
 	switch reason {
 	case pushback.Leaving:
-		return whyLeaving
+		return excludedDraining
 	case pushback.Trying:
-		return whyTrying
+		return excludedTrial
 	default:
-		return whyResting
+		return excludedBackoff
 	}
 }
 
-// limitEnds gives when this gateway may send the engine a request again; zero where it has no
+// limitEnd gives when this gateway may send the engine a request again; zero where it has no
 // share of what that takes.
-func (d *Dispatcher) limitEnds(e *engine, now time.Time) time.Time {
+func (d *Dispatcher) limitEnd(e *engine, now time.Time) time.Time {
 	wait, shares := d.limits.Next(e.hash, now)
 	if !shares {
 		return time.Time{}
@@ -152,16 +154,16 @@
 	return now.Add(wait)
 }
 
-// clearedCold is how long after the end of an evacuation engines count as cold
+// coldAfterEvacuation is how long after the end of an evacuation engines count as cold
 // without having said so: until a heartbeat sent since has come.
-const clearedCold = 3 * time.Second
+const coldAfterEvacuation = 3 * time.Second
 
 // isCold tells whether an engine bears only few requests.
 func (d *Dispatcher) isCold(p *pool, e *engine, now time.Time) bool {
 	if p.service.ColdRate <= 0 {
 		return false
 	}
-	if at, ok := d.cleared[e.DataCentre]; ok && now.Sub(at) < clearedCold {
+	if at, ok := d.evacuationEnded[e.DataCentre]; ok && now.Sub(at) < coldAfterEvacuation {
 		return true
 	}
 	return e.IsCold(now)
@@ -170,16 +172,16 @@
 // mayWarm tells whether a cold engine may get a request now: from one gateway
 // only, which all agree on, and no faster than the engine bears.
 func (d *Dispatcher) mayWarm(e *engine, now time.Time) bool {
-	return !now.Before(e.warmNext) && d.near.warmer(e) == d.Name
+	return !now.Before(e.nextWarmRequest) && d.gateways.warmer(e) == d.Name
 }
 
-// warms gives when a cold engine may get its next request from this gateway; zero where another
+// nextWarmRequest gives when a cold engine may get its next request from this gateway; zero where another
 // warms it.
-func (d *Dispatcher) warms(e *engine) time.Time {
-	if d.near.warmer(e) != d.Name {
+func (d *Dispatcher) nextWarmRequest(e *engine) time.Time {
+	if d.gateways.warmer(e) != d.Name {
 		return time.Time{}
 	}
-	return e.warmNext
+	return e.nextWarmRequest
 }
 
 // Opens gives how long it takes until some engine of a service may get a request here; 0 where
@@ -192,9 +194,9 @@
 		return 0
 	}
 	now := d.Clock()
-	var opens soonest
-	for _, e := range p.ordered {
-		opens.add(d.barEnds(e, d.bar(p, e, now), now))
+	var available earliest
+	for _, e := range p.sorted {
+		available.add(d.exclusionEnd(e, d.exclusionOf(p, e, now), now))
 	}
-	return opens.in(now)
+	return available.waitFrom(now)
 }
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -22,16 +22,16 @@
 	// this one copies; "" where it reads them, or keeps them itself.
 	CopyFrom string
 
-	dispatcher *Dispatcher
-	pool       *pool
-	engine     *engine
-	began      time.Time
-	firstAt    time.Time // when the answer began, of one that teaches
-	load       Load      // that the request adds
-	work       float64   // tokens to be read until its first event
-	out        int       // tokens expected of its answer
-	queued     bool      // every slot was taken
-	route      string
+	dispatcher   *Dispatcher
+	pool         *pool
+	engine       *engine
+	sentAt       time.Time
+	firstEventAt time.Time // when the answer began, of one that teaches
+	load         Load      // that the request adds
+	readTokens   float64   // tokens to be read until its first event
+	outputTokens int       // tokens expected of its answer
+	queued       bool      // every slot was taken
+	route        string
 	// fingerprint is the same for each repeat of the request.
 	fingerprint quarantine.Fingerprint
 	// limit is what was known of the limit that the engine names; nil where it names none.
@@ -40,29 +40,29 @@
 	trial bool
 }
 
-// grant gives a ticket for an engine. The dispatcher's lock is held.
-func (d *Dispatcher) grant(p *pool, e *engine, ask Ask, s score, now time.Time) *Ticket {
+// issueTicket gives a ticket for an engine. The dispatcher's lock is held.
+func (d *Dispatcher) issueTicket(p *pool, e *engine, req Ask, s score, now time.Time) *Ticket {
 	t := &Ticket{
 		Engine: e.ID, Address: e.Address, Why: s.String(), Cold: d.isCold(p, e, now), Wait: s.wait,
-		dispatcher: d, pool: p, engine: e, began: now, load: Load{Requests: 1}, route: ask.Route, out: ask.Prompt.TokensOut, queued: s.load.Requests >= e.Slots, fingerprint: ask.Fingerprint,
+		dispatcher: d, pool: p, engine: e, sentAt: now, load: Load{Requests: 1}, route: req.Route, outputTokens: req.Prompt.TokensOut, queued: s.load.Requests >= e.Slots, fingerprint: req.Fingerprint,
 	}
-	if s.copied > 0 {
+	if s.transferred > 0 {
 		t.CopyFrom = s.source.Address
 	}
 	if p.service.Model != nil {
-		t.load.Unread = max(0, ask.Prompt.TokensIn-s.kept)
-		t.work = float64(s.load.Unread + t.load.Unread)
-		t.load.Held = ask.Prompt.TokensIn + ask.Prompt.TokensOut
-		e.read.add(float64(t.load.Unread), now)
-		p.notePrompt(e, ask.Prompt, now)
-		d.noteSent(ask.Prompt, e, now)
+		t.load.Unread = max(0, req.Prompt.TokensIn-s.cached)
+		t.readTokens = float64(s.load.Unread + t.load.Unread)
+		t.load.Held = req.Prompt.TokensIn + req.Prompt.TokensOut
+		e.readRate.add(float64(t.load.Unread), now)
+		p.recordPrompt(e, req.Prompt, now)
+		d.recordSentBlock(req.Prompt, e, now)
 	}
-	e.own = e.own.plus(t.load)
-	d.suspects.Begin(ask.Fingerprint)
-	d.takeLimited(t, now)
-	d.beginPushedBack(t, now)
+	e.ownLoad = e.ownLoad.plus(t.load)
+	d.quarantine.Begin(req.Fingerprint)
+	d.chargeLimits(t, now)
+	d.beginPushback(t, now)
 	if t.Cold {
-		e.warmNext = now.Add(time.Duration(float64(time.Second) / p.service.ColdRate))
+		e.nextWarmRequest = now.Add(time.Duration(float64(time.Second) / p.service.ColdRate))
 	}
 	return t
 }
@@ -80,15 +80,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	t.engine.sign = now
-	d.watch.Answers(t.engine.Incarnation(), t.began)
-	t.engine.own.Unread -= t.load.Unread
+	t.engine.lastHeard = now
+	d.crashDetector.Answers(t.engine.Incarnation(), t.sentAt)
+	t.engine.ownLoad.Unread -= t.load.Unread
 	t.load.Unread = 0
 	if served {
-		t.firstAt = now
-		t.learnBegun(now)
+		t.firstEventAt = now
+		t.recordFirstEvent(now)
 	}
-	return now.Sub(t.began)
+	return now.Sub(t.sentAt)
 }
 
 // Outcome says how a ticket ended.
@@ -112,13 +112,13 @@
 }
 
 const (
-	// avoidBase is how long an engine is avoided that couldn't be connected
-	// to; it doubles with each time in a row up to avoidMost.
-	avoidBase = 300 * time.Millisecond
-	avoidMost = 4 * time.Second
-	// shedTime is how long an engine is avoided that refused for load and doesn't say for how
+	// minConnectBackoff is how long an engine is avoided that couldn't be connected
+	// to; it doubles with each time in a row up to maxConnectBackoff.
+	minConnectBackoff = 300 * time.Millisecond
+	maxConnectBackoff = 4 * time.Second
+	// shedExclusionTime is how long an engine is avoided that refused for load and doesn't say for how
 	// long it wants nothing.
-	shedTime = 150 * time.Millisecond
+	shedExclusionTime = 150 * time.Millisecond
 )
 
 // Done gives the ticket back. It must be called exactly once.
@@ -128,32 +128,32 @@
 	defer d.mu.Unlock()
 	now := d.Clock()
 	e := t.engine
-	e.own = e.own.minus(t.load)
-	d.suspects.End(t.fingerprint, outcome == Answered, now)
+	e.ownLoad = e.ownLoad.minus(t.load)
+	d.quarantine.End(t.fingerprint, outcome == Answered, now)
 	if t.trial {
 		d.pushback.End(e.hash)
 	}
 	switch outcome {
 	case Answered:
-		t.pool.noteOutcome(e, t.route, false, now)
-		e.unreached = 0
-		e.sign = now
-		t.learnEnd(now)
+		t.pool.recordOutcome(e, t.route, false, now)
+		e.connectFailures = 0
+		e.lastHeard = now
+		t.recordCompletion(now)
 	case Failed:
-		t.pool.noteOutcome(e, t.route, true, now)
+		t.pool.recordOutcome(e, t.route, true, now)
 	case Broken:
-		t.pool.noteOutcome(e, t.route, true, now)
-		t.noteBroken(now)
+		t.pool.recordOutcome(e, t.route, true, now)
+		t.recordBroken(now)
 	case Unreached:
-		e.unreached++
-		e.unreachedAt = now
-		e.avoid(now.Add(min(avoidBase<<min(e.unreached-1, 10), avoidMost)))
-		d.Log.Warn("engine avoided", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.unreached), zap.Duration("for", e.avoidUntil.Sub(now)))
+		e.connectFailures++
+		e.connectFailedAt = now
+		e.exclude(now.Add(min(minConnectBackoff<<min(e.connectFailures-1, 10), maxConnectBackoff)))
+		d.Log.Warn("engine avoided", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.connectFailures), zap.Duration("for", e.excludedUntil.Sub(now)))
 	case Shed:
-		e.avoid(now.Add(shedTime))
+		e.exclude(now.Add(shedExclusionTime))
 	case Misdirected:
-		e.misdirected, e.misdirectedAt = true, now
-		d.crashed(e.Incarnation(), "another answers at its address", now)
+		e.replaced, e.replacedAt = true, now
+		d.engineCrashed(e.Incarnation(), "another answers at its address", now)
 		d.Log.Warn("engine replaced", zap.String("engine", e.ID), zap.String("address", e.Address))
 	case Unsent:
 		d.limits.GiveBack(e.hash, now)
@@ -167,7 +167,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.pools[service]
-	return ok && p.budget.Take(d.Clock(), len(d.Peers()))
+	return ok && p.retryBudget.Take(d.Clock(), len(d.Peers()))
 }
 
 // First counts a request's first send to a service.
@@ -175,6 +175,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p, ok := d.pools[service]; ok {
-		p.budget.First(d.Clock())
+		p.retryBudget.First(d.Clock())
 	}
 }
