--- a/dispatch/expect.go
+++ b/dispatch/expect.go
@@ -12,13 +12,13 @@
 type Load struct {
 	Requests int     // that have not ended
 	Unread   int     // prompt tokens of those that have had no event yet
-	Held     int     // tokens in memory, of prompts and of what they may grow to
-	Reading  float64 // prompt tokens a second, lately
+	Reserved int     // tokens in memory, of prompts and of what they may grow to
+	ReadRate float64 // prompt tokens a second, lately
 }
 
 // plus adds two gateways' loads.
 func (l Load) plus(o Load) Load {
-	return Load{l.Requests + o.Requests, l.Unread + o.Unread, l.Held + o.Held, l.Reading + o.Reading}
+	return Load{l.Requests + o.Requests, l.Unread + o.Unread, l.Reserved + o.Reserved, l.ReadRate + o.ReadRate}
 }
 
 // Weights of the expectation.
@@ -57,7 +57,7 @@
 	cacheTokens  int           // tokens of memory; 0 for an engine without model
 	cached       int           // tokens of the prompt believed kept
 	failureRate  float64       // share of requests that failed lately, beyond the usual
-	throughput   Speed         // of the service's engines
+	throughput   Throughput    // of the service's engines
 	usualError   time.Duration // by how much expectations are usually off
 	slowdown     float64       // times longer than its peers; 0 where not known
 	preferred    bool          // ranked first for the prompt's shared parts
@@ -95,12 +95,12 @@
 // String is what the log shows.
 func (s score) String() string {
 	return fmt.Sprintf("wait=%v cost=%v kept=%d copied=%d first=%t requests=%d unread=%d held=%d silent=%t",
-		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.cached, s.transferred, s.preferred, s.load.Requests, s.load.Unread, s.load.Held, s.unresponsive)
+		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.cached, s.transferred, s.preferred, s.load.Requests, s.load.Unread, s.load.Reserved, s.unresponsive)
 }
 
 // readTime gives how long an engine reads so many tokens.
-func (t Speed) readTime(tokens int) time.Duration {
-	return time.Duration(tokens) * t.Token
+func (t Throughput) readTime(tokens int) time.Duration {
+	return time.Duration(tokens) * t.ReadPerToken
 }
 
 // estimate gives the expectation for a request. trip is the time that it takes
@@ -109,10 +109,10 @@
 	p := req.Prompt
 	s := score{cached: in.cached, preferred: in.preferred, load: in.load}
 	overload := float64(in.load.Requests+1-in.slots) / float64(max(1, in.slots))
-	s.queue = time.Duration(max(0, overload) * float64(in.throughput.Hold))
+	s.queue = time.Duration(max(0, overload) * float64(in.throughput.SlotTime))
 	if in.cacheTokens == 0 {
-		s.wait = s.queue + in.throughput.Hold
-		sharing := time.Duration(float64(in.load.Requests) / float64(max(1, in.slots)) * float64(in.throughput.Hold))
+		s.wait = s.queue + in.throughput.SlotTime
+		sharing := time.Duration(float64(in.load.Requests) / float64(max(1, in.slots)) * float64(in.throughput.SlotTime))
 		s.cost = s.wait + sharing
 	} else {
 		s.cached = max(s.cached, in.assumedCached(p))
@@ -148,7 +148,7 @@
 // and what that costs.
 func (in costInputs) readCost(p Prompt, cached int) (wait, cost time.Duration) {
 	unread := max(0, p.TokensIn-cached)
-	wait = in.throughput.Fixed + in.throughput.readTime(unread)
+	wait = in.throughput.Overhead + in.throughput.readTime(unread)
 	return wait, wait + in.rereadCost(p, cached) + in.interferenceCost(unread)
 }
 
@@ -172,8 +172,8 @@
 
 // slowdownCost is how much longer the stream takes because of other prompts.
 func (in costInputs) slowdownCost(p Prompt) time.Duration {
-	readShare := min(in.load.Reading*in.throughput.Token.Seconds(), maxReadShare)
-	return time.Duration(slowdownWeight * float64(p.TokensOut) * float64(in.throughput.Out) * readShare / (1 - readShare))
+	readShare := min(in.load.ReadRate*in.throughput.ReadPerToken.Seconds(), maxReadShare)
+	return time.Duration(slowdownWeight * float64(p.TokensOut) * float64(in.throughput.OutputPerToken) * readShare / (1 - readShare))
 }
 
 // maxReadShare bounds the share of its time that an engine reads prompts, in the
@@ -182,7 +182,7 @@
 
 // overflowCost is what it costs if the memory doesn't hold the request.
 func (in costInputs) overflowCost(p Prompt) time.Duration {
-	excess := float64(in.load.Held+p.TokensIn+p.TokensOut) - cacheFillLimit*float64(in.cacheTokens)
+	excess := float64(in.load.Reserved+p.TokensIn+p.TokensOut) - cacheFillLimit*float64(in.cacheTokens)
 	if excess <= 0 {
 		return 0
 	}
--- a/dispatch/far.go
+++ b/dispatch/far.go
@@ -41,7 +41,7 @@
 	if p, ok := d.pools[req.Service]; ok && p.service.Model != nil {
 		in := remote.costInputs(req, p.throughput.throughput(), d.homeRegion(p, req, now) == region, now)
 		r.load.Unread = max(0, req.Prompt.TokensIn-max(in.cached, in.assumedCached(req.Prompt)))
-		r.load.Held = req.Prompt.TokensIn + req.Prompt.TokensOut
+		r.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
 		remote.cachedFor(req.Service).record(req.Prompt, now)
 	}
 	remote.inFlight = append(remote.inFlight, r)
@@ -96,17 +96,17 @@
 // costInputs gives what the expectation of the region's engines rests on; here is
 // their speed in this region, for a word that tells none. A keeper of the prompt's
 // parts is one engine, so that the mean load counts, else the least.
-func (r *remoteRegion) costInputs(req Ask, fallback Speed, isHome bool, now time.Time) costInputs {
+func (r *remoteRegion) costInputs(req Ask, fallback Throughput, isHome bool, now time.Time) costInputs {
 	digest := r.digests[req.Service]
 	in := costInputs{
-		slots: digest.Slots, cacheTokens: digest.Room, preferred: isHome, failureRate: digest.Failing, throughput: digest.Speed,
-		cached: r.cachedFor(req.Service).tokens(req.Prompt, now), load: digest.Least.load(),
+		slots: digest.Slots, cacheTokens: digest.CacheTokens, preferred: isHome, failureRate: digest.FailureRate, throughput: digest.Throughput,
+		cached: r.cachedFor(req.Service).tokens(req.Prompt, now), load: digest.LeastLoad.load(),
 	}
-	if in.throughput.Hold <= 0 {
+	if in.throughput.SlotTime <= 0 {
 		in.throughput = fallback
 	}
 	if req.Prompt.Affinity() != "" && (isHome || in.cached > 0) {
-		in.load = digest.Mean.load()
+		in.load = digest.MeanLoad.load()
 	}
 	return in
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			r.Engines = append(r.Engines, rollup.EngineLoad{
-				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Held: e.ownLoad.Held, Reading: reading,
+				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Held: e.ownLoad.Reserved, Reading: reading,
 			})
 		}
 	}
@@ -139,7 +139,7 @@
 	others := d.aggregator.Others()
 	for hash, e := range d.enginesByHash {
 		l := others.Loads[hash]
-		e.peerLoad = Load{Requests: max(0, l.Requests), Unread: max(0, l.Unread), Held: max(0, l.Held), Reading: float64(max(0, l.Reading))}
+		e.peerLoad = Load{Requests: max(0, l.Requests), Unread: max(0, l.Unread), Reserved: max(0, l.Held), ReadRate: float64(max(0, l.Reading))}
 	}
 	d.reportingGateways = 1 + others.Gateways
 	d.applyLocalUsage(others)
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -49,7 +49,7 @@
 // load gives all that the engine is known to do.
 func (e *engine) load(now time.Time) Load {
 	own := e.ownLoad
-	own.Reading = e.readRate.perSecond(now)
+	own.ReadRate = e.readRate.perSecond(now)
 	return own.plus(e.peerLoad)
 }
 
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -17,15 +17,15 @@
 
 // Digest is what one region's gateways know of its engines of one service.
 type Digest struct {
-	_       struct{} `cbor:",toarray"`
-	Service string
-	Engines int // that can take requests and aren't cold
-	Slots   int // of one engine
-	Room    int // of one engine's memory, in tokens
-	Mean    DigestLoad
-	Least   DigestLoad // of the engine that does least
-	Failing float64    // share of requests that failed lately beyond the usual, of all engines
-	Speed   Speed      // as learned there
+	_           struct{} `cbor:",toarray"`
+	Service     string
+	Engines     int // that can take requests and aren't cold
+	Slots       int // of one engine
+	CacheTokens int // of one engine's memory, in tokens
+	MeanLoad    DigestLoad
+	LeastLoad   DigestLoad // of the engine that does least
+	FailureRate float64    // share of requests that failed lately beyond the usual, of all engines
+	Throughput  Throughput // as learned there
 }
 
 // DigestLoad is the load of one engine.
@@ -33,16 +33,16 @@
 	_        struct{} `cbor:",toarray"`
 	Requests int
 	Unread   int
-	Held     int
-	Reading  int
+	Reserved int
+	ReadRate int
 }
 
 func newDigestLoad(l Load) DigestLoad {
-	return DigestLoad{Requests: l.Requests, Unread: l.Unread, Held: l.Held, Reading: int(l.Reading)}
+	return DigestLoad{Requests: l.Requests, Unread: l.Unread, Reserved: l.Reserved, ReadRate: int(l.ReadRate)}
 }
 
 func (l DigestLoad) load() Load {
-	return Load{Requests: l.Requests, Unread: l.Unread, Held: l.Held, Reading: float64(l.Reading)}
+	return Load{Requests: l.Requests, Unread: l.Unread, Reserved: l.Reserved, ReadRate: float64(l.ReadRate)}
 }
 
 const (
@@ -88,15 +88,15 @@
 	return out
 }
 
-// RegionWord gives what this gateway tells the other regions.
-func (d *Dispatcher) RegionWord() rollup.Message {
+// RegionReport gives what this gateway tells the other regions.
+func (d *Dispatcher) RegionReport() rollup.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	report, _ := d.regionReport(d.Clock())
 	return report
 }
 
-// regionReport is RegionWord with the lock held; false where it can't be packed.
+// regionReport is RegionReport with the lock held; false where it can't be packed.
 func (d *Dispatcher) regionReport(now time.Time) (rollup.Message, bool) {
 	var digests []Digest
 	for _, s := range d.catalog.Services() {
@@ -113,9 +113,9 @@
 }
 
 func (d *Dispatcher) digest(p *pool, now time.Time) Digest {
-	out := Digest{Service: p.service.Name, Speed: p.throughput.throughput()}
+	out := Digest{Service: p.service.Name, Throughput: p.throughput.throughput()}
 	if p.service.Model != nil {
-		out.Room = p.service.Model.CacheTokens
+		out.CacheTokens = p.service.Model.CacheTokens
 	}
 	var sum, least Load
 	for _, e := range d.digestEngines(p, now) {
@@ -126,10 +126,10 @@
 		out.Engines++
 		out.Slots = e.Slots
 		sum = sum.plus(load)
-		out.Failing += e.failures.rate(now)
+		out.FailureRate += e.failures.rate(now)
 	}
 	if n := out.Engines; n > 0 {
-		out.Mean, out.Least, out.Failing = newDigestLoad(sum.dividedBy(n)), newDigestLoad(least), out.Failing/float64(n)
+		out.MeanLoad, out.LeastLoad, out.FailureRate = newDigestLoad(sum.dividedBy(n)), newDigestLoad(least), out.FailureRate/float64(n)
 	}
 	return out
 }
@@ -156,7 +156,7 @@
 
 // dividedBy gives the load of one engine where n share it.
 func (l Load) dividedBy(n int) Load {
-	return Load{l.Requests / n, l.Unread / n, l.Held / n, l.Reading / float64(n)}
+	return Load{l.Requests / n, l.Unread / n, l.Reserved / n, l.ReadRate / float64(n)}
 }
 
 // receiveRegionReport takes another region's word. The lock is held.
@@ -229,7 +229,7 @@
 	in := remote.costInputs(req, p.throughput.throughput(), isHome, now)
 	// All gateways of this region do as this one does.
 	inFlight := remote.inFlightLoad(p.service.Name)
-	inFlight.Requests, inFlight.Unread, inFlight.Held = inFlight.Requests*d.reportingGateways, inFlight.Unread*d.reportingGateways, inFlight.Held*d.reportingGateways
+	inFlight.Requests, inFlight.Unread, inFlight.Reserved = inFlight.Requests*d.reportingGateways, inFlight.Unread*d.reportingGateways, inFlight.Reserved*d.reportingGateways
 	in.load = in.load.plus(inFlight.dividedBy(remote.digests[p.service.Name].Engines))
 	in.usualError = p.throughput.usualError()
 	return estimate(in, req, d.roundTrip(region)), true
--- a/dispatch/regions_test.go
+++ b/dispatch/regions_test.go
@@ -15,8 +15,8 @@
 
 // far gives a word of another region whose engines have so many unread tokens.
 func far(region string, engines, unread int) rollup.Message {
-	load := dispatch.DigestLoad{Requests: unread / 9000, Unread: unread, Held: unread}
-	return farWord(region, dispatch.Digest{Service: "review", Engines: engines, Slots: 16, Room: 100_000, Mean: load, Least: load})
+	load := dispatch.DigestLoad{Requests: unread / 9000, Unread: unread, Reserved: unread}
+	return farWord(region, dispatch.Digest{Service: "review", Engines: engines, Slots: 16, CacheTokens: 100_000, MeanLoad: load, LeastLoad: load})
 }
 
 func farWord(region string, digest dispatch.Digest) rollup.Message {
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -12,13 +12,13 @@
 	"github.com/linenscale/linenscale/pace"
 )
 
-// Speed is how fast the engines of a service are expected to work.
-type Speed struct {
-	_     struct{}      `cbor:",toarray"`
-	Fixed time.Duration // until the first event, beside the reading
-	Token time.Duration // to read one token of a prompt
-	Out   time.Duration // to give one token of an answer
-	Hold  time.Duration // that a request holds its slot
+// Throughput is how fast the engines of a service are expected to work.
+type Throughput struct {
+	_              struct{}      `cbor:",toarray"`
+	Overhead       time.Duration // until the first event, beside the reading
+	ReadPerToken   time.Duration // to read one token of a prompt
+	OutputPerToken time.Duration // to give one token of an answer
+	SlotTime       time.Duration // that a request holds its slot
 }
 
 // Beliefs before the first answers, which replace them: some ten answers count more
@@ -33,7 +33,7 @@
 	priorPlainSlotTime  = 20 * time.Millisecond // of any other
 )
 
-// throughputEstimator learns the Speed of a service's engines. It is guarded by the Dispatcher's
+// throughputEstimator learns the Throughput of a service's engines. It is guarded by the Dispatcher's
 // lock; newThroughputEstimator makes one.
 type throughputEstimator struct {
 	firstEvent     *pace.Line // time until the first event, by the tokens to be read until then
@@ -56,8 +56,8 @@
 }
 
 // throughput gives what is believed now.
-func (s *throughputEstimator) throughput() Speed {
-	return Speed{Fixed: s.firstEvent.Fixed(), Token: time.Duration(s.firstEvent.PerUnit()), Out: s.outputPerToken.Value(), Hold: s.slotTime.Value()}
+func (s *throughputEstimator) throughput() Throughput {
+	return Throughput{Overhead: s.firstEvent.Fixed(), ReadPerToken: time.Duration(s.firstEvent.PerUnit()), OutputPerToken: s.outputPerToken.Value(), SlotTime: s.slotTime.Value()}
 }
 
 // usualError gives by how much the expected time until an answer begins is usually off.
@@ -75,8 +75,8 @@
 	for _, service := range slices.Sorted(maps.Keys(d.pools)) {
 		estimator := d.pools[service].throughput
 		t := estimator.throughput()
-		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", t.Fixed), zap.Duration("token_read", t.Token),
-			zap.Duration("token_out", t.Out), zap.Duration("hold", t.Hold), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
+		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", t.Overhead), zap.Duration("token_read", t.ReadPerToken),
+			zap.Duration("token_out", t.OutputPerToken), zap.Duration("hold", t.SlotTime), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
 	}
 	for _, region := range slices.Sorted(maps.Keys(d.remotes)) {
 		roundTrip, known := d.Trip(region)
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -52,7 +52,7 @@
 	if p.service.Model != nil {
 		t.load.Unread = max(0, req.Prompt.TokensIn-s.cached)
 		t.readTokens = float64(s.load.Unread + t.load.Unread)
-		t.load.Held = req.Prompt.TokensIn + req.Prompt.TokensOut
+		t.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
 		e.readRate.add(float64(t.load.Unread), now)
 		p.recordPrompt(e, req.Prompt, now)
 		d.recordSentBlock(req.Prompt, e, now)
@@ -69,7 +69,7 @@
 
 // take takes a load away.
 func (l Load) minus(o Load) Load {
-	return l.plus(Load{-o.Requests, -o.Unread, -o.Held, -o.Reading})
+	return l.plus(Load{-o.Requests, -o.Unread, -o.Reserved, -o.ReadRate})
 }
 
 // Begun notes the first byte of the answer: the prompt has been read. It gives
