--- a/dispatch/accounts.go
+++ b/dispatch/accounts.go
@@ -1,4 +1,4 @@
-// This file defines how gateways tell each other what client accounts do.
+// This file defines how gateways exchange the usage of client accounts.
 
 package dispatch
 
@@ -12,10 +12,10 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// hashAccount names an account among gateways.
+// hashAccount returns the hash that stands for an account in messages between gateways.
 func hashAccount(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// ownUsage gives what this gateway's callers do.
+// ownUsage returns the account usage of this gateway's callers.
 func (d *Dispatcher) ownUsage(now time.Time) []rollup.AccountUse {
 	if d.Allowances == nil {
 		return nil
@@ -30,7 +30,8 @@
 	return out
 }
 
-// regionUsage gives what the callers of all the region's gateways do. The lock is held.
+// regionUsage returns the account usage summed over all gateways of the region. The lock
+// is held.
 func (d *Dispatcher) regionUsage(now time.Time) []rollup.AccountUse {
 	if d.Allowances == nil {
 		return nil
@@ -50,8 +51,8 @@
 	return out
 }
 
-// applyLocalUsage takes over what the callers of the region's other gateways do. The lock
-// is held.
+// applyLocalUsage passes the usage reported by the region's other gateways to the meter,
+// with the share of the live gateways that the report covers. The lock is held.
 func (d *Dispatcher) applyLocalUsage(others rollup.Others) {
 	if d.Allowances == nil {
 		return
@@ -69,7 +70,8 @@
 	d.Allowances.HearNear(uses, coverage, d.Clock())
 }
 
-// applyRemoteUsage takes over what callers do in another region. The lock is held.
+// applyRemoteUsage passes the usage reported by another region to the meter. The lock is
+// held.
 func (d *Dispatcher) applyRemoteUsage(region string, reported []rollup.AccountUse, at time.Time) {
 	if d.Allowances == nil {
 		return
@@ -88,13 +90,14 @@
 	return allowance.Use{Admitted: units(use.Admitted), Steady: units(use.Steady), Asked: units(use.Asked), Window: float64(max(0, use.Window))}
 }
 
-// usageScale is in how many parts of a unit uses are told: with whole ones, an account that
-// is counted in requests was not heard of where each gateway had less than one a second.
+// usageScale is the number of steps per unit in reported usage. With whole units, an
+// account counted in requests was missing from the reports where each gateway had less
+// than one request a second.
 const usageScale = 100
 
 func encodeRate(unitsPerSecond float64) int { return int(math.Round(unitsPerSecond * usageScale)) }
 
-// updateAccounts takes over the accounts of a catalog. The lock is held.
+// updateAccounts applies the accounts of a new catalog. The lock is held.
 func (d *Dispatcher) updateAccounts() {
 	clear(d.accountNames)
 	for _, a := range d.catalog.Accounts() {
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -1,5 +1,5 @@
-// This file defines which requests are admitted, and when those that aren't should
-// come back.
+// This file defines which requests are admitted, and the Retry-After of those that are
+// rejected.
 
 package dispatch
 
@@ -10,39 +10,39 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// An overload lasts longer than any queue should. Every request that is admitted
-// behind a queue which is as long as the target comes late, and so do all that are
-// admitted after it until the queue is shorter again, while the engines answer no more
-// of them for it. So a request is admitted where its answer is expected to begin in
-// time, and what is over is refused at once.
+// An overload lasts longer than any acceptable queue. A request admitted behind a queue
+// as long as its target is late, and so are all later ones until the queue shrinks, while
+// the engines complete no more requests because of it. So a request is admitted only if
+// its answer is expected to begin in time, and the excess is rejected at once.
 const (
-	// minQueueShare is the share of its target that a request may wait in any case
-	// until it is begun: one that is late by its own reading, or by the trip to the
-	// only region where it may run, is served where little waits.
+	// minQueueShare is the share of its target that a request may queue in any case. It
+	// admits requests to lightly loaded engines that are late because of their own
+	// prompt, or because of the round trip to the only region where they may run.
 	minQueueShare = 0.3
-	// maxQueueShare is the share that it may wait at most. A queue that several kinds wait in
-	// stands at what the most patient accepts, and the others are refused: with a bound,
-	// short prompts can't shut long ones out.
+	// maxQueueShare is the largest share of its target that a request may queue. A queue
+	// shared by several kinds of requests grows to what the most patient kind accepts,
+	// and the others are rejected; the bound keeps short prompts from shutting out long
+	// ones.
 	maxQueueShare = 0.6
-	// errorMargin is how many times the usual error of expectations is kept free before the
-	// target: in a long burst fewer answers are late with more, and in short trouble refusing
-	// early gains nothing.
+	// errorMargin is how many times the usual estimation error is kept free before the
+	// target. In a long burst, a larger margin makes fewer answers late; in a short
+	// overload, rejecting early gains nothing.
 	errorMargin = 2
-	// noEngineRetryAfter is when to come back where no engine can be used: engines are
+	// noEngineRetryAfter is the Retry-After where no engine can be used: engines are
 	// replaced within a second or two.
 	noEngineRetryAfter = 400 * time.Millisecond
 )
 
-// maxQueueTime gives the longest wait until it is begun that a request is admitted for.
-// after is the time from then until its answer begins, doubt by how much expectations
-// are usually off.
+// maxQueueTime returns the longest queueing time with which the request is admitted.
+// afterStart is the time from the end of the queue to the start of the answer, and
+// usualError the mean error of the estimates.
 func (r Ask) maxQueueTime(afterStart, usualError time.Duration) time.Duration {
 	low := time.Duration(minQueueShare * float64(r.Target))
 	high := time.Duration(maxQueueShare * float64(r.Target))
 	return max(low, min(high, r.Target-afterStart-errorMargin*usualError))
 }
 
-// checkAdmission gives the refusal of a request that would come too late, or nil.
+// checkAdmission returns a *request.NotRun if the request would start too late, else nil.
 func (r Ask) checkAdmission(s score) error {
 	if !s.late {
 		return nil
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -15,14 +15,14 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// gatewayList are the names of the gateways of this region, this one included, as of the
+// gatewayList holds the names of this region's gateways, including this one, as of the
 // last refresh.
 type gatewayList struct {
 	names   []string
-	version int // changes with the names
+	version int // incremented when the names change
 }
 
-// set takes over the names.
+// set replaces the names and changes the version if they differ.
 func (l *gatewayList) set(names []string) {
 	if l.version > 0 && slices.Equal(l.names, names) {
 		return
@@ -31,8 +31,9 @@
 	l.version++
 }
 
-// warmer gives the gateway that warms an engine up. It is worked out once for each list of
-// gateways: to rank all of them for each cold engine and request takes milliseconds.
+// warmer returns the only gateway that sends requests to a cold engine. The result is
+// cached for each version of the list: ranking all gateways for each cold engine and
+// request takes milliseconds.
 func (l *gatewayList) warmer(e *engine) string {
 	if e.warmerVersion == l.version {
 		return e.warmer
@@ -47,18 +48,18 @@
 	return e.warmer
 }
 
-// How many engines are looked at beside those that are believed to keep the
-// prompt's shared parts. Gateways know of each other's requests a moment late; if
-// each took the least loaded of many engines, they would all take the same one
-// (Mitzenmacher, "How useful is old information?", 2000). A few gateways, which hear of each
-// other at once, do better with one more.
+// Number of engines that a choice draws in addition to those that have probably cached
+// the prompt's shared blocks. Gateways learn of each other's requests with a delay; if
+// each chose the least loaded of many engines, all would choose the same one
+// (Mitzenmacher, "How useful is old information?", 2000). A few gateways exchange reports
+// directly and do better with one more.
 const (
 	sampleSizeMany = 2
 	sampleSizeFew  = 3
 	fewGateways    = 8
 )
 
-// sampleSize gives how many engines to look at. The lock is held.
+// sampleSize returns the number of engines to draw. The lock is held.
 func (d *Dispatcher) sampleSize() int {
 	if d.reportingGateways > fewGateways {
 		return sampleSizeMany
@@ -66,13 +67,13 @@
 	return sampleSizeFew
 }
 
-// choose gives the engine that is expected to serve the request best, or nil where
-// none can be used. One that failed lately is used where no other can be.
+// choose returns the engine with the lowest score, or nil if no engine can be used. It
+// chooses an engine with an overridable exclusion only if there is no other.
 func (d *Dispatcher) choose(p *pool, req Ask, now time.Time) (best *engine, bestScore score) {
 	s := d.sample(p, req, now)
 	for _, c := range s.candidates {
 		in := p.costInputs(c.engine, req, now)
-		// Where an engine is known to keep the parts, nobody need guess.
+		// No guess is needed where some engine is known to have cached the blocks.
 		in.preferred = c.engine == s.preferred && !s.cached
 		if in.transferable = s.source.tokensFor(c.engine, in.cached); in.transferable > 0 {
 			in.transferTime = transferTime(*p.service.Model, in.transferable)
@@ -93,28 +94,28 @@
 	return best, bestScore
 }
 
-// candidate is an engine that can be used, with its rank for this request.
+// candidate is a usable engine and its rank for the request.
 type candidate struct {
 	engine *engine
 	rank   uint64
 }
 
-// sample is the part of a pool that one choice looks at.
+// sample is the part of a pool that one choice considers.
 type sample struct {
 	candidates []candidate
-	preferred  *engine        // of the candidates, the one ranked first for the shared parts
-	cached     bool           // some engine is known to keep them
-	source     transferSource // to copy them from
+	preferred  *engine        // the candidate ranked first for the shared blocks, or nil
+	cached     bool           // some candidate is known to have cached the shared blocks
+	source     transferSource // engine to transfer them from
 }
 
-// sample draws the engines to look at: a few by their rank for the request, those
-// that are known to keep the prompt's shared parts, and the one ranked first for
-// them. Engines that name limits are looked at as long as this gateway's shares of them
-// last: drawn as seldom as others by the few gateways that have shares, they would get half of
-// what they take. Nothing is ranked or sorted as a whole, so that a choice among hundreds takes
-// hardly longer than among tens.
+// sample collects the engines to consider: a few drawn by their rank for the request,
+// those known to have cached the prompt's shared blocks, and the one ranked first for
+// them. Engines with a limit are included as long as this gateway's share of the limit
+// lasts: only few gateways have a share, and if they drew such an engine as seldom as any
+// other, it would get half of what it accepts. Nothing is ranked or sorted as a whole, so
+// a choice among hundreds of engines takes hardly longer than one among tens.
 func (d *Dispatcher) sample(p *pool, req Ask, now time.Time) sample {
-	id := hashOf(req.ID)
+	id := hashString(req.ID)
 	s := sample{candidates: d.drawCandidates(p, req, id, now), preferred: d.preferredEngine(p, req, now)}
 	holders := p.cacheHoldersOf(req.Prompt, now)
 	s.source = d.transferSourceFor(p, req.Prompt, holders, now)
@@ -135,9 +136,9 @@
 	return s
 }
 
-// drawCandidates gives a few engines by their rank for the request, the first in rank first.
-// Whether one can be used is looked at only where its rank lets it in, which some ten of
-// hundreds do.
+// drawCandidates returns the usable engines that rank highest for the request, highest
+// first. It checks whether an engine can be used only if its rank is high enough, which
+// holds for about ten of several hundred.
 func (d *Dispatcher) drawCandidates(p *pool, req Ask, id uint64, now time.Time) []candidate {
 	size := d.sampleSize()
 	out := make([]candidate, 0, sampleSizeFew+2)
@@ -153,16 +154,16 @@
 	return out
 }
 
-// preferredEngine gives the engine that keeps the prompt's shared parts, as all gateways agree:
-// where this region is their home, the one ranked first of those that can be used; nil
-// elsewhere. Engines are ranked by their addresses, so that one that starts again gets
-// its own prompts back and takes none from the others.
+// preferredEngine returns the engine on which all gateways agree to cache the prompt's
+// shared blocks: the usable one ranked first, or nil if this region isn't their home.
+// Engines are ranked by address, so a restarted engine gets its own prompts back and
+// takes none from the others.
 func (d *Dispatcher) preferredEngine(p *pool, req Ask, now time.Time) *engine {
 	key := req.Prompt.Affinity()
 	if key == "" || d.homeRegion(p, req, now) != d.Region {
 		return nil
 	}
-	hash := hashOf(key)
+	hash := hashString(key)
 	var preferred *engine
 	var highest uint64
 	for _, e := range p.usable {
@@ -173,20 +174,20 @@
 	return preferred
 }
 
-// add adds an engine that isn't among the candidates yet.
+// add adds an engine unless it is a candidate already.
 func (s *sample) add(e *engine, id uint64) {
 	if !slices.ContainsFunc(s.candidates, func(c candidate) bool { return c.engine == e }) {
 		s.candidates = append(s.candidates, candidate{e, rendezvous.Rank(id, e.hash)})
 	}
 }
 
-// canUse tells whether an engine may get this request.
+// canUse reports whether this request may be sent to the engine.
 func (d *Dispatcher) canUse(p *pool, e *engine, req Ask, now time.Time) bool {
 	return d.exclusionOf(p, e, now) == "" && !slices.Contains(req.Tried, e.ID)
 }
 
-// fallback gives, of the engines that failed lately or asked other gateways for rest, the one to use
-// where no other can be; nil where there is none.
+// fallback returns the engine to use if no other can be: of those with an overridable
+// exclusion, the one whose exclusion after failures ends first; nil if there is none.
 func (d *Dispatcher) fallback(p *pool, req Ask, now time.Time) *engine {
 	var found *engine
 	for _, e := range p.usable {
@@ -197,8 +198,8 @@
 	return found
 }
 
-// noEngineError tells a request why no engine can be used, by the number of engines, and when the first
-// may be.
+// noEngineError returns the rejection of a request for which no engine can be used. It
+// contains the number of engines for each reason, and when the first may be usable.
 func (d *Dispatcher) noEngineError(p *pool, req Ask, now time.Time) *request.NotRun {
 	excluded := make(map[exclusion]int)
 	var available earliest
@@ -215,9 +216,9 @@
 	return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine can be used: " + formatCounts(excluded), RetryAfter: max(noEngineRetryAfter, available.waitFrom(now))}
 }
 
-// classifyEngines lists the engines that can be used but for what changes from request to
-// request, and counts those that aren't cold. Such that name limits count where there are
-// no others. The lock is held.
+// classifyEngines sorts the pool's engines into the lists that choices iterate over. An
+// engine whose exclusion may end before the next refresh is still listed. Engines with a
+// limit count as ready only if there are no others. The lock is held.
 func (d *Dispatcher) classifyEngines(p *pool, now time.Time) {
 	p.readyEngines, p.usable, p.limited, p.pushedBack = 0, p.usable[:0], p.limited[:0], p.pushedBack[:0]
 	for _, e := range p.sorted {
@@ -242,7 +243,7 @@
 	}
 }
 
-// formatCounts gives "2 draining, 1 cold" in the order of the words.
+// formatCounts formats counts like "2 draining, 1 cold", sorted by reason.
 func formatCounts(excluded map[exclusion]int) string {
 	if len(excluded) == 0 {
 		return "none is registered"
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -1,5 +1,5 @@
-// This file defines when an engine copies what another keeps of a prompt, instead of
-// reading it again.
+// This file defines when an engine transfers cached prompt blocks from another one
+// instead of reading them itself.
 
 package dispatch
 
@@ -11,26 +11,26 @@
 )
 
 const (
-	// transferSetup is what a copy takes beside the bytes on the link.
+	// transferSetup is the time that a transfer takes in addition to sending the bytes.
 	transferSetup = 5 * time.Millisecond
-	// transferCostShare is what a copy costs beside its time, as a share of the time that it
-	// saves an engine of reading: memory moved between engines costs money, a sixth to a
-	// third of what reading again does.
+	// transferCostShare is the cost of a transfer in addition to its time, as a share of
+	// the read time that it saves: moving memory between engines costs a sixth to a third
+	// of the money that reading again does.
 	transferCostShare = 0.2
-	// minTransferTokens is how many tokens are worth a copy.
+	// minTransferTokens is the smallest number of tokens worth a transfer.
 	minTransferTokens = 500
 )
 
-// transferSource is an engine that others may copy from, and the tokens of the prompt that it
-// is believed to keep.
+// transferSource is an engine to transfer cached blocks from, and how many tokens of the
+// prompt it has probably cached.
 type transferSource struct {
 	engine *engine
 	tokens int
 }
 
-// transferSourceFor gives the engine to copy a prompt's shared parts from: of those known to keep
-// them, the one that has done so last, since parts give way to others. It gives none
-// where the service's engines can't copy.
+// transferSourceFor returns the engine to transfer a prompt's shared blocks from: of the
+// holders, the one that got them last, since cached blocks are evicted over time. The
+// result is empty if the service's engines can't transfer.
 func (d *Dispatcher) transferSourceFor(p *pool, prompt Prompt, holders []*engine, now time.Time) transferSource {
 	if p.service.Model == nil || !p.service.Model.Copies() || prompt.sharedTokens() < minTransferTokens {
 		return transferSource{}
@@ -48,13 +48,14 @@
 	return best
 }
 
-// allowsTransfer tells whether an engine's keep may be read by others: also where it bears only
-// few requests itself, but not where it wants nothing, is about to end or fails.
+// allowsTransfer reports whether an engine with this exclusion may serve transfers. A
+// cold or rate-limited one may; one that is backing off, about to end or failing may not.
 func (x exclusion) allowsTransfer() bool {
 	return x == "" || x == excludedLimited || x == excludedCold
 }
 
-// tokensFor gives what an engine could copy from the source: 0 tokens where that is nothing.
+// tokensFor returns how many tokens an engine could transfer from the source; 0 if too
+// few to be worth it.
 func (s transferSource) tokensFor(to *engine, cached int) int {
 	if s.engine == nil || s.engine == to || s.tokens-cached < minTransferTokens {
 		return 0
@@ -62,7 +63,7 @@
 	return s.tokens - cached
 }
 
-// transferTime gives how long so many tokens take from one engine to another.
+// transferTime returns the time to transfer so many tokens between two engines.
 func transferTime(m catalog.ModelSpec, tokens int) time.Duration {
 	bits := float64(tokens) * float64(m.TokenBytes) * 8
 	return transferSetup + time.Duration(bits/m.LinkRate*float64(time.Second))
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -1,5 +1,5 @@
-// This file defines how a gateway learns that an engine has crashed, and under which
-// requests.
+// This file defines how a gateway detects that an engine crashed, and which requests were
+// running there.
 
 package dispatch
 
@@ -17,22 +17,23 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// Doubt names an engine of which it isn't known whether it lives.
+// Doubt identifies an engine that may have crashed, because a connection to it broke.
 type Doubt struct {
 	Incarnation string
 	Address     string
 }
 
-// maxSuspectEngines bounds the engines that wait to be looked at. Beyond it the registry tells
-// of their ends, some seconds later.
+// maxSuspectEngines bounds the suspects that wait for a probe. The registry reports the
+// crashes of further engines, some seconds later.
 const maxSuspectEngines = 64
 
-// Doubts gives the engines whose connections have just broken. Whoever reads them opens a
-// connection to each and calls Refused where none is taken: the first sign of a crash,
-// some ms after it, while the registry tells of it after 3.5 heartbeats.
+// Doubts returns the channel of engines whose connections have just broken. Its reader
+// opens a connection to each engine and calls Refused if the engine refuses it. This
+// detects a crash within milliseconds, while the registry takes 3.5 heartbeats.
 func (d *Dispatcher) Doubts() <-chan Doubt { return d.suspectEngines }
 
-// recordBroken notes that a request's connection to the engine broke. The lock is held.
+// recordBroken records that the request's connection to the engine broke. The lock is
+// held.
 func (t *Ticket) recordBroken(now time.Time) {
 	d, e := t.dispatcher, t.engine
 	if !d.crashDetector.Broke(e.Incarnation(), t.fingerprint, now) {
@@ -41,25 +42,25 @@
 	select {
 	case d.suspectEngines <- Doubt{Incarnation: e.Incarnation(), Address: e.Address}:
 	default:
-		d.Log.Warn("engine not looked at: too many are in doubt", zap.String("engine", e.ID))
+		d.Log.Warn("suspect engine not probed: queue full", zap.String("engine", e.ID))
 	}
 }
 
-// Refused notes that an engine in doubt takes no connections: its process has ended.
+// Refused records that a suspect engine refuses connections: its process has ended.
 func (d *Dispatcher) Refused(suspect Doubt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	e, known := d.enginesByHash[hashOf(suspect.Incarnation)]
-	if (known && e.Phase != registry.Ready) || d.isDraining(hashOf(suspect.Incarnation), now) {
-		d.crashDetector.Crashed(suspect.Incarnation) // it was about to end
+	e, known := d.enginesByHash[hashString(suspect.Incarnation)]
+	if (known && e.Phase != registry.Ready) || d.isDraining(hashString(suspect.Incarnation), now) {
+		d.crashDetector.Crashed(suspect.Incarnation) // it was shutting down
 		return
 	}
-	d.engineCrashed(suspect.Incarnation, "it refuses connections", now)
+	d.engineCrashed(suspect.Incarnation, "connection refused", now)
 }
 
-// resolveSuspects looks for the engines in doubt among those that are registered. The lock
-// is held.
+// resolveSuspects decides for each suspect engine, by its state in the registry, whether
+// it crashed or shut down. The lock is held.
 func (d *Dispatcher) resolveSuspects(engines []registry.Engine, now time.Time) {
 	suspects := d.crashDetector.Doubted()
 	if len(suspects) == 0 {
@@ -71,19 +72,20 @@
 	}
 	for _, incarnation := range suspects {
 		switch phase, registered := phases[incarnation]; {
-		case d.isDraining(hashOf(incarnation), now) && (!registered || phase >= registry.Silent):
-			d.crashDetector.Crashed(incarnation) // it ended as it had said in its answers
+		case d.isDraining(hashString(incarnation), now) && (!registered || phase >= registry.Silent):
+			d.crashDetector.Crashed(incarnation) // it announced draining in its answers
 		case !registered:
-			d.engineCrashed(incarnation, "it is no longer registered", now)
+			d.engineCrashed(incarnation, "no longer registered", now)
 		case phase == registry.Silent:
-			d.engineCrashed(incarnation, "it is silent", now)
+			d.engineCrashed(incarnation, "no heartbeat", now)
 		case phase == registry.Left:
-			d.crashDetector.Crashed(incarnation) // it ended as it had said
+			d.crashDetector.Crashed(incarnation) // it shut down as announced
 		}
 	}
 }
 
-// engineCrashed takes over that an engine has ended. The lock is held.
+// engineCrashed records that an engine has ended, and counts the crash against the
+// requests whose connections to it broke. The lock is held.
 func (d *Dispatcher) engineCrashed(incarnation, evidence string, now time.Time) {
 	requests := d.crashDetector.Crashed(incarnation)
 	if len(requests) == 0 {
@@ -102,10 +104,11 @@
 }
 
 func (d *Dispatcher) logQuarantined(f quarantine.Fingerprint, source string) {
-	d.Log.Warn("request kept from engines", zap.Stringer("fingerprint", f), zap.String("last_crash_seen_by", source))
+	d.Log.Warn("request quarantined", zap.Stringer("fingerprint", f), zap.String("last_crash_seen_by", source))
 }
 
-// checkQuarantine refuses a request under which engines crashed. The lock is held.
+// checkQuarantine rejects a request that is quarantined because engines crashed while
+// they ran it. The lock is held.
 func (d *Dispatcher) checkQuarantine(req Ask, now time.Time) error {
 	err := d.quarantine.Check(req.Fingerprint, now)
 	var refused *quarantine.Refused
@@ -118,14 +121,15 @@
 	}
 }
 
-// mergeLocalCrashes takes what another gateway of the region tells of crashes. The lock is held.
+// mergeLocalCrashes applies the crashes that another gateway of the region reports. The
+// lock is held.
 func (d *Dispatcher) mergeLocalCrashes(m rollup.Message, now time.Time) {
 	for _, f := range d.quarantine.HearNear(m.Report.Crashes, now) {
 		d.logQuarantined(f, m.From)
 	}
 }
 
-// mergeRemoteCrashes takes what another region tells of crashes. The lock is held.
+// mergeRemoteCrashes applies the crashes that another region reports. The lock is held.
 func (d *Dispatcher) mergeRemoteCrashes(r rollup.FarWord, now time.Time) {
 	for _, f := range d.quarantine.HearFar(r.Crashes, now) {
 		d.logQuarantined(f, r.Region)
@@ -140,5 +144,5 @@
 	return strings.Join(names, ",")
 }
 
-// maxLoggedFingerprints bounds the requests that are named in one line.
+// maxLoggedFingerprints bounds the fingerprints in one log line.
 const maxLoggedFingerprints = 16
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -20,26 +20,28 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Deps are what a Dispatcher needs.
+// Deps are the dependencies and the identity of a Dispatcher.
 type Deps struct {
-	Name   string // of this gateway
-	Region string // whose engines it may use
-	// DataCentre is where this gateway stands.
+	Name   string // this gateway's name
+	Region string // only engines of this region are used
+	// DataCentre is the data centre of this gateway.
 	DataCentre string
-	Regions    map[string]string // by data centre
+	Regions    map[string]string // region of each data centre
 	Engines    *registry.Table
-	Peers      func() []roster.Host // the gateways that are in touch, of all regions
-	// Trip gives the usual round trip to another region, and whether it is known.
+	Peers      func() []roster.Host // reachable gateways of all regions
+	// Trip returns the usual round trip to another region, and whether one was measured.
 	Trip   func(region string) (time.Duration, bool)
 	Budget retry.Policy
-	// Allowances are told of what other gateways' callers do; nil where none are kept.
+	// Allowances receives the account usage that other gateways report; nil where no
+	// allowances are enforced.
 	Allowances *allowance.Meter
 	Log        *zap.Logger
-	Metrics    *telemetry.Metrics // nil for none
+	Metrics    *telemetry.Metrics // may be nil
 	Clock      func() time.Time
 }
 
-// Dispatcher is safe for concurrent use. New makes one.
+// Dispatcher chooses engines, and regions, for the requests of one gateway. It is safe
+// for concurrent use. New makes one.
 type Dispatcher struct {
 	Deps
 
@@ -47,26 +49,26 @@
 	state             ledger.State
 	catalog           *catalog.Table
 	pools             map[string]*pool
-	evacuationEnded   map[string]time.Time     // when a data centre's evacuation ended
-	aggregator        *rollup.Board            // of what other gateways do
-	gateways          gatewayList              // the gateways of this region
-	reportingGateways int                      // gateways of this region whose load is known, this one included
-	isGroupLeader     bool                     // this gateway sums the loads of others
-	regionReportSent  time.Time                // when other regions were last told
-	remotes           map[string]*remoteRegion // by name: the other regions
+	evacuationEnded   map[string]time.Time     // end of the last evacuation of each data centre
+	aggregator        *rollup.Board            // combines the reports of other gateways
+	gateways          gatewayList              // gateways of this region
+	reportingGateways int                      // gateways of this region with a known load
+	isGroupLeader     bool                     // this gateway aggregates the reports of its group
+	regionReportSent  time.Time                // when the last report went to other regions
+	remotes           map[string]*remoteRegion // other regions by name
 	enginesByHash     map[uint64]*engine
-	accountNames      map[uint32]string // names by hash
-	sentBlocks        []sentBlock       // parts to tell the other gateways
-	lastCleanup       time.Time         // when old parts were last forgotten
-	crashDetector     *quarantine.Watch // of engines whose connections broke
+	accountNames      map[uint32]string // account names by hash
+	sentBlocks        []sentBlock       // recently sent prompt blocks, for the next reports
+	lastCleanup       time.Time         // when expired blocks were last removed
+	crashDetector     *quarantine.Watch // distinguishes crashes from broken connections
 	suspectEngines    chan Doubt
-	// suspects are the requests under which engines crashed.
+	// quarantine holds the requests that were running when engines crashed.
 	quarantine *quarantine.Table
-	limits     *ratelimit.Table // that engines name
-	pushback   *pushback.Table  // what engines ask of this gateway
+	limits     *ratelimit.Table // limits announced by engines
+	pushback   *pushback.Table  // backoff and draining announced by engines
 }
 
-// New makes a dispatcher that knows no service.
+// New returns a dispatcher without services; Take adds them.
 func New(deps Deps) *Dispatcher {
 	self := roster.Host{Name: deps.Name, Role: roster.RoleGateway, Region: deps.Region, DataCentre: deps.DataCentre}
 	return &Dispatcher{
@@ -77,7 +79,8 @@
 	}
 }
 
-// Take takes over a state of the ledger.
+// Take replaces the ledger state and the catalog. Pools of services that stay keep their
+// estimates.
 func (d *Dispatcher) Take(state ledger.State, table *catalog.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,19 +102,18 @@
 	d.refresh(now)
 }
 
-// Tick takes over what has changed of the engines. The owner calls it several
-// times a second, and whenever the registry changes.
+// Tick applies changes in the registry to the pools. The owner calls it several times a
+// second, and after each change of the registry.
 func (d *Dispatcher) Tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(d.Clock())
 }
 
-// cleanupInterval is how often parts that are no longer believed kept are forgotten, and
-// beliefs are logged.
+// cleanupInterval is how often expired blocks are removed and the estimates are logged.
 const cleanupInterval = 5 * time.Second
 
-// refresh brings the pools up to date. The lock is held.
+// refresh updates the pools and everything derived from them. The lock is held.
 func (d *Dispatcher) refresh(now time.Time) {
 	engines := d.Engines.All()
 	registered := make(map[string]bool, len(engines))
@@ -146,24 +148,25 @@
 	}
 }
 
-// Ask is what Acquire needs to know of a request.
+// Ask describes a request to Acquire and ChooseRegion.
 type Ask struct {
-	ID       string // of the request
-	Route    string // whose requests fail about equally often
+	ID       string // ID of the request
+	Route    string // requests of one route share a failure baseline
 	Service  string
 	Prompt   Prompt
 	Deadline time.Time
-	Tried    []string // engines of earlier attempts
-	// Target is the time within which the answer should begin; 0 for none, with which
-	// any wait is admitted.
+	Tried    []string // engines of earlier attempts, not chosen again
+	// Target is the time within which the answer should begin. With 0, the request is
+	// admitted whatever its wait.
 	Target time.Duration
-	// Permitted tells whether the request may run in a region; nil for all.
+	// Permitted reports whether the request may run in a region; nil permits all.
 	Permitted func(region string) bool
-	// Fingerprint is the same for each repeat of the request.
+	// Fingerprint is equal for all repeats of the request.
 	Fingerprint quarantine.Fingerprint
 }
 
-// Acquire gives a ticket for the best engine. The error is a *request.NotRun.
+// Acquire returns a ticket for the engine with the lowest expected cost. The error is a
+// *request.NotRun.
 func (d *Dispatcher) Acquire(req Ask) (*Ticket, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,15 +1,15 @@
 // Package dispatch chooses the engine for each request at one gateway.
 //
-// A Dispatcher holds a pool of engines for each service, made from what the
-// engines have registered, the ledger's state and this gateway's own requests.
-// Acquire gives a Ticket for the engine that is expected to answer first; each
-// Ticket is given back exactly once by Done, from which the pool learns.
+// A Dispatcher keeps a pool of engines for each service. It builds the pools from the
+// registered engines, the ledger's state and this gateway's own requests. Acquire returns
+// a Ticket for the engine with the lowest expected cost; Done must be called exactly once
+// for each Ticket, and its outcome updates the pool's estimates.
 //
-// The expectation of an engine's answer rests on three things: the requests
-// that are known to be there, the prompt that must be read before them, and
-// the parts of this prompt that the engine is believed to keep. How long all that
-// takes is learned from earlier answers (package pace), and a request whose answer
-// would come too late is refused instead. Gateways agree
-// without talking on where a part of a prompt is kept, because each ranks the
-// engines for it by the same hash.
+// The expected time to the first byte depends on the requests in flight at the engine,
+// the prompts that it must read (prefill) first, and the blocks of this prompt that it
+// has probably cached. Read and output rates are estimated from earlier answers (package
+// pace). A request whose answer would begin too late is rejected.
+//
+// Gateways agree on the engine that caches a prompt block without exchanging messages:
+// each ranks the engines by the same hash.
 package dispatch
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -1,4 +1,4 @@
-// This file defines what operators are shown of a gateway's engines.
+// This file defines the engine states that operators can query.
 
 package dispatch
 
@@ -8,22 +8,22 @@
 	"github.com/linenscale/linenscale/pushback"
 )
 
-// EngineStatus is what operators are shown of one engine: whether it gets requests of this
-// gateway, and why not.
+// EngineStatus describes one engine to operators: whether this gateway sends requests to
+// it, and if not, why.
 type EngineStatus struct {
 	Engine   string        `json:"engine"`
 	Service  string        `json:"service"`
-	Why      string        `json:"why"`           // it gets none; "" where it does
-	For      time.Duration `json:"for_ns"`        // since when that is known; 0 where not known
-	Ends     time.Duration `json:"ends_ns"`       // when that ends; 0 for never, or not known
-	Requests int           `json:"requests"`      // of this gateway, under way
-	Others   int           `json:"others"`        // of the region's other gateways, as they told
-	Limit    string        `json:"limit"`         // that it names; "" for none
-	Silent   time.Duration `json:"last_heard_ns"` // since this gateway last had a byte from it; 0 for never
+	Why      string        `json:"why"`           // exclusion; "" if it gets requests
+	For      time.Duration `json:"for_ns"`        // how long the reason has applied; 0 if not known
+	Ends     time.Duration `json:"ends_ns"`       // remaining time; 0 if not known or for good
+	Requests int           `json:"requests"`      // of this gateway, in flight
+	Others   int           `json:"others"`        // of the region's other gateways, as last reported
+	Limit    string        `json:"limit"`         // announced by the engine; "" for none
+	Silent   time.Duration `json:"last_heard_ns"` // since the last byte received from it; 0 for never
 	pushback.Counts
 }
 
-// EngineStatuses gives what is known of the engines of this region, by service and ID.
+// EngineStatuses returns the status of each engine of this region, by service and ID.
 func (d *Dispatcher) EngineStatuses() []EngineStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +55,7 @@
 	return s
 }
 
-// durationBetween gives the time from one moment to a later one; 0 where either isn't known.
+// durationBetween returns the time from one moment to a later one; 0 if either is zero.
 func durationBetween(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
--- a/dispatch/expect.go
+++ b/dispatch/expect.go
@@ -1,5 +1,5 @@
-// This file defines what is expected of an engine for a request: a pure function
-// of what is known.
+// This file defines the cost estimate for a request at an engine, a pure function of its
+// inputs.
 
 package dispatch
 
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Load is what requests make an engine do. It adds up over gateways.
+// Load is the work of an engine. Loads of several gateways add up.
 type Load struct {
-	Requests int     // that have not ended
-	Unread   int     // prompt tokens of those that have had no event yet
-	Reserved int     // tokens in memory, of prompts and of what they may grow to
-	ReadRate float64 // prompt tokens a second, lately
+	Requests int     // in flight
+	Unread   int     // prompt tokens of requests without a first event yet
+	Reserved int     // cache tokens of prompts and of their expected output
+	ReadRate float64 // prompt tokens per second, recently
 }
 
 // plus adds two gateways' loads.
@@ -21,65 +21,65 @@
 	return Load{l.Requests + o.Requests, l.Unread + o.Unread, l.Reserved + o.Reserved, l.ReadRate + o.ReadRate}
 }
 
-// Weights of the expectation.
+// Weights and penalties of the cost estimate.
 const (
-	// interferenceWeight weighs the delay that reading a prompt causes to each stream
-	// that runs there against the delay of the request itself. Streams bear
-	// pauses, up to a point.
+	// interferenceWeight weighs the delay that reading a prompt causes to each stream of
+	// the engine against the delay of the request itself. Streams tolerate short pauses.
 	interferenceWeight = 0.15
-	// slowdownWeight weighs the time that a stream takes longer, because prompts
-	// are read beside it, against the wait for its first event.
+	// slowdownWeight weighs the longer duration of a stream, caused by prompts read at
+	// the same time, against the wait for its first event.
 	slowdownWeight = 0.06
-	// cacheFillLimit is how full an engine's memory may get before requests are
-	// put back there: what is expected is not exact.
+	// cacheFillLimit is the share of an engine's cache above which requests are sent
+	// elsewhere. It is below 1 because the estimates are not exact.
 	cacheFillLimit = 0.85
-	// overflowPenalty is what a full memory costs, for each time over.
+	// overflowPenalty is the cost of a request that exceeds the limit by the size of the
+	// whole cache.
 	overflowPenalty = 3 * time.Second
-	// failurePenalty is what a failed request costs: its caller has to come back, after
-	// some seconds as a rule, with what is left of its time.
+	// failurePenalty is the cost of a failed request: its caller usually retries after
+	// some seconds, with less time left.
 	failurePenalty = 3 * time.Second
-	// rereadWeight is what it costs, beside the reading itself, to read a shared part
-	// that another engine keeps, as a share of its reading: the time of the engine is
-	// lost to all others.
+	// rereadWeight is the additional cost, relative to the read time, of reading shared
+	// blocks that another engine has cached: no other request can use that engine time.
 	rereadWeight = 3.6
-	// latePenalty is what a choice costs by which the request would be begun too late
-	// to be admitted: any other is better.
+	// latePenalty is the cost of a choice with which the request would start too late to
+	// be admitted. Any other choice is better.
 	latePenalty = 5 * time.Second
-	// assumedCachedShare is the share of the shared parts that the engine ranked first
-	// is believed to keep, where this gateway hasn't sent them anywhere.
+	// assumedCachedShare is the share of the shared blocks that the engine ranked first
+	// is assumed to have cached, where this gateway doesn't know any cache holder.
 	assumedCachedShare = 0.95
 )
 
-// costInputs is what is known of one engine when a request comes.
+// costInputs is what this gateway knows about one engine, or about the engines of another
+// region, when a request arrives.
 type costInputs struct {
 	load         Load
 	slots        int
-	cacheTokens  int           // tokens of memory; 0 for an engine without model
-	cached       int           // tokens of the prompt believed kept
-	failureRate  float64       // share of requests that failed lately, beyond the usual
+	cacheTokens  int           // cache size in tokens; 0 for an engine without a model
+	cached       int           // tokens of the prompt probably cached
+	failureRate  float64       // share of recent requests that failed beyond the baseline
 	throughput   Throughput    // of the service's engines
-	usualError   time.Duration // by how much expectations are usually off
-	slowdown     float64       // times longer than its peers; 0 where not known
-	preferred    bool          // ranked first for the prompt's shared parts
-	transferable int           // tokens of the prompt beside those that another engine has to copy
-	transferTime time.Duration // how long that takes
+	usualError   time.Duration // mean error of the time estimates
+	slowdown     float64       // time relative to the engine's peers; 0 if not known
+	preferred    bool          // ranked first for the prompt's shared blocks
+	transferable int           // further tokens of the prompt that the engine could transfer
+	transferTime time.Duration // how long that transfer takes
 }
 
-// score is the expectation for one engine; the lowest is chosen.
+// score is the cost estimate for one engine. The engine with the lowest score is chosen.
 type score struct {
-	queue        time.Duration // until the request is begun
+	queue        time.Duration // until the engine starts the request
 	wait         time.Duration // until the answer begins
-	cost         time.Duration // wait, and what the choice costs otherwise
+	cost         time.Duration // wait plus all penalties
 	cached       int
-	transferred  int     // of those, tokens that the engine copies
-	source       *engine // from which
+	transferred  int     // part of cached that the engine transfers first
+	source       *engine // where it transfers them from
 	preferred    bool
 	load         Load
 	rank         uint64
-	unresponsive bool // not heard lately: used only where nothing else can be
+	unresponsive bool // missed its heartbeats: chosen only if no other engine can be
 
-	maxQueue time.Duration // the longest queue for which the request is admitted
-	late     bool          // the queue is longer
+	maxQueue time.Duration // longest queue with which the request is admitted
+	late     bool          // queue exceeds maxQueue
 }
 
 func (s score) less(o score) bool {
@@ -92,28 +92,28 @@
 	return s.rank > o.rank
 }
 
-// String is what the log shows.
+// String formats the score for the log.
 func (s score) String() string {
 	return fmt.Sprintf("wait=%v cost=%v kept=%d copied=%d first=%t requests=%d unread=%d held=%d silent=%t",
 		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.cached, s.transferred, s.preferred, s.load.Requests, s.load.Unread, s.load.Reserved, s.unresponsive)
 }
 
-// readTime gives how long an engine reads so many tokens.
+// readTime returns the time to read so many prompt tokens.
 func (t Throughput) readTime(tokens int) time.Duration {
 	return time.Duration(tokens) * t.ReadPerToken
 }
 
-// estimate gives the expectation for a request. trip is the time that it takes
-// beside to get there and back.
+// estimate returns the expected queue, wait and cost of a request. roundTrip is the
+// network round trip to the engine's region, 0 for this one.
 func estimate(in costInputs, req Ask, roundTrip time.Duration) score {
 	p := req.Prompt
 	s := score{cached: in.cached, preferred: in.preferred, load: in.load}
-	overload := float64(in.load.Requests+1-in.slots) / float64(max(1, in.slots))
-	s.queue = time.Duration(max(0, overload) * float64(in.throughput.SlotTime))
+	queuedPerSlot := float64(in.load.Requests+1-in.slots) / float64(max(1, in.slots))
+	s.queue = time.Duration(max(0, queuedPerSlot) * float64(in.throughput.SlotTime))
 	if in.cacheTokens == 0 {
 		s.wait = s.queue + in.throughput.SlotTime
-		sharing := time.Duration(float64(in.load.Requests) / float64(max(1, in.slots)) * float64(in.throughput.SlotTime))
-		s.cost = s.wait + sharing
+		occupancyCost := time.Duration(float64(in.load.Requests) / float64(max(1, in.slots)) * float64(in.throughput.SlotTime))
+		s.cost = s.wait + occupancyCost
 	} else {
 		s.cached = max(s.cached, in.assumedCached(p))
 		s.queue += in.throughput.readTime(in.load.Unread)
@@ -144,20 +144,22 @@
 	return s
 }
 
-// readCost gives the time until an engine that keeps so much of a prompt has read the rest,
-// and what that costs.
+// readCost returns the time until an engine that has cached so many tokens of the prompt
+// has read the rest, and the cost of that.
 func (in costInputs) readCost(p Prompt, cached int) (wait, cost time.Duration) {
 	unread := max(0, p.TokensIn-cached)
 	wait = in.throughput.Overhead + in.throughput.readTime(unread)
 	return wait, wait + in.rereadCost(p, cached) + in.interferenceCost(unread)
 }
 
-// rereadCost is what it costs to read shared parts that are kept elsewhere.
+// rereadCost is the additional cost of reading shared blocks that another engine has
+// cached.
 func (in costInputs) rereadCost(p Prompt, cached int) time.Duration {
 	return time.Duration(rereadWeight * float64(in.throughput.readTime(max(0, p.sharedTokens()-cached))))
 }
 
-// assumedCached gives the tokens that the engine may keep by other gateways' requests.
+// assumedCached returns the tokens that the engine has probably cached through other
+// gateways' requests.
 func (in costInputs) assumedCached(p Prompt) int {
 	if !in.preferred {
 		return 0
@@ -165,22 +167,22 @@
 	return int(assumedCachedShare * float64(p.sharedTokens()))
 }
 
-// interferenceCost is what the reading of the prompt costs the streams that run there.
+// interferenceCost is the delay that reading the prompt causes to the engine's streams.
 func (in costInputs) interferenceCost(unread int) time.Duration {
 	return time.Duration(interferenceWeight * float64(in.load.Requests) * float64(in.throughput.readTime(unread)))
 }
 
-// slowdownCost is how much longer the stream takes because of other prompts.
+// slowdownCost is the longer duration of the request's stream, caused by other prompts.
 func (in costInputs) slowdownCost(p Prompt) time.Duration {
 	readShare := min(in.load.ReadRate*in.throughput.ReadPerToken.Seconds(), maxReadShare)
 	return time.Duration(slowdownWeight * float64(p.TokensOut) * float64(in.throughput.OutputPerToken) * readShare / (1 - readShare))
 }
 
-// maxReadShare bounds the share of its time that an engine reads prompts, in the
-// estimate of what that does to streams.
+// maxReadShare bounds the share of its time that an engine is assumed to spend on reading
+// prompts, in the estimate of the slowdown of streams.
 const maxReadShare = 0.9
 
-// overflowCost is what it costs if the memory doesn't hold the request.
+// overflowCost is the cost of a request that doesn't fit into the engine's cache.
 func (in costInputs) overflowCost(p Prompt) time.Duration {
 	excess := float64(in.load.Reserved+p.TokensIn+p.TokensOut) - cacheFillLimit*float64(in.cacheTokens)
 	if excess <= 0 {
--- a/dispatch/far.go
+++ b/dispatch/far.go
@@ -1,5 +1,5 @@
-// This file defines what a gateway knows of another region: that region's own word,
-// and what this gateway has sent there since.
+// This file defines what a gateway knows of another region: the region's last report, and
+// the requests sent there since.
 
 package dispatch
 
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// remoteRegion is what is known of another region.
+// remoteRegion is the known state of another region.
 type remoteRegion struct {
-	reportedAt time.Time // when its last word was heard
+	reportedAt time.Time // when its last report arrived in this region
 	digests    map[string]Digest
-	inFlight   []*Away                 // sent there, and not in its word yet
-	cached     map[string]cachedBlocks // by service: parts of prompts that were sent there
+	inFlight   []*Away                 // sent there, and not in its report yet
+	cached     map[string]cachedBlocks // by service: prompt blocks sent there
 }
 
-// Away is a request on its way to another region. It counts as load there until its
-// answer begins, it has failed, or the region's own word can tell of it.
+// Away is a request handed over to another region. It counts as load of that region until
+// its answer begins, it fails, or the region's own report includes it.
 type Away struct {
 	dispatcher *Dispatcher
 	region     *remoteRegion
@@ -26,9 +26,9 @@
 	load       Load
 }
 
-// Sent notes that this gateway sends a request to another region, so that the next
-// one sees it before the region's own word tells of it. End must be called when the
-// answer has begun, or none will come.
+// Sent counts a request as sent to another region, so that the next choice of region
+// includes it before the region's own report does. The caller must call End when the
+// answer has begun or has failed.
 func (d *Dispatcher) Sent(region string, req Ask) *Away {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 	r := &Away{dispatcher: d, region: remote, service: req.Service, sentAt: now, load: Load{Requests: 1}}
 	if p, ok := d.pools[req.Service]; ok && p.service.Model != nil {
-		in := remote.costInputs(req, p.throughput.throughput(), d.homeRegion(p, req, now) == region, now)
+		in := remote.costInputs(req, p.throughput.current(), d.homeRegion(p, req, now) == region, now)
 		r.load.Unread = max(0, req.Prompt.TokensIn-max(in.cached, in.assumedCached(req.Prompt)))
 		r.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
 		remote.cachedFor(req.Service).record(req.Prompt, now)
@@ -48,7 +48,7 @@
 	return r
 }
 
-// End takes the request off the load of the other region. It may be called again.
+// End removes the request from the other region's load. Further calls do nothing.
 func (r *Away) End() {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.mu.Unlock()
@@ -59,8 +59,8 @@
 	r.region = nil
 }
 
-// applyDigests takes the region's own word. What was sent less than a round trip before may
-// not be in it.
+// applyDigests replaces the region's digests. Requests sent less than a round trip ago
+// stay counted separately, since the report may not include them.
 func (r *remoteRegion) applyDigests(digests []Digest, roundTrip time.Duration, now time.Time) {
 	r.reportedAt = now
 	r.digests = make(map[string]Digest, len(digests))
@@ -70,15 +70,16 @@
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *Away) bool { return now.Sub(a.sentAt) > roundTrip })
 }
 
-// isFresh tells whether the region's word is fresh enough to count.
+// isFresh reports whether the region's report is recent enough to use.
 func (r *remoteRegion) isFresh(now time.Time) bool { return now.Sub(r.reportedAt) <= digestTTL }
 
-// inFlightLoad gives the load of a service that is on its way.
+// inFlightLoad returns the load of a service's requests that the region's report doesn't
+// include yet.
 func (r *remoteRegion) inFlightLoad(service string) Load {
 	var sum Load
-	for _, one := range r.inFlight {
-		if one.service == service {
-			sum = sum.plus(one.load)
+	for _, sent := range r.inFlight {
+		if sent.service == service {
+			sum = sum.plus(sent.load)
 		}
 	}
 	return sum
@@ -93,9 +94,10 @@
 	return blocks
 }
 
-// costInputs gives what the expectation of the region's engines rests on; here is
-// their speed in this region, for a word that tells none. A keeper of the prompt's
-// parts is one engine, so that the mean load counts, else the least.
+// costInputs returns the inputs of the cost estimate for the region's engines. fallback
+// is the throughput in this region, used if the report has none. If the prompt's shared
+// blocks are cached there, the request goes to the one engine that holds them, so the
+// mean load counts; otherwise it goes to the least loaded engine.
 func (r *remoteRegion) costInputs(req Ask, fallback Throughput, isHome bool, now time.Time) costInputs {
 	digest := r.digests[req.Service]
 	in := costInputs{
@@ -111,8 +113,7 @@
 	return in
 }
 
-// forgetRemoteBlocks forgets the parts that other regions are no longer believed to keep. The
-// lock is held.
+// forgetRemoteBlocks removes expired blocks of other regions. The lock is held.
 func (d *Dispatcher) forgetRemoteBlocks(now time.Time) {
 	for _, remote := range d.remotes {
 		for _, blocks := range remote.cached {
--- a/dispatch/illness.go
+++ b/dispatch/illness.go
@@ -1,5 +1,5 @@
-// This file defines the estimate of how much more often an engine fails than is
-// usual for the requests that it gets.
+// This file estimates how much more often an engine fails than the requests that it gets
+// fail at any engine.
 
 package dispatch
 
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// failureBaseline estimates which share of a route's requests fails at any engine. Some kinds
-// of request fail often by themselves, and fail again wherever they are sent: that
-// is no sign of an ill engine. The zero value knows nothing.
+// failureBaseline estimates the share of a route's requests that fail at any engine. Some
+// kinds of requests often fail by themselves, wherever they are sent, which says nothing
+// about the engine. The zero value has recorded nothing.
 type failureBaseline struct {
 	failed   float64
 	requests float64
 }
 
 const (
-	// priorFailureRate and priorRequests are believed before the first answer: engines
-	// that are well fail seldom, and some ten answers tell otherwise.
+	// priorFailureRate and priorRequests are the estimate before the first answers.
+	// Healthy engines seldom fail, and about ten answers outweigh the prior.
 	priorFailureRate = 0.02
 	priorRequests    = 10
-	// baselineRequests is over how many requests the share is taken. It is long beside
-	// what an ill engine gets before it is avoided, so that it doesn't become usual.
+	// baselineRequests is the number of requests that the baseline averages over. It is
+	// large compared with what a failing engine gets before it is excluded, so that its
+	// failures don't become the baseline.
 	baselineRequests = 200
 )
 
@@ -38,36 +39,36 @@
 	}
 }
 
-// excessFailures estimates by how much the share of an engine's requests that fail lies
-// above what is usual for them. What isn't significant counts as nothing: where one
-// in seven requests fails by itself, the plain share of the last few moved between
-// 0 and 0.5, and half of all requests were sent to other regions at 110 ms each; the
-// median answer of plain services took 260 ms, and takes 28 ms with this (a calm
-// day before three regions of one engine each). It is forgotten with time, so that an
-// engine which gets nothing because it failed is tried again. The zero value has seen
-// nothing.
+// excessFailures estimates how far an engine's failure rate exceeds the baseline of its
+// requests. An excess that isn't significant counts as zero. Where one request in seven
+// failed by itself, the plain rate of the last few requests moved between 0 and 0.5, and
+// half of all requests went to other regions at 110 ms each: in three regions with one
+// engine each and no other faults, the median answer of plain services took 260 ms,
+// against 28 ms with the significance test. The estimate decays over time, so that an engine
+// excluded for its failures is tried again. The zero value has recorded nothing.
 type excessFailures struct {
 	failed    float64
-	expected  float64 // that would have failed anywhere
+	expected  float64 // expected number of failures at any engine
 	variance  float64 // of that number
 	requests  float64
 	updatedAt time.Time
 }
 
 const (
-	// decayTime is after how long without requests what was seen counts a third.
+	// decayTime is the time without requests after which the estimate has decayed to 1/e.
 	decayTime = 3 * time.Second
-	// decayPerRequest is how much earlier requests count with each new one: some ten
-	// are remembered.
+	// decayPerRequest is the weight that earlier requests keep with each new one: about
+	// ten requests are remembered.
 	decayPerRequest = 0.9
-	// significance is how many standard deviations above the usual are taken for chance.
+	// significance is how many standard deviations above the baseline are attributed to
+	// chance.
 	significance = 1.5
-	// priorSuccesses is how many requests without failure an engine is believed to
-	// have had before the first.
+	// priorSuccesses is how many successful requests an engine is assumed to have had
+	// initially.
 	priorSuccesses = 2
 )
 
-// decay forgets up to now.
+// decay applies the decay up to now.
 func (f *excessFailures) decay(now time.Time) {
 	f.scale(math.Exp(-float64(now.Sub(f.updatedAt)) / float64(decayTime)))
 	f.updatedAt = now
@@ -80,7 +81,8 @@
 	f.requests *= factor
 }
 
-// record takes one more outcome of a request of which that share usually fails.
+// record adds the outcome of a request that fails with probability usualRate at any
+// engine.
 func (f *excessFailures) record(failed bool, usualRate float64, now time.Time) {
 	f.decay(now)
 	f.scale(decayPerRequest)
@@ -92,7 +94,7 @@
 	}
 }
 
-// rate gives the share of requests that fail beyond the usual.
+// rate returns the share of requests that failed beyond the baseline.
 func (f excessFailures) rate(now time.Time) float64 {
 	f.decay(now)
 	excess := f.failed - f.expected - significance*math.Sqrt(f.variance)
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -1,4 +1,5 @@
-// This file defines how a gateway keeps to the limits that engines name in their answers.
+// This file defines how a gateway observes the rate limits that engines announce in their
+// answers.
 
 package dispatch
 
@@ -11,9 +12,8 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// HeardLimit takes what the head of the engine's answer says of how many requests it takes.
-// It is called as soon as the head is there: the next request may be chosen an engine for
-// before the answer ends.
+// HeardLimit applies the rate limit in the header of the engine's answer. It is called
+// when the header arrives: other requests may be dispatched before the answer ends.
 func (t *Ticket) HeardLimit(signal ratelimit.Word) {
 	d := t.dispatcher
 	d.mu.Lock()
@@ -24,8 +24,8 @@
 	}
 }
 
-// Limit says what was known of the limit that the ticket's engine names, for the log; ""
-// where it names none.
+// Limit returns the engine's rate limit when the ticket was issued, for the log; "" for
+// none.
 func (t *Ticket) Limit() string {
 	if t.limit == nil {
 		return ""
@@ -33,8 +33,8 @@
 	return t.limit.String()
 }
 
-// chargeLimits counts a ticket towards the limits that engines name: it uses its engine's up,
-// and is kept away from those whose shares are spent. The lock is held.
+// chargeLimits counts a ticket against the rate limit of its engine, and counts for each
+// other engine whose share is used up that the request was kept away. The lock is held.
 func (d *Dispatcher) chargeLimits(t *Ticket, now time.Time) {
 	for _, e := range t.pool.limited {
 		if e != t.engine && !d.limits.Allows(e.hash, now) {
@@ -55,7 +55,8 @@
 	}
 }
 
-// mergeLimits takes what another gateway of the region tells of limits. The lock is held.
+// mergeLimits applies the limits that another gateway of the region reports. The lock is
+// held.
 func (d *Dispatcher) mergeLimits(m rollup.Message, now time.Time) {
 	for _, hash := range d.limits.HearNotes(m.Report.Limits, now) {
 		if e, ok := d.enginesByHash[hash]; ok {
@@ -64,18 +65,19 @@
 	}
 }
 
-// logLimit logs a limit that is new here.
+// logLimit logs a change of an engine's rate limit.
 func (d *Dispatcher) logLimit(e *engine, source string, now time.Time) {
 	status, limited := d.limits.Status(e.hash, now)
 	if !limited {
-		d.Log.Info("engine's limit lifted", zap.String("engine", e.ID), zap.String("told_by", source))
+		d.Log.Info("engine rate limit lifted", zap.String("engine", e.ID), zap.String("told_by", source))
 		return
 	}
-	d.Log.Info("engine's limit", zap.String("engine", e.ID), zap.String("told_by", source),
+	d.Log.Info("engine rate limit changed", zap.String("engine", e.ID), zap.String("told_by", source),
 		zap.Float64("per_second", status.PerSecond), zap.Float64("share", status.Share), zap.Int("sharers", status.Sharers))
 }
 
-// forgetRemovedEngines drops what engines that are gone have said of themselves. The lock is held.
+// forgetRemovedEngines removes the limits and pushback of engines that no longer exist.
+// The lock is held.
 func (d *Dispatcher) forgetRemovedEngines(now time.Time) {
 	known := func(hash uint64) bool {
 		_, known := d.enginesByHash[hash]
@@ -85,14 +87,14 @@
 	d.pushback.Forget(known, now)
 }
 
-// LimitStatus is what operators are shown of one engine that names a limit.
+// LimitStatus describes one engine with a rate limit to operators.
 type LimitStatus struct {
 	Engine  string `json:"engine"`
 	Service string `json:"service"`
 	ratelimit.Status
 }
 
-// Limits gives what is known of the engines that name limits, by service and ID.
+// Limits returns the status of each engine with a rate limit, by service and ID.
 func (d *Dispatcher) Limits() []LimitStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -1,5 +1,5 @@
-// This file defines what the gateways of a region tell each other, and what they
-// make of it. Package rollup says who tells whom.
+// This file defines what the gateways of a region report to each other, and how they use
+// the reports. Package rollup defines who reports to whom.
 
 package dispatch
 
@@ -14,25 +14,26 @@
 )
 
 const (
-	// unreachableReportTime is for how long a gateway tells that it couldn't reach an engine:
-	// some five reports, each of which may be lost.
+	// unreachableReportTime is how long a gateway reports that it couldn't connect to an
+	// engine: in about five reports, any of which may be lost.
 	unreachableReportTime = 500 * time.Millisecond
-	// replacedReportTime is the same for an engine that was replaced or leaves: for longer, since it is
-	// for good.
+	// replacedReportTime is the same for an engine that was replaced or is draining. It
+	// is longer because these states are final.
 	replacedReportTime = time.Second
-	// peerExclusionTime is for how long the others avoid the engine then. After it
-	// each may try for itself: the way may be cut for one gateway only.
+	// peerExclusionTime is how long the other gateways then exclude the engine. After it
+	// each may try for itself: the network path may be broken for one gateway only.
 	peerExclusionTime = 600 * time.Millisecond
-	// ownContactTime is how fresh a gateway's own sign of an engine must be for it
-	// not to believe the others of either.
+	// ownContactTime is how recently a gateway must have received something from an
+	// engine itself to disregard such reports.
 	ownContactTime = 500 * time.Millisecond
-	// minBackoffReporters is how many gateways an engine must have asked for rest for the others to keep
-	// off as well, so that each need not be refused itself. One may have been refused for its
-	// own sake: of what it then doesn't send, the engine takes as much from the others.
+	// minBackoffReporters is the number of gateways to which an engine must have sent a
+	// backoff for the others to back off too, so that not each of them has to be rejected
+	// first. A single gateway may have been rejected for reasons of its own; the engine
+	// then accepts as many more requests from the others.
 	minBackoffReporters = 2
 )
 
-// report gives what this gateway does. The lock is held.
+// report returns this gateway's own report. The lock is held.
 func (d *Dispatcher) report(now time.Time) rollup.Report {
 	r := rollup.Report{Parts: d.recentSentBlocks(now), Accounts: d.ownUsage(now), Crashes: d.quarantine.TellNear(now), Limits: d.limits.Tell(now)}
 	for _, p := range d.pools {
@@ -50,21 +51,21 @@
 			case pushed.Reason == pushback.Resting:
 				r.Resting = append(r.Resting, rollup.Resting{Engine: e.hash, Gateways: 1})
 			}
-			reading := int(e.readRate.perSecond(now))
-			if e.ownLoad.Requests == 0 && reading == 0 {
+			readRate := int(e.readRate.perSecond(now))
+			if e.ownLoad.Requests == 0 && readRate == 0 {
 				continue
 			}
 			r.Engines = append(r.Engines, rollup.EngineLoad{
-				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Held: e.ownLoad.Reserved, Reading: reading,
+				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Held: e.ownLoad.Reserved, Reading: readRate,
 			})
 		}
 	}
 	return r
 }
 
-func hashOf(engine string) uint64 { return xxhash.Sum64String(engine) }
+func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Tell gives what is to be told to other gateways. The owner calls it each
+// Tell returns the messages to send to other gateways. The owner calls it every
 // rollup.Every.
 func (d *Dispatcher) Tell() []rollup.Outgoing {
 	d.mu.Lock()
@@ -82,17 +83,17 @@
 	return out
 }
 
-// logLeadership logs when this gateway begins or ends to sum others' loads. The lock is
+// logLeadership logs when this gateway starts or stops aggregating its group. The lock is
 // held.
 func (d *Dispatcher) logLeadership() {
 	leader, members := d.aggregator.Leads()
 	if leader != d.isGroupLeader {
 		d.isGroupLeader = leader
-		d.Log.Info("sums loads of its group", zap.Bool("leads", leader), zap.Int("members", members))
+		d.Log.Info("group leadership changed", zap.Bool("leads", leader), zap.Int("members", members))
 	}
 }
 
-// Hear takes another gateway's message.
+// Hear applies a message from another gateway.
 func (d *Dispatcher) Hear(m rollup.Message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +109,7 @@
 		}
 	}
 	for _, hash := range m.Report.Dead {
-		// What this gateway told itself comes back to it.
+		// This gateway's own reports come back to it in totals.
 		if e, ok := d.enginesByHash[hash]; ok && e.connectFailures == 0 && now.Sub(e.lastHeard) > ownContactTime && now.After(e.excludedUntil) {
 			e.excludedUntil = now.Add(peerExclusionTime)
 		}
@@ -119,7 +120,8 @@
 		}
 	}
 	for _, backoff := range m.Report.Resting {
-		// It may take this gateway's requests all the same; a fresh answer shows that it does.
+		// The engine may still accept requests from this gateway, which a recent answer
+		// shows.
 		if e, ok := d.enginesByHash[backoff.Engine]; ok && backoff.Gateways >= minBackoffReporters && now.Sub(e.lastHeard) > ownContactTime {
 			e.peerBackoffUntil = now.Add(peerExclusionTime)
 		}
@@ -134,7 +136,8 @@
 	}
 }
 
-// applyPeerReports takes over what the other gateways of the region do. The lock is held.
+// applyPeerReports updates the loads and account usage of the region's other gateways.
+// The lock is held.
 func (d *Dispatcher) applyPeerReports() {
 	others := d.aggregator.Others()
 	for hash, e := range d.enginesByHash {
@@ -145,7 +148,7 @@
 	d.applyLocalUsage(others)
 }
 
-// indexEngines lets engines be found by their hash. The lock is held.
+// indexEngines rebuilds the index of engines by hash. The lock is held.
 func (d *Dispatcher) indexEngines() {
 	clear(d.enginesByHash)
 	for _, p := range d.pools {
@@ -156,8 +159,9 @@
 	d.applyPeerReports()
 }
 
-// updateGateways takes over which gateways of this region there are, and how many of all. Those
-// that are stopping get few requests, and share no limit. The lock is held.
+// updateGateways updates the lists of gateways of this region, and the number of all
+// gateways. Gateways that are stopping get few requests and no share of rate limits. The
+// lock is held.
 func (d *Dispatcher) updateGateways(now time.Time) {
 	names, sharing, all := []string{d.Name}, []string{d.Name}, 1
 	for _, h := range d.Peers() {
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -14,84 +14,84 @@
 	"github.com/linenscale/linenscale/retry"
 )
 
-// engine is what this gateway knows of one engine.
+// engine is this gateway's state of one engine.
 type engine struct {
 	registry.Engine
 	pool             *pool
 	hash             uint64       // of the incarnation
-	addressHash      uint64       // hash of the address
-	ownLoad          Load         // this gateway's requests
-	peerLoad         Load         // other gateways' requests, as they last told
+	addressHash      uint64       // of the address
+	ownLoad          Load         // load of this gateway's requests
+	peerLoad         Load         // load of other gateways' requests, as last reported
 	readRate         decayingRate // prompt tokens that this gateway has sent
 	cached           cachedBlocks
-	failures         excessFailures // requests that failed beyond the usual
+	failures         excessFailures // failures beyond the baseline
 	slowdown         pace.Factor
 	replaced         bool      // another incarnation answers at its address
-	replacedAt       time.Time // when this gateway saw it itself
-	connectFailures  int       // failed connections in a row
+	replacedAt       time.Time // when this gateway saw that itself
+	connectFailures  int       // consecutive failed connections
 	connectFailedAt  time.Time
 	excludedUntil    time.Time
-	peerBackoffUntil time.Time // until when other gateways' word counts that it asked them for rest
+	peerBackoffUntil time.Time // end of the backoff that other gateways report
 	nextWarmRequest  time.Time // when a cold engine may get its next request
-	warmer           string    // the gateway that warms it up
-	warmerVersion    int       // version of the list of gateways that warmer is of
-	lastHeard        time.Time // when this gateway last had a byte from it
+	warmer           string    // the gateway that sends it requests while it is cold
+	warmerVersion    int       // version of the gateway list that warmer is from
+	lastHeard        time.Time // when this gateway last received a byte from it
 }
 
-// exclude keeps requests away until a time, or for as long as they were kept away before if that is
-// longer: one reason doesn't end another.
+// exclude excludes the engine until the given time, and never shortens an exclusion.
 func (e *engine) exclude(until time.Time) {
 	if until.After(e.excludedUntil) {
 		e.excludedUntil = until
 	}
 }
 
-// load gives all that the engine is known to do.
+// load returns the engine's total load, as far as known.
 func (e *engine) load(now time.Time) Load {
 	own := e.ownLoad
 	own.ReadRate = e.readRate.perSecond(now)
 	return own.plus(e.peerLoad)
 }
 
-// pool is guarded by its Dispatcher's lock.
+// pool holds the engines of one service. usable, limited, pushedBack and readyEngines are
+// as of the last refresh. The Dispatcher's lock guards it.
 type pool struct {
 	service          catalog.Service
 	engines          map[string]*engine   // by ID
-	sorted           []*engine            // by ID
-	usable           []*engine            // of those, as of the last refresh, what requests may be sent to
-	limited          []*engine            // that name limits and could be used else, as of the last refresh; not in open
-	pushedBack       []*engine            // that had asked for rest, or left, as of the last refresh
-	cacheHolders     map[uint32][]*engine // by part: engines that may keep it
+	sorted           []*engine            // engines by ID
+	usable           []*engine            // engines that choices draw from
+	limited          []*engine            // usable but for their rate limits, and not in usable
+	pushedBack       []*engine            // backing off or draining
+	cacheHolders     map[uint32][]*engine // engines that may have cached a block, by its hash
 	retryBudget      *retry.Window
 	throughput       *throughputEstimator
-	failureBaselines map[string]*failureBaseline // by route: the share of requests that fails at any engine
-	readyEngines     int                         // engines that can take requests and aren't cold, as of the last refresh
+	failureBaselines map[string]*failureBaseline // by route
+	readyEngines     int                         // that accept requests and aren't cold
 }
 
 func newPool(s catalog.Service, budget retry.Policy) *pool {
 	return &pool{service: s, engines: make(map[string]*engine), cacheHolders: make(map[uint32][]*engine), failureBaselines: make(map[string]*failureBaseline), retryBudget: retry.NewWindow(budget), throughput: newThroughputEstimator(s.Model != nil)}
 }
 
-// update takes over what is registered of an engine.
+// update applies the registered state of an engine.
 func (p *pool) update(r registry.Engine) {
 	e, ok := p.engines[r.ID]
 	if ok && e.Born != r.Born {
-		// It has started again and knows nothing of before: nor does this gateway. Requests
-		// that the earlier life had end by themselves.
+		// The engine has restarted with an empty cache, so its estimates start anew.
+		// Requests sent to the earlier incarnation end by themselves.
 		p.sorted = slices.DeleteFunc(p.sorted, func(o *engine) bool { return o == e })
 		ok = false
 	}
 	if !ok {
-		e = &engine{pool: p, cached: make(cachedBlocks), hash: hashOf(r.Incarnation())}
+		e = &engine{pool: p, cached: make(cachedBlocks), hash: hashString(r.Incarnation())}
 		p.engines[r.ID] = e
 		at, _ := slices.BinarySearchFunc(p.sorted, r.ID, func(o *engine, id string) int { return cmp.Compare(o.ID, id) })
 		p.sorted = slices.Insert(p.sorted, at, e)
 	}
-	e.Engine, e.addressHash = r, hashOf(r.Address)
+	e.Engine, e.addressHash = r, hashString(r.Address)
 }
 
-// removeUnregistered forgets the engines that are no longer registered and have nothing of
-// this gateway, and, where asked, the parts that are no longer believed kept.
+// removeUnregistered removes engines that are neither registered nor have requests of
+// this gateway. With cleanup it also removes expired blocks.
 func (p *pool) removeUnregistered(registered map[string]bool, cleanup bool, now time.Time) {
 	for id, e := range p.engines {
 		if cleanup {
@@ -107,7 +107,7 @@
 	}
 }
 
-// indexCacheHolders lists the keepers of each part afresh.
+// indexCacheHolders rebuilds the index of cache holders by block.
 func (p *pool) indexCacheHolders() {
 	clear(p.cacheHolders)
 	for _, e := range p.sorted {
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordBlock remembers that an engine has been sent a part.
+// recordBlock records that the engine was sent a block.
 func (p *pool) recordBlock(e *engine, block uint32, now time.Time) {
 	if _, known := e.cached[block]; !known {
 		p.cacheHolders[block] = append(p.cacheHolders[block], e)
@@ -125,15 +125,16 @@
 	e.cached[block] = now
 }
 
-// recordPrompt remembers that an engine has been sent a prompt.
+// recordPrompt records that the engine was sent a prompt.
 func (p *pool) recordPrompt(e *engine, prompt Prompt, now time.Time) {
 	for _, block := range prompt.Parts {
 		p.recordBlock(e, hashBlock(block.ID), now)
 	}
 }
 
-// cacheHoldersOf gives the engines that are known to keep all shared parts of a prompt:
-// the deepest of them, since a part is kept with all before it, or the whole prompt.
+// cacheHoldersOf returns the engines known to have cached all shared blocks of a prompt.
+// It looks up the deepest shared block, since a block is only cached with all before it,
+// and the whole prompt.
 func (p *pool) cacheHoldersOf(prompt Prompt, now time.Time) []*engine {
 	shared := prompt.sharedBlocks()
 	if prompt.sharedTokens() == 0 {
@@ -151,11 +152,11 @@
 	return out
 }
 
-// costInputs gives what the expectation of an engine rests on.
+// costInputs returns the inputs of the cost estimate for an engine.
 func (p *pool) costInputs(e *engine, req Ask, now time.Time) costInputs {
 	in := costInputs{
 		load: e.load(now), slots: e.Slots, failureRate: e.failures.rate(now),
-		throughput: p.throughput.throughput(), usualError: p.throughput.usualError(), slowdown: e.slowdown.Value(now),
+		throughput: p.throughput.current(), usualError: p.throughput.usualError(), slowdown: e.slowdown.Value(now),
 	}
 	if p.service.Model != nil {
 		in.cacheTokens = p.service.Model.CacheTokens
@@ -164,7 +165,7 @@
 	return in
 }
 
-// recordOutcome takes over how a request of a route ended at an engine.
+// recordOutcome records for the engine and for the route whether a request failed.
 func (p *pool) recordOutcome(e *engine, route string, failed bool, now time.Time) {
 	baseline, ok := p.failureBaselines[route]
 	if !ok {
@@ -175,14 +176,14 @@
 	baseline.record(failed)
 }
 
-// decayingRate estimates events a second, from those of about the last second. The zero
-// value has seen none.
+// decayingRate estimates events per second, with exponential decay. The zero value has
+// recorded none.
 type decayingRate struct {
 	sum       float64
 	updatedAt time.Time
 }
 
-// rateWindow is over how long a rate is taken.
+// rateWindow is the time constant of the decay.
 const rateWindow = time.Second
 
 func (r *decayingRate) add(n float64, now time.Time) {
--- a/dispatch/prompt.go
+++ b/dispatch/prompt.go
@@ -1,4 +1,4 @@
-// This file defines prompts and the estimate of what engines keep of them.
+// This file defines prompts and the estimate of what engines have cached of them.
 
 package dispatch
 
@@ -11,23 +11,22 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// Prompt is what a request tells of its prompt. The zero value is a request
-// that has none.
+// Prompt describes the prompt of a request. The zero value describes a request without
+// one.
 type Prompt struct {
 	Model     string
 	TokensIn  int
-	TokensOut int // expected
+	TokensOut int // expected length of the answer
 	Parts     []Part
 }
 
-// Part is one part of a prompt, in order. All but the last are shared among
-// requests.
+// Part is one block of a prompt. All blocks but the last are shared among requests.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// sharedBlocks gives the parts that other requests have too.
+// sharedBlocks returns the blocks that other requests have too.
 func (p Prompt) sharedBlocks() []Part {
 	if len(p.Parts) == 0 {
 		return nil
@@ -35,7 +34,7 @@
 	return p.Parts[:len(p.Parts)-1]
 }
 
-// sharedTokens counts the tokens of the shared parts.
+// sharedTokens returns the number of tokens of the shared blocks.
 func (p Prompt) sharedTokens() int {
 	n := 0
 	for _, block := range p.sharedBlocks() {
@@ -44,8 +43,8 @@
 	return n
 }
 
-// Affinity gives the key by which gateways agree on an engine: the deepest
-// shared part, which stands for all before it.
+// Affinity returns the key by which gateways agree on an engine: the ID of the deepest
+// shared block, which implies all before it; "" if no block is shared.
 func (p Prompt) Affinity() string {
 	if shared := p.sharedBlocks(); len(shared) > 0 {
 		return shared[len(shared)-1].ID
@@ -53,8 +52,8 @@
 	return ""
 }
 
-// Rank orders engines for a key: every gateway gives the same engine the
-// highest rank (rendezvous hashing; Thaler and Ravishankar, 1998).
+// Rank returns the rank of an engine, gateway or region for a key. All gateways compute
+// the same ranks (rendezvous hashing; Thaler and Ravishankar, 1998).
 func Rank(key, engine string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -64,26 +63,26 @@
 	return d.Sum64()
 }
 
-// cacheLifetime is how long a part is believed to be kept after its last use. What
-// is used less often gives way to other prompts.
+// cacheLifetime is how long a block is assumed to stay cached after its last use. Engines
+// evict blocks that are used less often.
 const cacheLifetime = 40 * time.Second
 
-// cachedBlocks remembers which parts were sent to one engine lately, and when; by hash,
-// as gateways tell each other.
+// cachedBlocks holds the blocks recently sent to one engine, by hash, and when they were
+// last sent.
 type cachedBlocks map[uint32]time.Time
 
-// hashBlock gives a part's hash. Two parts that share one cost a wrong guess.
+// hashBlock returns the hash of a block's ID. A collision only causes a wrong estimate.
 func hashBlock(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// record remembers the parts of a prompt.
+// record records that a prompt's blocks were sent.
 func (b cachedBlocks) record(p Prompt, now time.Time) {
 	for _, block := range p.Parts {
 		b[hashBlock(block.ID)] = now
 	}
 }
 
-// tokens gives how many tokens of the prompt's beginning are believed kept: up to
-// the last part that is, for a part is only kept with all before it.
+// tokens returns how many tokens at the beginning of the prompt are probably cached:
+// those up to the last known block, since a block is only cached with all before it.
 func (b cachedBlocks) tokens(p Prompt, now time.Time) int {
 	n, total := 0, 0
 	for _, block := range p.Parts {
@@ -95,13 +94,13 @@
 	return n
 }
 
-// has tells whether a part is believed kept.
+// has reports whether a block is probably cached.
 func (b cachedBlocks) has(block uint32, now time.Time) bool {
 	at, ok := b[block]
 	return ok && now.Sub(at) <= cacheLifetime
 }
 
-// removeExpired drops what is no longer believed.
+// removeExpired removes blocks that are probably evicted.
 func (b cachedBlocks) removeExpired(now time.Time) {
 	for id, at := range b {
 		if now.Sub(at) > cacheLifetime {
@@ -110,7 +109,7 @@
 	}
 }
 
-// sentBlock is a shared part that this gateway has sent to an engine.
+// sentBlock is a shared block that this gateway has sent to an engine.
 type sentBlock struct {
 	at     time.Time
 	block  uint32
@@ -118,15 +117,15 @@
 }
 
 const (
-	// sentBlockTTL is how long a part that was sent is told to the other gateways:
-	// four reports, any of which may be lost. Where leaders pass them on, every part
-	// takes 14 bytes of a message for each gateway and 0.1 s.
+	// sentBlockTTL is how long a sent block is reported to the other gateways: in four
+	// reports, any of which may be lost. Where group leaders forward the reports, each
+	// block takes 14 bytes of a message for each gateway and 0.1 s.
 	sentBlockTTL = 400 * time.Millisecond
-	// minSharedTokens is how many tokens are worth telling of.
+	// minSharedTokens is the smallest number of shared tokens worth reporting.
 	minSharedTokens = 500
 )
 
-// recordSentBlock remembers the deepest shared part of a prompt to be told. The
+// recordSentBlock records the deepest shared block of a prompt for the next reports. The
 // dispatcher's lock is held.
 func (d *Dispatcher) recordSentBlock(p Prompt, e *engine, now time.Time) {
 	if key := p.Affinity(); key != "" && p.sharedTokens() >= minSharedTokens {
@@ -134,7 +133,8 @@
 	}
 }
 
-// recentSentBlocks gives the parts to tell, and forgets those told for long enough.
+// recentSentBlocks removes blocks that were reported for long enough, and returns the
+// others.
 func (d *Dispatcher) recentSentBlocks(now time.Time) []rollup.SentPart {
 	d.sentBlocks = slices.DeleteFunc(d.sentBlocks, func(s sentBlock) bool { return now.Sub(s.at) > sentBlockTTL })
 	out := make([]rollup.SentPart, len(d.sentBlocks))
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -1,4 +1,5 @@
-// This file defines how a gateway keeps to what engines ask of it in their answers.
+// This file defines how a gateway observes the backoff and draining that engines announce
+// in their answers.
 
 package dispatch
 
@@ -10,20 +11,21 @@
 	"github.com/linenscale/linenscale/pushback"
 )
 
-// HeardPushback takes what the head of the engine's answer asks for. It is called as soon as the
-// head is there: the next request may be chosen an engine for before the answer ends.
+// HeardPushback applies the backoff in the header of the engine's answer. It is called
+// when the header arrives: other requests may be dispatched before the answer ends.
 func (t *Ticket) HeardPushback(signal pushback.Word) {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
 	if d.pushback.Hear(e.hash, signal, now) {
-		d.Log.Info("engine rests", zap.String("engine", e.ID), zap.Stringer("for", signal))
+		d.Log.Info("engine asked for backoff", zap.String("engine", e.ID), zap.Stringer("for", signal))
 	}
 }
 
-// HeardLeaving takes that the engine says that it leaves. A heartbeat which was sent before and
-// says that it is ready doesn't lift it.
+// HeardLeaving applies the announcement, in the engine's answer, that the engine is
+// draining. An earlier heartbeat that reports it ready, and arrives later, doesn't revoke
+// this.
 func (t *Ticket) HeardLeaving() {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
@@ -31,27 +33,30 @@
 	d.markDraining(e, "its answer", d.Clock())
 }
 
-// markDraining takes over that an engine leaves. The lock is held.
+// markDraining records that an engine is draining. The lock is held.
 func (d *Dispatcher) markDraining(e *engine, source string, now time.Time) {
 	if d.pushback.HearLeaving(e.hash, now) {
-		d.Log.Info("engine leaves", zap.String("engine", e.ID), zap.String("told_by", source))
+		d.Log.Info("engine draining", zap.String("engine", e.ID), zap.String("told_by", source))
 	}
 }
 
-// isDraining tells whether an engine says in its answers that it leaves. The lock is held.
+// isDraining reports whether an engine has announced draining in its answers. The lock is
+// held.
 func (d *Dispatcher) isDraining(hash uint64, now time.Time) bool {
 	pushed, excluded := d.pushback.Bar(hash, now)
 	return excluded && pushed.Reason == pushback.Leaving
 }
 
-// Unwanted says that an engine wants no more requests, or will end, since it was chosen.
+// Unwanted is the error for an engine that, since it was chosen, has become unable to
+// accept the request.
 type Unwanted struct{ Engine, Why string }
 
 // Error implements error.
 func (u *Unwanted) Error() string { return "engine " + u.Engine + " is " + u.Why + " by now" }
 
-// Wanted tells whether the engine may still get the request, which has waited for a connection.
-// The error is an *Unwanted. What the choice has weighed isn't weighed again.
+// Wanted checks again whether the engine may get the request, after the wait for a
+// connection. The error is an *Unwanted. Exclusions that the choice has already taken
+// into account don't count.
 func (t *Ticket) Wanted() error {
 	d := t.dispatcher
 	d.mu.Lock()
@@ -64,8 +69,8 @@
 	}
 }
 
-// Taken notes that the engine has not refused the request: it takes requests again if it rested
-// before.
+// Taken records that the engine has not rejected the request, which ends the trial after
+// a backoff.
 func (t *Ticket) Taken() {
 	d := t.dispatcher
 	d.mu.Lock()
@@ -73,7 +78,8 @@
 	d.pushback.Taken(t.engine.hash, t.sentAt)
 }
 
-// beginPushback counts a ticket towards what engines ask for. The lock is held.
+// beginPushback counts a ticket in the pushback statistics, and makes it the trial
+// request of an engine whose backoff is over. The lock is held.
 func (d *Dispatcher) beginPushback(t *Ticket, now time.Time) {
 	for _, e := range t.pool.pushedBack {
 		if e != t.engine && d.exclusionOf(t.pool, e, now).isPushback() {
@@ -83,7 +89,7 @@
 	}
 	if d.exclusionOf(t.pool, t.engine, now).isPushback() {
 		d.countPushback(t.engine, "sent_in_spite")
-		d.Log.Error("request sent to an engine that wants none", zap.String("engine", t.engine.ID))
+		d.Log.Error("request sent despite pushback", zap.String("engine", t.engine.ID))
 	}
 	t.trial = d.pushback.Begin(t.engine.hash, now)
 }
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -1,5 +1,5 @@
-// This file defines what gateways of one region tell those of the others, and
-// the choice of region.
+// This file defines what the gateways of a region report to other regions, and the choice
+// of the region for a request.
 
 package dispatch
 
@@ -15,17 +15,17 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Digest is what one region's gateways know of its engines of one service.
+// Digest summarizes a region's engines of one service. It is sent to other regions.
 type Digest struct {
 	_           struct{} `cbor:",toarray"`
 	Service     string
-	Engines     int // that can take requests and aren't cold
-	Slots       int // of one engine
-	CacheTokens int // of one engine's memory, in tokens
+	Engines     int // that accept requests and aren't cold
+	Slots       int // per engine
+	CacheTokens int // cache size of one engine in tokens
 	MeanLoad    DigestLoad
-	LeastLoad   DigestLoad // of the engine that does least
-	FailureRate float64    // share of requests that failed lately beyond the usual, of all engines
-	Throughput  Throughput // as learned there
+	LeastLoad   DigestLoad // of the least loaded engine
+	FailureRate float64    // mean share of recent requests that failed beyond the baseline
+	Throughput  Throughput // as estimated in that region
 }
 
 // DigestLoad is the load of one engine.
@@ -46,23 +46,23 @@
 }
 
 const (
-	// regionReportInterval is how often a region tells the others.
+	// regionReportInterval is the interval of reports to other regions.
 	regionReportInterval = 250 * time.Millisecond
-	// regionReporters is how many gateways of a region tell the others: two, so that
-	// the loss of one isn't felt.
+	// regionReporters is the number of gateways that send the region's reports. With two,
+	// the loss of one has no effect.
 	regionReporters = 2
-	// digestTTL is how old a region's word may be to count, from when it was heard:
-	// it comes several times within it.
+	// digestTTL is how long a region's report is used after its arrival in this region.
+	// Several reports arrive within it.
 	digestTTL = 800 * time.Millisecond
-	// defaultRoundTrip is assumed to a region that no connection has been opened to:
-	// regions of one continent are about as far apart.
+	// defaultRoundTrip is assumed for regions without a measured round trip. Regions of
+	// one continent are about that far apart.
 	defaultRoundTrip = 100 * time.Millisecond
-	// remoteCost is what it costs beside the trip to send a request to another
-	// region: the bytes cross a slow network that costs money.
+	// remoteCost is the cost, in addition to the round trip, of sending a request to
+	// another region: the traffic crosses a slow network that costs money.
 	remoteCost = 40 * time.Millisecond
 )
 
-// reportsRegion tells whether this gateway tells the other regions of this one.
+// reportsRegion reports whether this gateway sends the region's reports to other regions.
 func (d *Dispatcher) reportsRegion() bool {
 	ownRank := Rank(d.Region, d.Name)
 	higher := 0
@@ -74,8 +74,8 @@
 	return higher < regionReporters
 }
 
-// regionReportRecipients gives the addresses of the gateways of other regions that are told of
-// this one.
+// regionReportRecipients returns the addresses of the gateways in other regions that
+// receive this region's reports.
 func (d *Dispatcher) regionReportRecipients() []string {
 	hosts := d.Peers()
 	var regions, out []string
@@ -88,7 +88,7 @@
 	return out
 }
 
-// RegionReport gives what this gateway tells the other regions.
+// RegionReport returns the report of this region to other regions.
 func (d *Dispatcher) RegionReport() rollup.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +96,7 @@
 	return report
 }
 
-// regionReport is RegionReport with the lock held; false where it can't be packed.
+// regionReport is RegionReport with the lock held. It returns false if encoding fails.
 func (d *Dispatcher) regionReport(now time.Time) (rollup.Message, bool) {
 	var digests []Digest
 	for _, s := range d.catalog.Services() {
@@ -106,14 +106,14 @@
 	}
 	body, err := cbor.Marshal(digests)
 	if err != nil {
-		d.Log.Error("load not told to other regions", telemetry.Cause(err))
+		d.Log.Error("region report not sent: encoding failed", telemetry.Cause(err))
 		return rollup.Message{}, false
 	}
 	return rollup.Message{From: d.Name, Far: []rollup.FarWord{{Region: d.Region, Body: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.TellFar(now)}}}, true
 }
 
 func (d *Dispatcher) digest(p *pool, now time.Time) Digest {
-	out := Digest{Service: p.service.Name, Throughput: p.throughput.throughput()}
+	out := Digest{Service: p.service.Name, Throughput: p.throughput.current()}
 	if p.service.Model != nil {
 		out.CacheTokens = p.service.Model.CacheTokens
 	}
@@ -134,8 +134,8 @@
 	return out
 }
 
-// digestEngines gives the engines that a region's word is of: those that can take requests and
-// aren't cold, and such that name limits only where there are no others.
+// digestEngines returns the engines that a digest summarizes: those that accept requests
+// and aren't cold. Engines with a rate limit are included only if there are no others.
 func (d *Dispatcher) digestEngines(p *pool, now time.Time) []*engine {
 	var unlimited, limited []*engine
 	for _, e := range p.sorted {
@@ -154,12 +154,12 @@
 	return limited
 }
 
-// dividedBy gives the load of one engine where n share it.
+// dividedBy returns the load of one of n engines that share it.
 func (l Load) dividedBy(n int) Load {
 	return Load{l.Requests / n, l.Unread / n, l.Reserved / n, l.ReadRate / float64(n)}
 }
 
-// receiveRegionReport takes another region's word. The lock is held.
+// receiveRegionReport applies another region's report. The lock is held.
 func (d *Dispatcher) receiveRegionReport(r rollup.FarWord, now time.Time) {
 	d.mergeRemoteCrashes(r, now)
 	remote, ok := d.remotes[r.Region]
@@ -169,28 +169,27 @@
 	}
 	var digests []Digest
 	if err := cbor.Unmarshal(r.Body, &digests); err != nil {
-		d.Log.Warn("another region's word can't be read", zap.String("region", r.Region), telemetry.Cause(err))
+		d.Log.Warn("region report ignored: decoding failed", zap.String("region", r.Region), telemetry.Cause(err))
 		return
 	}
 	remote.applyDigests(digests, d.roundTrip(r.Region), now.Add(-r.Age))
 	d.applyRemoteUsage(r.Region, r.Accounts, now.Add(-r.Age))
 }
 
-// Place says where a request should run.
+// Place is the region chosen for a request.
 type Place struct {
 	Region string
-	Here   time.Duration // expected cost in this region; negative where it can't run here
+	Here   time.Duration // expected cost in this region; negative if it can't run here
 	There  time.Duration // expected cost in Region
-	Queue  time.Duration // expected there until the request is begun
-	// Refusal is why the request isn't admitted even there; nil where it is.
+	Queue  time.Duration // expected queueing time in Region
+	// Refusal is the rejection if the request isn't admitted even in Region; else nil.
 	Refusal error
-	Home    bool // Region is where the prompt's shared parts are kept
+	Home    bool // Region is the home region of the prompt's shared blocks
 }
 
-// ChooseRegion gives the region for a request: this one, or another that is
-// expected to serve it better, the trip and the reading of the prompt counted.
-// here tells whether this region is one of the choices; reachable lists the
-// others that have a gateway.
+// ChooseRegion returns the region with the lowest expected cost for a request, including
+// the round trip and the reading of the prompt. localPermitted reports whether this
+// region may be chosen; reachable lists the other regions that have a gateway.
 func (d *Dispatcher) ChooseRegion(req Ask, localPermitted bool, reachable []string) Place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,15 +218,15 @@
 	return best
 }
 
-// estimateRemote gives the expectation for a request in another region; false where
-// nothing is known of it, or no engine can be used there.
+// estimateRemote returns the cost estimate for a request in another region; false if
+// there is no recent report from the region or no usable engine there.
 func (d *Dispatcher) estimateRemote(region string, p *pool, req Ask, isHome bool, now time.Time) (score, bool) {
 	remote, ok := d.remotes[region]
 	if !ok || !remote.isFresh(now) || remote.digests[p.service.Name].Engines == 0 {
 		return score{}, false
 	}
-	in := remote.costInputs(req, p.throughput.throughput(), isHome, now)
-	// All gateways of this region do as this one does.
+	in := remote.costInputs(req, p.throughput.current(), isHome, now)
+	// Assume that the other gateways of this region have sent as much as this one.
 	inFlight := remote.inFlightLoad(p.service.Name)
 	inFlight.Requests, inFlight.Unread, inFlight.Reserved = inFlight.Requests*d.reportingGateways, inFlight.Unread*d.reportingGateways, inFlight.Reserved*d.reportingGateways
 	in.load = in.load.plus(inFlight.dividedBy(remote.digests[p.service.Name].Engines))
@@ -235,7 +234,7 @@
 	return estimate(in, req, d.roundTrip(region)), true
 }
 
-// roundTrip gives the usual round trip to another region.
+// roundTrip returns the usual round trip to another region.
 func (d *Dispatcher) roundTrip(region string) time.Duration {
 	if known, ok := d.Trip(region); ok {
 		return known
@@ -243,9 +242,9 @@
 	return defaultRoundTrip
 }
 
-// homeRegion gives the region where a prompt's shared parts are kept: the one
-// ranked first, by weighted rendezvous hashing, of those where the request may
-// run; "" where the prompt has none. A region counts by its engines.
+// homeRegion returns the region where a prompt's shared blocks are cached: the one ranked
+// first, by rendezvous hashing weighted with the numbers of engines, of those where the
+// request may run; "" if the prompt has no shared blocks.
 func (d *Dispatcher) homeRegion(p *pool, req Ask, now time.Time) string {
 	key := req.Prompt.Affinity()
 	if key == "" {
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -1,4 +1,4 @@
-// This file defines what is learned of the speed of one service's engines.
+// This file estimates the throughput of one service's engines.
 
 package dispatch
 
@@ -12,36 +12,35 @@
 	"github.com/linenscale/linenscale/pace"
 )
 
-// Throughput is how fast the engines of a service are expected to work.
+// Throughput is the expected speed of a service's engines.
 type Throughput struct {
 	_              struct{}      `cbor:",toarray"`
-	Overhead       time.Duration // until the first event, beside the reading
-	ReadPerToken   time.Duration // to read one token of a prompt
-	OutputPerToken time.Duration // to give one token of an answer
-	SlotTime       time.Duration // that a request holds its slot
+	Overhead       time.Duration // until the first event, in addition to reading the prompt
+	ReadPerToken   time.Duration // to read one prompt token
+	OutputPerToken time.Duration // to generate one token of the answer
+	SlotTime       time.Duration // how long a request occupies its slot
 }
 
-// Beliefs before the first answers, which replace them: some ten answers count more
-// than these. Engines of two accelerators read 30 to 60 tokens in a millisecond and
-// give one in 4 to 10.
+// Estimates before the first answers. About ten answers outweigh them. Engines of two
+// accelerators read 30 to 60 tokens per millisecond and generate one in 4 to 10 ms.
 const (
 	priorOverhead       = 20 * time.Millisecond
 	priorReadTokens     = 9000
-	priorReadTime       = 250 * time.Millisecond // to read so many tokens
+	priorReadTime       = 250 * time.Millisecond // for priorReadTokens
 	priorOutputPerToken = 8 * time.Millisecond
-	priorModelSlotTime  = 2 * time.Second       // of a model's request
-	priorPlainSlotTime  = 20 * time.Millisecond // of any other
+	priorModelSlotTime  = 2 * time.Second       // with a model
+	priorPlainSlotTime  = 20 * time.Millisecond // without a model
 )
 
-// throughputEstimator learns the Throughput of a service's engines. It is guarded by the Dispatcher's
-// lock; newThroughputEstimator makes one.
+// throughputEstimator estimates the Throughput of a service's engines from their answers.
+// The Dispatcher's lock guards it.
 type throughputEstimator struct {
-	firstEvent     *pace.Line // time until the first event, by the tokens to be read until then
+	firstEvent     *pace.Line // time until the first event, by the tokens to be read before it
 	outputPerToken *pace.Mean
 	slotTime       *pace.Mean
 
-	model   bool // the service's engines run one
-	answers int  // that something was learned from
+	model   bool // the service's engines run a model
+	answers int  // number of answers used
 }
 
 func newThroughputEstimator(model bool) *throughputEstimator {
@@ -55,13 +54,13 @@
 	}
 }
 
-// throughput gives what is believed now.
-func (s *throughputEstimator) throughput() Throughput {
+// current returns the current estimate.
+func (s *throughputEstimator) current() Throughput {
 	return Throughput{Overhead: s.firstEvent.Fixed(), ReadPerToken: time.Duration(s.firstEvent.PerUnit()), OutputPerToken: s.outputPerToken.Value(), SlotTime: s.slotTime.Value()}
 }
 
-// usualError gives by how much the expected time until an answer begins is usually off.
-// Without a model the whole answer comes at once, when the request leaves its slot.
+// usualError returns the mean error of the estimated time until an answer begins. Without
+// a model the whole answer arrives at once, when the request frees its slot.
 func (s *throughputEstimator) usualError() time.Duration {
 	if s.model {
 		return s.firstEvent.Error()
@@ -69,36 +68,37 @@
 	return s.slotTime.Error()
 }
 
-// logEstimates logs what is believed of the engines' speeds, and of the way to the other
-// regions. The lock is held.
+// logEstimates logs the throughput of each service and the round trip to each other
+// region. The lock is held.
 func (d *Dispatcher) logEstimates() {
 	for _, service := range slices.Sorted(maps.Keys(d.pools)) {
 		estimator := d.pools[service].throughput
-		t := estimator.throughput()
-		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", t.Overhead), zap.Duration("token_read", t.ReadPerToken),
+		t := estimator.current()
+		d.Log.Info("throughput estimate", zap.String("service", service), zap.Duration("fixed", t.Overhead), zap.Duration("token_read", t.ReadPerToken),
 			zap.Duration("token_out", t.OutputPerToken), zap.Duration("hold", t.SlotTime), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
 	}
 	for _, region := range slices.Sorted(maps.Keys(d.remotes)) {
 		roundTrip, known := d.Trip(region)
-		d.Log.Info("trip believed", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.remotes[region].reportedAt)))
+		d.Log.Info("round-trip estimate", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.remotes[region].reportedAt)))
 	}
 }
 
-// recordFirstEvent learns from the begin of an answer, if the engine wasn't cold and had
-// a slot free: then only the reading of prompts comes before it.
+// recordFirstEvent updates the estimates with the time until an answer's first event. It
+// does so only if the engine was warm and had a free slot: then nothing but the reading
+// of prompts precedes the event.
 func (t *Ticket) recordFirstEvent(now time.Time) {
 	if t.Cold || t.queued || t.CopyFrom != "" || t.pool.service.Model == nil {
 		return
 	}
 	took := now.Sub(t.sentAt)
-	estimate := t.pool.throughput.firstEvent
-	// An error that is usual says nothing of the engine.
-	usualError := estimate.Error()
-	t.engine.slowdown.Note(estimate.At(t.readTokens)+usualError, took+usualError, now)
-	estimate.Note(t.readTokens, took)
+	firstEvent := t.pool.throughput.firstEvent
+	// A usual error must not count as slowness of the engine.
+	usualError := firstEvent.Error()
+	t.engine.slowdown.Note(firstEvent.At(t.readTokens)+usualError, took+usualError, now)
+	firstEvent.Note(t.readTokens, took)
 }
 
-// recordCompletion learns from a whole answer.
+// recordCompletion updates the estimates with a complete answer.
 func (t *Ticket) recordCompletion(now time.Time) {
 	if t.Cold || t.queued || t.firstEventAt.IsZero() {
 		return
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -1,6 +1,7 @@
-// This file defines the one answer to whether an engine may get a request now, and why not.
-// Choice, last resort, copies, what other regions are told and what operators are shown all go
-// by it: a reason that only one of them knows is a request sent where it isn't wanted.
+// This file decides whether an engine may get a request now, and if not, why. The choice
+// of an engine, the fallback, transfers, reports to other regions and the status for
+// operators all use this decision: with separate rules, one could send requests to an
+// engine that another rule excludes.
 
 package dispatch
 
@@ -14,23 +15,23 @@
 // exclusion is a reason not to use an engine; "" for none.
 type exclusion string
 
-// The reasons beside the phases of the registry.
+// Exclusions, in addition to the phases of the registry.
 const (
 	excludedEvacuated   exclusion = "evacuated"
-	excludedRecalled    exclusion = "taken away"       // its lender has taken it away
+	excludedRecalled    exclusion = "taken away"       // its announced removal time has passed
 	excludedReplaced    exclusion = "replaced"         // another incarnation answers at its address
-	excludedDraining    exclusion = "leaving"          // it says so in its answers
-	excludedBackoff     exclusion = "resting"          // it asked this gateway for rest
-	excludedTrial       exclusion = "trying"           // after its rest, one request goes first
-	excludedLimited     exclusion = "limited"          // this gateway has no part of the limit that it names, or has used it
-	excludedFailing     exclusion = "failing"          // it has failed lately
-	excludedPeerBackoff exclusion = "rests for others" // it asked other gateways for rest, and hasn't answered this one since
-	excludedCold        exclusion = "cold"             // another gateway warms it up, or it is too soon
-	excludedTried       exclusion = "tried"            // this request has been there
+	excludedDraining    exclusion = "leaving"          // it announced draining in its answers
+	excludedBackoff     exclusion = "resting"          // it asked this gateway for backoff
+	excludedTrial       exclusion = "trying"           // the trial after its backoff is in flight
+	excludedLimited     exclusion = "limited"          // no share of its rate limit, or it is used up
+	excludedFailing     exclusion = "failing"          // it has failed recently
+	excludedPeerBackoff exclusion = "rests for others" // others report its backoff, and no recent answer here
+	excludedCold        exclusion = "cold"             // not this gateway's to warm up, or too soon
+	excludedTried       exclusion = "tried"            // this request was already sent there
 )
 
-// isTransient tells whether a reason may end between two refreshes, so that the engine is looked at
-// with each request.
+// isTransient reports whether the exclusion may end between two refreshes, so that it
+// must be checked for each request.
 func (x exclusion) isTransient() bool {
 	switch x {
 	case excludedBackoff, excludedTrial, excludedLimited, excludedFailing, excludedPeerBackoff:
@@ -40,18 +41,19 @@
 	}
 }
 
-// isOverridable tells whether an engine with that reason is used where no other can be: it may serve all
-// the same.
+// isOverridable reports whether the engine is used nevertheless if no other can be: it
+// may still answer.
 func (x exclusion) isOverridable() bool { return x == excludedFailing || x == excludedPeerBackoff }
 
-// isPushback tells whether the engine itself has asked for it.
+// isPushback reports whether the engine itself has asked for the exclusion.
 func (x exclusion) isPushback() bool {
 	return x == excludedDraining || x == excludedBackoff || x == excludedTrial
 }
 
-// exclusionOf gives the first reason why an engine gets nothing: first what ends its life, then what it
-// asks for itself or bears, and last what this gateway makes of it, which alone the last resort may
-// overrule. It is asked for each engine with each request. The lock is held.
+// exclusionOf returns the first exclusion that applies to an engine. The order is: the
+// engine is ending, it has announced backoff or a limit, and last this gateway's own
+// estimates, which alone can be overridden. It is called for each engine and request. The
+// lock is held.
 func (d *Dispatcher) exclusionOf(p *pool, e *engine, now time.Time) exclusion {
 	pushed, pushedBack := d.pushback.Bar(e.hash, now)
 	switch {
@@ -78,7 +80,7 @@
 	}
 }
 
-// exclusionStart gives since when a reason holds; zero where that isn't known, or no matter of time.
+// exclusionStart returns since when an exclusion applies; zero if that isn't known.
 func (d *Dispatcher) exclusionStart(e *engine, x exclusion, now time.Time) time.Time {
 	switch x {
 	case excludedRecalled:
@@ -93,8 +95,8 @@
 	}
 }
 
-// exclusionEnd gives until when a reason holds: now for none, and zero where that isn't known, or
-// never.
+// exclusionEnd returns when an exclusion ends: now for none, and zero if that isn't known
+// or it never ends.
 func (d *Dispatcher) exclusionEnd(e *engine, x exclusion, now time.Time) time.Time {
 	switch x {
 	case "":
@@ -115,17 +117,17 @@
 	}
 }
 
-// earliest is the first of several times. The zero value has none.
+// earliest collects the first of several times. The zero value has none.
 type earliest struct{ at time.Time }
 
-// add takes one more; zero is none.
+// add adds a time; zero times are ignored.
 func (s *earliest) add(at time.Time) {
 	if !at.IsZero() && (s.at.IsZero() || at.Before(s.at)) {
 		s.at = at
 	}
 }
 
-// waitFrom gives how long it takes until then; 0 where there is none.
+// waitFrom returns the time from now until the first time; 0 if there is none.
 func (s *earliest) waitFrom(now time.Time) time.Duration {
 	if s.at.IsZero() {
 		return 0
@@ -144,8 +146,8 @@
 	}
 }
 
-// limitEnd gives when this gateway may send the engine a request again; zero where it has no
-// share of what that takes.
+// limitEnd returns when this gateway may send the engine a request again; zero if it has
+// no share of the engine's rate limit.
 func (d *Dispatcher) limitEnd(e *engine, now time.Time) time.Time {
 	wait, shares := d.limits.Next(e.hash, now)
 	if !shares {
@@ -154,11 +156,11 @@
 	return now.Add(wait)
 }
 
-// coldAfterEvacuation is how long after the end of an evacuation engines count as cold
-// without having said so: until a heartbeat sent since has come.
+// coldAfterEvacuation is how long after the end of an evacuation all engines of the data
+// centre count as cold. Within it, their next heartbeats report whether they are.
 const coldAfterEvacuation = 3 * time.Second
 
-// isCold tells whether an engine bears only few requests.
+// isCold reports whether an engine is warming up and accepts only few requests.
 func (d *Dispatcher) isCold(p *pool, e *engine, now time.Time) bool {
 	if p.service.ColdRate <= 0 {
 		return false
@@ -169,14 +171,15 @@
 	return e.IsCold(now)
 }
 
-// mayWarm tells whether a cold engine may get a request now: from one gateway
-// only, which all agree on, and no faster than the engine bears.
+// mayWarm reports whether a cold engine may get a request from this gateway now. Only one
+// gateway, on which all agree, sends it requests, and no faster than the service's
+// ColdRate.
 func (d *Dispatcher) mayWarm(e *engine, now time.Time) bool {
 	return !now.Before(e.nextWarmRequest) && d.gateways.warmer(e) == d.Name
 }
 
-// nextWarmRequest gives when a cold engine may get its next request from this gateway; zero where another
-// warms it.
+// nextWarmRequest returns when a cold engine may get its next request from this gateway;
+// zero if another gateway warms it up.
 func (d *Dispatcher) nextWarmRequest(e *engine) time.Time {
 	if d.gateways.warmer(e) != d.Name {
 		return time.Time{}
@@ -184,8 +187,8 @@
 	return e.nextWarmRequest
 }
 
-// Opens gives how long it takes until some engine of a service may get a request here; 0 where
-// one may now, or nothing tells when.
+// Opens returns the time until some engine of a service may get a request from this
+// gateway; 0 if one may now, or if that isn't known.
 func (d *Dispatcher) Opens(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -1,4 +1,4 @@
-// This file defines tickets and what their ends teach.
+// This file defines tickets, and how their outcomes update the estimates.
 
 package dispatch
 
@@ -11,36 +11,38 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// Ticket is the right to send one request to one engine.
+// Ticket permits sending one request to one engine.
 type Ticket struct {
-	Engine  string // incarnation
+	Engine  string // ID of the engine
 	Address string
-	Why     string // it was chosen
+	Why     string // score of the engine, for the log
 	Cold    bool
-	Wait    time.Duration // expected until the answer begins
-	// CopyFrom is the address of an engine that keeps the prompt's shared parts, which
-	// this one copies; "" where it reads them, or keeps them itself.
+	Wait    time.Duration // expected time until the answer begins
+	// CopyFrom is the address of the engine from which this one transfers the prompt's
+	// shared blocks; "" if it reads them or has cached them itself.
 	CopyFrom string
 
 	dispatcher   *Dispatcher
 	pool         *pool
 	engine       *engine
 	sentAt       time.Time
-	firstEventAt time.Time // when the answer began, of one that teaches
-	load         Load      // that the request adds
-	readTokens   float64   // tokens to be read until its first event
-	outputTokens int       // tokens expected of its answer
-	queued       bool      // every slot was taken
+	firstEventAt time.Time // when the answer began; zero if it isn't used for estimates
+	load         Load      // that the request adds to the engine
+	readTokens   float64   // to read before the first event, for earlier requests too
+	outputTokens int       // expected length of the answer
+	queued       bool      // no slot was free
 	route        string
-	// fingerprint is the same for each repeat of the request.
+	// fingerprint is equal for all repeats of the request.
 	fingerprint quarantine.Fingerprint
-	// limit is what was known of the limit that the engine names; nil where it names none.
+	// limit is the state of the engine's rate limit; nil if it has none.
 	limit *ratelimit.Status
-	// trial is true for the one request that shows whether the engine takes any after a rest.
+	// trial marks the one request that tests whether the engine accepts requests after a
+	// backoff.
 	trial bool
 }
 
-// issueTicket gives a ticket for an engine. The dispatcher's lock is held.
+// issueTicket issues a ticket for an engine and counts its load. The dispatcher's lock is
+// held.
 func (d *Dispatcher) issueTicket(p *pool, e *engine, req Ask, s score, now time.Time) *Ticket {
 	t := &Ticket{
 		Engine: e.ID, Address: e.Address, Why: s.String(), Cold: d.isCold(p, e, now), Wait: s.wait,
@@ -67,14 +69,14 @@
 	return t
 }
 
-// take takes a load away.
+// minus subtracts a load.
 func (l Load) minus(o Load) Load {
 	return l.plus(Load{-o.Requests, -o.Unread, -o.Reserved, -o.ReadRate})
 }
 
-// Begun notes the first byte of the answer: the prompt has been read. It gives
-// the time that this took. served is false for a failure of the engine's own, which
-// tells nothing of its speed.
+// Begun records the first byte of the answer: the prompt has been read. It returns the
+// time since the ticket was issued. served is false if the answer is a failure of the
+// engine itself, which says nothing about its throughput.
 func (t *Ticket) Begun(served bool) time.Duration {
 	d := t.dispatcher
 	d.mu.Lock()
@@ -91,37 +93,37 @@
 	return now.Sub(t.sentAt)
 }
 
-// Outcome says how a ticket ended.
+// Outcome is how a ticket ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a ticket.
 const (
 	Answered    Outcome = iota
-	Failed              // a wrong answer, none in time, or the engine's own failure
+	Failed              // wrong answer, no answer in time, or a failure of the engine itself
 	Unreached           // no connection could be opened
-	Shed                // the engine refused for load
+	Shed                // the engine rejected the request because of overload
 	Misdirected         // another incarnation answered
-	Abandoned           // the caller went away: says nothing of the engine
+	Abandoned           // the caller went away, which says nothing about the engine
 	Broken              // the connection ended before the answer did
-	Unsent              // nothing was sent: the engine wanted nothing any more
+	Unsent              // nothing was sent: the engine stopped accepting requests
 )
 
-// String gives the word used in logs.
+// String returns the name used in logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"answered", "failed", "unreached", "shed", "misdirected", "abandoned", "broken", "unsent"}[o]
 }
 
 const (
-	// minConnectBackoff is how long an engine is avoided that couldn't be connected
-	// to; it doubles with each time in a row up to maxConnectBackoff.
+	// minConnectBackoff is how long an engine is excluded after a failed connection. It
+	// doubles with each consecutive failure up to maxConnectBackoff.
 	minConnectBackoff = 300 * time.Millisecond
 	maxConnectBackoff = 4 * time.Second
-	// shedExclusionTime is how long an engine is avoided that refused for load and doesn't say for how
-	// long it wants nothing.
+	// shedExclusionTime is how long an engine is excluded that rejected a request because
+	// of overload without asking for a backoff.
 	shedExclusionTime = 150 * time.Millisecond
 )
 
-// Done gives the ticket back. It must be called exactly once.
+// Done releases the ticket and records its outcome. It must be called exactly once.
 func (t *Ticket) Done(outcome Outcome) {
 	d := t.dispatcher
 	d.mu.Lock()
@@ -148,12 +150,12 @@
 		e.connectFailures++
 		e.connectFailedAt = now
 		e.exclude(now.Add(min(minConnectBackoff<<min(e.connectFailures-1, 10), maxConnectBackoff)))
-		d.Log.Warn("engine avoided", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.connectFailures), zap.Duration("for", e.excludedUntil.Sub(now)))
+		d.Log.Warn("engine excluded: connection failed", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.connectFailures), zap.Duration("for", e.excludedUntil.Sub(now)))
 	case Shed:
 		e.exclude(now.Add(shedExclusionTime))
 	case Misdirected:
 		e.replaced, e.replacedAt = true, now
-		d.engineCrashed(e.Incarnation(), "another answers at its address", now)
+		d.engineCrashed(e.Incarnation(), "address answered by another incarnation", now)
 		d.Log.Warn("engine replaced", zap.String("engine", e.ID), zap.String("address", e.Address))
 	case Unsent:
 		d.limits.GiveBack(e.hash, now)
@@ -161,8 +163,8 @@
 	}
 }
 
-// Retry spends one of the sends that the service may get beyond the first of
-// each request, or tells that there is none.
+// Retry takes one send from the service's retry budget, which covers the sends beyond the
+// first of each request. It returns false if the budget is used up.
 func (d *Dispatcher) Retry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +172,7 @@
 	return ok && p.retryBudget.Take(d.Clock(), len(d.Peers()))
 }
 
-// First counts a request's first send to a service.
+// First counts the first send of a request, which earns retry budget.
 func (d *Dispatcher) First(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
