--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -29,7 +29,7 @@
 	Regions    map[string]string // region of each data centre
 	Engines    *registry.Table
 	Peers      func() []roster.Host // reachable gateways of all regions
-	// Trip returns the usual round trip to another region, and whether one was measured.
+	// Estimate of the usual round trip to another region, and whether one was measured.
 	Trip   func(region string) (time.Duration, bool)
 	Budget retry.Policy
 	// Allowances receives the account usage that other gateways report; nil where no
@@ -68,7 +68,7 @@
 	pushback   *pushback.Table  // backoff and draining announced by engines
 }
 
-// New returns a dispatcher without services; Take adds them.
+// New returns a dispatcher without services. They come with the first ledger state.
 func New(deps Deps) *Dispatcher {
 	self := roster.Host{Name: deps.Name, Role: roster.RoleGateway, Region: deps.Region, DataCentre: deps.DataCentre}
 	return &Dispatcher{
