--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -55,8 +55,8 @@
 func (u *Unwanted) Error() string { return "engine " + u.Engine + " is " + u.Why + " by now" }
 
 // Wanted checks again whether the engine may get the request, after the wait for a
-// connection. If not, it returns the error above. Exclusions that the choice has already
-// taken into account don't count.
+// connection. If not, the error names the exclusion. Exclusions that the choice has
+// already taken into account don't count.
 func (t *Ticket) Wanted() error {
 	d := t.dispatcher
 	d.mu.Lock()
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -24,7 +24,7 @@
 	excludedBackoff     exclusion = "resting"          // it asked this gateway for backoff
 	excludedTrial       exclusion = "trying"           // the trial after its backoff is in flight
 	excludedLimited     exclusion = "limited"          // no share of its rate limit, or it is used up
-	excludedFailing     exclusion = "failing"          // it has failed recently
+	excludedFailing     exclusion = "failing"          // a failed connection here or at others, or overload
 	excludedPeerBackoff exclusion = "rests for others" // others report its backoff, and no recent answer here
 	excludedCold        exclusion = "cold"             // not this gateway's to warm up, or too soon
 	excludedTried       exclusion = "tried"            // this request was already sent there
