--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -15,31 +15,32 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// near are the names of the gateways of this region, this one included, as of the
+// gatewayList holds the names of this region's gateways, including this one, as of the
 // last refresh.
-type near struct {
+type gatewayList struct {
 	names   []string
-	version int // changes with the names
+	version int // incremented when the names change
 }
 
-// take takes over the names.
-func (n *near) take(names []string) {
-	if n.version > 0 && slices.Equal(n.names, names) {
+// set replaces the names and changes the version if they differ.
+func (l *gatewayList) set(names []string) {
+	if l.version > 0 && slices.Equal(l.names, names) {
 		return
 	}
-	n.names = names
-	n.version++
+	l.names = names
+	l.version++
 }
 
-// warmer gives the gateway that warms an engine up. It is worked out once for each list of
-// gateways: to rank all of them for each cold engine and request takes milliseconds.
-func (n *near) warmer(e *engine) string {
-	if e.warmerOf == n.version {
+// warmer returns the only gateway that sends requests to a cold engine. The result is
+// cached for each version of the list: ranking all gateways for each cold engine and
+// request takes milliseconds.
+func (l *gatewayList) warmer(e *engine) string {
+	if e.warmerVersion == l.version {
 		return e.warmer
 	}
-	e.warmerOf = n.version
+	e.warmerVersion = l.version
 	highest := uint64(0)
-	for _, name := range n.names {
+	for _, name := range l.names {
 		if r := Rank(e.ID, name); r >= highest {
 			e.warmer, highest = name, r
 		}
@@ -47,209 +48,209 @@
 	return e.warmer
 }
 
-// How many engines are looked at beside those that are believed to keep the
-// prompt's shared parts. Gateways know of each other's requests a moment late; if
-// each took the least loaded of many engines, they would all take the same one
-// (Mitzenmacher, "How useful is old information?", 2000). A few gateways, which hear of each
-// other at once, do better with one more.
+// Number of engines that a choice draws in addition to those that have probably cached
+// the prompt's shared blocks. Gateways learn of each other's requests with a delay; if
+// each chose the least loaded of many engines, all would choose the same one
+// (Mitzenmacher, "How useful is old information?", 2000). A few gateways exchange reports
+// directly and do better with one more.
 const (
-	sampledMany = 2
-	sampledFew  = 3
-	fewGateways = 8
+	sampleSizeMany = 2
+	sampleSizeFew  = 3
+	fewGateways    = 8
 )
 
-// sampled gives how many engines to look at. The lock is held.
-func (d *Dispatcher) sampled() int {
-	if d.alike > fewGateways {
-		return sampledMany
+// sampleSize returns the number of engines to draw. The lock is held.
+func (d *Dispatcher) sampleSize() int {
+	if d.reportingGateways > fewGateways {
+		return sampleSizeMany
 	}
-	return sampledFew
+	return sampleSizeFew
 }
 
-// choose gives the engine that is expected to serve the request best, or nil where
-// none can be used. One that failed lately is used where no other can be.
-func (d *Dispatcher) choose(p *pool, ask Ask, now time.Time) (best *engine, bestScore score) {
-	s := d.sample(p, ask, now)
+// choose returns the engine with the lowest score, or nil if no engine can be used. It
+// chooses an engine with an overridable exclusion only if there is no other.
+func (d *Dispatcher) choose(p *pool, req Ask, now time.Time) (best *engine, bestScore score) {
+	s := d.sample(p, req, now)
 	for _, c := range s.candidates {
-		k := p.knowledge(c.engine, ask, now)
-		// Where an engine is known to keep the parts, nobody need guess.
-		k.first = c.engine == s.first && !s.kept
-		if k.copies = s.source.offer(c.engine, k.kept); k.copies > 0 {
-			k.copying = copyTime(*p.service.Model, k.copies)
+		in := p.costInputs(c.engine, req, now)
+		// No guess is needed where some engine is known to have cached the blocks.
+		in.preferred = c.engine == s.preferred && !s.cached
+		if in.transferable = s.source.tokensFor(c.engine, in.cached); in.transferable > 0 {
+			in.transferTime = transferTime(*p.service.Model, in.transferable)
 		}
-		e := expect(k, ask, 0)
-		e.source = s.source.engine
-		e.silence, e.rank = c.engine.Phase == registry.Silent, c.rank
-		if best == nil || e.less(bestScore) {
-			best, bestScore = c.engine, e
+		estimated := estimate(in, req, 0)
+		estimated.source = s.source.engine
+		estimated.unresponsive, estimated.rank = c.engine.Phase == registry.Silent, c.rank
+		if best == nil || estimated.less(bestScore) {
+			best, bestScore = c.engine, estimated
 		}
 	}
 	if best != nil {
 		return best, bestScore
 	}
-	if best = d.spare(p, ask, now); best != nil {
-		bestScore = expect(p.knowledge(best, ask, now), ask, 0)
+	if best = d.fallback(p, req, now); best != nil {
+		bestScore = estimate(p.costInputs(best, req, now), req, 0)
 	}
 	return best, bestScore
 }
 
-// candidate is an engine that can be used, with its rank for this request.
+// candidate is a usable engine and its rank for the request.
 type candidate struct {
 	engine *engine
 	rank   uint64
 }
 
-// sample is the part of a pool that one choice looks at.
+// sample is the part of a pool that one choice considers.
 type sample struct {
 	candidates []candidate
-	first      *engine // of the candidates, the one ranked first for the shared parts
-	kept       bool    // some engine is known to keep them
-	source     source  // to copy them from
-}
-
-// sample draws the engines to look at: a few by their rank for the request, those
-// that are known to keep the prompt's shared parts, and the one ranked first for
-// them. Engines that name limits are looked at as long as this gateway's shares of them
-// last: drawn as seldom as others by the few gateways that have shares, they would get half of
-// what they take. Nothing is ranked or sorted as a whole, so that a choice among hundreds takes
-// hardly longer than among tens.
-func (d *Dispatcher) sample(p *pool, ask Ask, now time.Time) sample {
-	id := hashOf(ask.ID)
-	s := sample{candidates: d.draw(p, ask, id, now), first: d.first(p, ask, now)}
-	keepers := p.keepersOf(ask.Prompt, now)
-	s.source = d.sourceOf(p, ask.Prompt, keepers, now)
-	for _, e := range keepers {
-		if d.mayTake(p, e, ask, now) {
-			s.kept = true
+	preferred  *engine        // the candidate ranked first for the shared blocks, or nil
+	cached     bool           // some candidate is known to have cached the shared blocks
+	source     transferSource // engine to transfer them from
+}
+
+// sample collects the engines to consider: a few drawn by their rank for the request,
+// those known to have cached the prompt's shared blocks, and the one ranked first for
+// them. Engines with a limit are included as long as this gateway's share of the limit
+// lasts: only few gateways have a share, and if they drew such an engine as seldom as any
+// other, it would get half of what it accepts. Nothing is ranked or sorted as a whole, so
+// a choice among hundreds of engines takes hardly longer than one among tens.
+func (d *Dispatcher) sample(p *pool, req Ask, now time.Time) sample {
+	id := hashString(req.ID)
+	s := sample{candidates: d.drawCandidates(p, req, id, now), preferred: d.preferredEngine(p, req, now)}
+	holders := p.cacheHoldersOf(req.Prompt, now)
+	s.source = d.transferSourceFor(p, req.Prompt, holders, now)
+	for _, e := range holders {
+		if d.canUse(p, e, req, now) {
+			s.cached = true
 			s.add(e, id)
 		}
 	}
-	if s.first != nil {
-		s.add(s.first, id)
+	if s.preferred != nil {
+		s.add(s.preferred, id)
 	}
 	for _, e := range p.limited {
-		if d.mayTake(p, e, ask, now) {
+		if d.canUse(p, e, req, now) {
 			s.add(e, id)
 		}
 	}
 	return s
 }
 
-// draw gives a few engines by their rank for the request, the first in rank first.
-// Whether one can be used is looked at only where its rank lets it in, which some ten of
-// hundreds do.
-func (d *Dispatcher) draw(p *pool, ask Ask, id uint64, now time.Time) []candidate {
-	most := d.sampled()
-	out := make([]candidate, 0, sampledFew+2)
-	for _, e := range p.open {
+// drawCandidates returns the usable engines that rank highest for the request, highest
+// first. It checks whether an engine can be used only if its rank is high enough, which
+// holds for about ten of several hundred.
+func (d *Dispatcher) drawCandidates(p *pool, req Ask, id uint64, now time.Time) []candidate {
+	size := d.sampleSize()
+	out := make([]candidate, 0, sampleSizeFew+2)
+	for _, e := range p.usable {
 		c := candidate{e, rendezvous.Rank(id, e.hash)}
-		if len(out) == most && c.rank <= out[most-1].rank || !d.mayTake(p, e, ask, now) {
+		if len(out) == size && c.rank <= out[size-1].rank || !d.canUse(p, e, req, now) {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(out, c, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
 		out = slices.Insert(out, at, c)
-		out = out[:min(len(out), most)]
+		out = out[:min(len(out), size)]
 	}
 	return out
 }
 
-// first gives the engine that keeps the prompt's shared parts, as all gateways agree:
-// where this region is their home, the one ranked first of those that can be used; nil
-// elsewhere. Engines are ranked by their addresses, so that one that starts again gets
-// its own prompts back and takes none from the others.
-func (d *Dispatcher) first(p *pool, ask Ask, now time.Time) *engine {
-	key := ask.Prompt.Affinity()
-	if key == "" || d.homeRegion(p, ask, now) != d.Region {
+// preferredEngine returns the engine on which all gateways agree to cache the prompt's
+// shared blocks: the usable one ranked first, or nil if this region isn't their home.
+// Engines are ranked by address, so a restarted engine gets its own prompts back and
+// takes none from the others.
+func (d *Dispatcher) preferredEngine(p *pool, req Ask, now time.Time) *engine {
+	key := req.Prompt.Affinity()
+	if key == "" || d.homeRegion(p, req, now) != d.Region {
 		return nil
 	}
-	hash := hashOf(key)
-	var first *engine
+	hash := hashString(key)
+	var preferred *engine
 	var highest uint64
-	for _, e := range p.open {
-		if r := rendezvous.Rank(hash, e.place); (first == nil || r > highest) && d.mayTake(p, e, ask, now) {
-			first, highest = e, r
+	for _, e := range p.usable {
+		if r := rendezvous.Rank(hash, e.addressHash); (preferred == nil || r > highest) && d.canUse(p, e, req, now) {
+			preferred, highest = e, r
 		}
 	}
-	return first
+	return preferred
 }
 
-// add adds an engine that isn't among the candidates yet.
+// add adds an engine unless it is a candidate already.
 func (s *sample) add(e *engine, id uint64) {
 	if !slices.ContainsFunc(s.candidates, func(c candidate) bool { return c.engine == e }) {
 		s.candidates = append(s.candidates, candidate{e, rendezvous.Rank(id, e.hash)})
 	}
 }
 
-// mayTake tells whether an engine may get this request.
-func (d *Dispatcher) mayTake(p *pool, e *engine, ask Ask, now time.Time) bool {
-	return d.bar(p, e, now) == "" && !slices.Contains(ask.Tried, e.ID)
+// canUse reports whether this request may be sent to the engine.
+func (d *Dispatcher) canUse(p *pool, e *engine, req Ask, now time.Time) bool {
+	return d.exclusionOf(p, e, now) == "" && !slices.Contains(req.Tried, e.ID)
 }
 
-// spare gives, of the engines that failed lately or asked other gateways for rest, the one to use
-// where no other can be; nil where there is none.
-func (d *Dispatcher) spare(p *pool, ask Ask, now time.Time) *engine {
-	var spare *engine
-	for _, e := range p.open {
-		if d.bar(p, e, now).yields() && !slices.Contains(ask.Tried, e.ID) && (spare == nil || e.avoidUntil.Before(spare.avoidUntil)) {
-			spare = e
+// fallback returns the engine to use if no other can be: of those with an overridable
+// exclusion, the one whose exclusion after failures ends first; nil if there is none.
+func (d *Dispatcher) fallback(p *pool, req Ask, now time.Time) *engine {
+	var found *engine
+	for _, e := range p.usable {
+		if d.exclusionOf(p, e, now).isOverridable() && !slices.Contains(req.Tried, e.ID) && (found == nil || e.excludedUntil.Before(found.excludedUntil)) {
+			found = e
 		}
 	}
-	return spare
+	return found
 }
 
-// refusal tells a request why no engine can be used, by the number of engines, and when the first
-// may be.
-func (d *Dispatcher) refusal(p *pool, ask Ask, now time.Time) *request.NotRun {
-	refused := make(map[why]int)
-	var opens soonest
-	for _, e := range p.ordered {
-		why := d.bar(p, e, now)
-		opens.add(d.barEnds(e, why, now))
-		if why == "" && slices.Contains(ask.Tried, e.ID) {
-			why = whyTried
+// noEngineError returns the rejection of a request for which no engine can be used. It
+// contains the number of engines for each reason, and when the first may be usable.
+func (d *Dispatcher) noEngineError(p *pool, req Ask, now time.Time) *request.NotRun {
+	excluded := make(map[exclusion]int)
+	var available earliest
+	for _, e := range p.sorted {
+		reason := d.exclusionOf(p, e, now)
+		available.add(d.exclusionEnd(e, reason, now))
+		if reason == "" && slices.Contains(req.Tried, e.ID) {
+			reason = excludedTried
 		}
-		if why != "" {
-			refused[why]++
+		if reason != "" {
+			excluded[reason]++
 		}
 	}
-	return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine can be used: " + counts(refused), RetryAfter: max(retrySoon, opens.in(now))}
+	return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine can be used: " + formatCounts(excluded), RetryAfter: max(noEngineRetryAfter, available.waitFrom(now))}
 }
 
-// sortOut lists the engines that can be used but for what changes from request to
-// request, and counts those that aren't cold. Such that name limits count where there are
-// no others. The lock is held.
-func (d *Dispatcher) sortOut(p *pool, now time.Time) {
-	p.ready, p.open, p.limited, p.asked = 0, p.open[:0], p.limited[:0], p.asked[:0]
-	for _, e := range p.ordered {
-		why := d.bar(p, e, now)
-		if why.pushback() {
-			p.asked = append(p.asked, e)
+// classifyEngines sorts the pool's engines into the lists that choices iterate over. An
+// engine whose exclusion may end before the next refresh is still listed. Engines with a
+// limit count as ready only if there are no others. The lock is held.
+func (d *Dispatcher) classifyEngines(p *pool, now time.Time) {
+	p.readyEngines, p.usable, p.limited, p.pushedBack = 0, p.usable[:0], p.limited[:0], p.pushedBack[:0]
+	for _, e := range p.sorted {
+		reason := d.exclusionOf(p, e, now)
+		if reason.isPushback() {
+			p.pushedBack = append(p.pushedBack, e)
 		}
 		limited := d.limits.Limited(e.hash)
-		if why == "" && !limited && !d.isCold(p, e, now) {
-			p.ready++
+		if reason == "" && !limited && !d.isCold(p, e, now) {
+			p.readyEngines++
 		}
 		switch {
-		case why != "" && !why.passes() && !(why == whyCold && d.near.warmer(e) == d.Name):
-		case limited && !why.yields() && why != whyCold:
+		case reason != "" && !reason.isTransient() && !(reason == excludedCold && d.gateways.warmer(e) == d.Name):
+		case limited && !reason.isOverridable() && reason != excludedCold:
 			p.limited = append(p.limited, e)
 		default:
-			p.open = append(p.open, e)
+			p.usable = append(p.usable, e)
 		}
 	}
-	if p.ready == 0 {
-		p.ready = len(p.limited)
+	if p.readyEngines == 0 {
+		p.readyEngines = len(p.limited)
 	}
 }
 
-// counts gives "2 draining, 1 cold" in the order of the words.
-func counts(refused map[why]int) string {
-	if len(refused) == 0 {
+// formatCounts formats counts like "2 draining, 1 cold", sorted by reason.
+func formatCounts(excluded map[exclusion]int) string {
+	if len(excluded) == 0 {
 		return "none is registered"
 	}
 	var out []string
-	for _, reason := range slices.Sorted(maps.Keys(refused)) {
-		out = append(out, fmt.Sprintf("%d %s", refused[reason], reason))
+	for _, reason := range slices.Sorted(maps.Keys(excluded)) {
+		out = append(out, fmt.Sprintf("%d %s", excluded[reason], reason))
 	}
 	return strings.Join(out, ", ")
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -20,75 +20,78 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Deps are what a Dispatcher needs.
+// Deps are the dependencies and the identity of a Dispatcher.
 type Deps struct {
-	Name   string // of this gateway
-	Region string // whose engines it may use
-	// DataCentre is where this gateway stands.
+	Name   string // this gateway's name
+	Region string // only engines of this region are used
+	// DataCentre is the data centre of this gateway.
 	DataCentre string
-	Regions    map[string]string // by data centre
+	Regions    map[string]string // region of each data centre
 	Engines    *registry.Table
-	Peers      func() []roster.Host // the gateways that are in touch, of all regions
-	// Trip gives the usual round trip to another region, and whether it is known.
+	Peers      func() []roster.Host // reachable gateways of all regions
+	// Estimate of the usual round trip to another region, and whether one was measured.
 	Trip   func(region string) (time.Duration, bool)
 	Budget retry.Policy
-	// Allowances are told of what other gateways' callers do; nil where none are kept.
+	// Allowances receives the account usage that other gateways report; nil where no
+	// allowances are enforced.
 	Allowances *allowance.Meter
 	Log        *zap.Logger
-	Metrics    *telemetry.Metrics // nil for none
+	Metrics    *telemetry.Metrics // may be nil
 	Clock      func() time.Time
 }
 
-// Dispatcher is safe for concurrent use. New makes one.
+// Dispatcher chooses engines, and regions, for the requests of one gateway. It is safe
+// for concurrent use. New makes one.
 type Dispatcher struct {
 	Deps
 
-	mu       sync.Mutex
-	state    ledger.State
-	table    *catalog.Table
-	pools    map[string]*pool
-	cleared  map[string]time.Time  // when a data centre's evacuation ended
-	board    *rollup.Board         // of what other gateways do
-	near     near                  // the gateways of this region
-	alike    int                   // gateways of this region whose load is known, this one included
-	leading  bool                  // this gateway sums the loads of others
-	toldFar  time.Time             // when other regions were last told
-	far      map[string]*farRegion // by name: the other regions
-	byHash   map[uint64]*engine
-	accounts map[uint32]string // names by hash
-	sent     []sent            // parts to tell the other gateways
-	tidied   time.Time         // when old parts were last forgotten
-	watch    *quarantine.Watch // of engines whose connections broke
-	doubts   chan Doubt
-	// suspects are the requests under which engines crashed.
-	suspects *quarantine.Table
-	limits   *ratelimit.Table // that engines name
-	pushback *pushback.Table  // what engines ask of this gateway
+	mu                sync.Mutex
+	state             ledger.State
+	catalog           *catalog.Table
+	pools             map[string]*pool
+	evacuationEnded   map[string]time.Time     // end of the last evacuation of each data centre
+	aggregator        *rollup.Board            // combines the reports of other gateways
+	gateways          gatewayList              // gateways of this region
+	reportingGateways int                      // gateways of this region with a known load
+	isGroupLeader     bool                     // this gateway aggregates the reports of its group
+	regionReportSent  time.Time                // when the last report went to other regions
+	remotes           map[string]*remoteRegion // other regions by name
+	enginesByHash     map[uint64]*engine
+	accountNames      map[uint32]string // account names by hash
+	sentBlocks        []sentBlock       // recently sent prompt blocks, for the next reports
+	lastCleanup       time.Time         // when expired blocks were last removed
+	crashDetector     *quarantine.Watch // distinguishes crashes from broken connections
+	suspectEngines    chan Doubt
+	// quarantine holds the requests that were running when engines crashed.
+	quarantine *quarantine.Table
+	limits     *ratelimit.Table // limits announced by engines
+	pushback   *pushback.Table  // backoff and draining announced by engines
 }
 
-// New makes a dispatcher that knows no service.
+// New returns a dispatcher without services. They come with the first ledger state.
 func New(deps Deps) *Dispatcher {
 	self := roster.Host{Name: deps.Name, Role: roster.RoleGateway, Region: deps.Region, DataCentre: deps.DataCentre}
 	return &Dispatcher{
-		Deps: deps, table: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
-		board:   rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
-		cleared: make(map[string]time.Time), alike: 1, far: make(map[string]*farRegion), byHash: make(map[uint64]*engine), accounts: make(map[uint32]string),
-		watch: quarantine.NewWatch(), doubts: make(chan Doubt, mostDoubts), suspects: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
+		Deps: deps, catalog: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
+		aggregator:      rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
+		evacuationEnded: make(map[string]time.Time), reportingGateways: 1, remotes: make(map[string]*remoteRegion), enginesByHash: make(map[uint64]*engine), accountNames: make(map[uint32]string),
+		crashDetector: quarantine.NewWatch(), suspectEngines: make(chan Doubt, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
 	}
 }
 
-// Take takes over a state of the ledger.
+// Take replaces the ledger state and the catalog. Pools of services that stay keep their
+// estimates.
 func (d *Dispatcher) Take(state ledger.State, table *catalog.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
 	for _, dataCentre := range d.state.Evacuated {
 		if !state.IsEvacuated(dataCentre) {
-			d.cleared[dataCentre] = now
+			d.evacuationEnded[dataCentre] = now
 		}
 	}
-	d.state, d.table = state, table
-	d.takeAccounts()
+	d.state, d.catalog = state, table
+	d.updateAccounts()
 	for _, s := range table.Services() {
 		if p, ok := d.pools[s.Name]; ok {
 			p.service = s
@@ -99,88 +102,88 @@
 	d.refresh(now)
 }
 
-// Tick takes over what has changed of the engines. The owner calls it several
-// times a second, and whenever the registry changes.
+// Tick applies changes in the registry to the pools. The owner calls it several times a
+// second, and after each change of the registry.
 func (d *Dispatcher) Tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(d.Clock())
 }
 
-// tidyEvery is how often parts that are no longer believed kept are forgotten, and
-// beliefs are logged.
-const tidyEvery = 5 * time.Second
+// cleanupInterval is how often expired blocks are removed and the estimates are logged.
+const cleanupInterval = 5 * time.Second
 
-// refresh brings the pools up to date. The lock is held.
+// refresh updates the pools and everything derived from them. The lock is held.
 func (d *Dispatcher) refresh(now time.Time) {
 	engines := d.Engines.All()
-	seen := make(map[string]bool, len(engines))
+	registered := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		p, ok := d.pools[e.Service]
 		if !ok || d.Regions[e.DataCentre] != d.Region {
 			continue
 		}
-		seen[e.ID] = true
-		p.set(e)
+		registered[e.ID] = true
+		p.update(e)
 	}
-	forget := now.Sub(d.tidied) > tidyEvery
-	if forget {
-		d.tidied = now
-		d.logBeliefs()
+	cleanup := now.Sub(d.lastCleanup) > cleanupInterval
+	if cleanup {
+		d.lastCleanup = now
+		d.logEstimates()
 	}
 	for _, p := range d.pools {
-		p.drop(seen, forget, now)
+		p.removeUnregistered(registered, cleanup, now)
 	}
-	if forget {
-		d.forgetAway(now)
-		d.suspects.Forget(now)
+	if cleanup {
+		d.forgetRemoteBlocks(now)
+		d.quarantine.Forget(now)
 	}
-	d.judgeDoubted(engines, now)
-	d.lookNear(now)
-	d.index()
-	if forget {
-		d.forgetGone(now)
+	d.resolveSuspects(engines, now)
+	d.updateGateways(now)
+	d.indexEngines()
+	if cleanup {
+		d.forgetRemovedEngines(now)
 	}
 	for _, p := range d.pools {
-		d.sortOut(p, now)
+		d.classifyEngines(p, now)
 	}
 }
 
-// Ask is what Acquire needs to know of a request.
+// Ask describes a request to Acquire and ChooseRegion.
 type Ask struct {
-	ID       string // of the request
-	Route    string // whose requests fail about equally often
+	ID       string // ID of the request
+	Route    string // requests of one route share a failure baseline
 	Service  string
 	Prompt   Prompt
 	Deadline time.Time
-	Tried    []string // engines of earlier attempts
-	// Target is the time within which the answer should begin; 0 for none, with which
-	// any wait is admitted.
+	Tried    []string // engines of earlier attempts, not chosen again
+	// Target is the time within which the answer should begin. With 0, the request is
+	// admitted whatever its wait.
 	Target time.Duration
-	// Permitted tells whether the request may run in a region; nil for all.
+	// Permitted reports whether the request may run in a region; nil permits all.
 	Permitted func(region string) bool
-	// Fingerprint is the same for each repeat of the request.
+	// Fingerprint is equal for all repeats of the request.
 	Fingerprint quarantine.Fingerprint
 }
 
-// Acquire gives a ticket for the best engine. The error is a *request.NotRun.
-func (d *Dispatcher) Acquire(ask Ask) (*Ticket, error) {
+// Acquire returns a ticket for the engine with the lowest expected cost. The error is a
+// *request.NotRun.
+func (d *Dispatcher) Acquire(req Ask) (*Ticket, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	p, ok := d.pools[ask.Service]
+	p, ok := d.pools[req.Service]
 	if !ok {
-		return nil, &request.NotRun{Reason: request.ReasonNoEngine, Message: "service " + ask.Service + " is not declared", RetryAfter: retrySoon}
+		return nil, &request.NotRun{Reason: request.ReasonNoEngine, Message: "service " + req.Service + " is not declared", RetryAfter: noEngineRetryAfter}
 	}
-	if err := d.checkSuspect(ask, now); err != nil {
+	if err := d.checkQuarantine(req, now); err != nil {
 		return nil, err
 	}
-	chosen, best := d.choose(p, ask, now)
+	chosen, expected := d.choose(p, req, now)
 	if chosen == nil {
-		return nil, d.refusal(p, ask, now)
+		return nil, d.noEngineError(p, req, now)
 	}
-	if err := ask.admits(best); err != nil {
+	if err := req.checkAdmission(expected); err != nil {
 		return nil, err
 	}
-	return d.grant(p, chosen, ask, best, now), nil
+	return d.issueTicket(p, chosen, req, expected, now), nil
 }
--- a/dispatch/illness.go
+++ b/dispatch/illness.go
@@ -1,5 +1,5 @@
-// This file defines the estimate of how much more often an engine fails than is
-// usual for the requests that it gets.
+// This file estimates how much more often an engine fails than the requests that it gets
+// fail at any engine.
 
 package dispatch
 
@@ -8,93 +8,95 @@
 	"time"
 )
 
-// usual estimates which share of a route's requests fails at any engine. Some kinds
-// of request fail often by themselves, and fail again wherever they are sent: that
-// is no sign of an ill engine. The zero value knows nothing.
-type usual struct {
+// failureBaseline estimates the share of a route's requests that fail at any engine. Some
+// kinds of requests often fail by themselves, wherever they are sent, which says nothing
+// about the engine. The zero value has recorded nothing.
+type failureBaseline struct {
 	failed   float64
 	requests float64
 }
 
 const (
-	// priorFailing and priorRequests are believed before the first answer: engines
-	// that are well fail seldom, and some ten answers tell otherwise.
-	priorFailing  = 0.02
-	priorRequests = 10
-	// usualRequests is over how many requests the share is taken. It is long beside
-	// what an ill engine gets before it is avoided, so that it doesn't become usual.
-	usualRequests = 200
+	// priorFailureRate and priorRequests are the estimate before the first answers.
+	// Healthy engines seldom fail, and about ten answers outweigh the prior.
+	priorFailureRate = 0.02
+	priorRequests    = 10
+	// baselineRequests is the number of requests that the baseline averages over. It is
+	// large compared with what a failing engine gets before it is excluded, so that its
+	// failures don't become the baseline.
+	baselineRequests = 200
 )
 
-func (u usual) share() float64 {
-	return (u.failed + priorFailing*priorRequests) / (u.requests + priorRequests)
+func (b failureBaseline) rate() float64 {
+	return (b.failed + priorFailureRate*priorRequests) / (b.requests + priorRequests)
 }
 
-func (u *usual) note(failed bool) {
-	keep := 1 - 1/float64(usualRequests)
-	u.failed, u.requests = keep*u.failed, keep*u.requests+1
+func (b *failureBaseline) record(failed bool) {
+	decay := 1 - 1/float64(baselineRequests)
+	b.failed, b.requests = decay*b.failed, decay*b.requests+1
 	if failed {
-		u.failed++
+		b.failed++
 	}
 }
 
-// illness estimates by how much the share of an engine's requests that fail lies
-// above what is usual for them. What isn't significant counts as nothing: where one
-// in seven requests fails by itself, the plain share of the last few moved between
-// 0 and 0.5, and half of all requests were sent to other regions at 110 ms each; the
-// median answer of plain services took 260 ms, and takes 28 ms with this (a calm
-// day before three regions of one engine each). It is forgotten with time, so that an
-// engine which gets nothing because it failed is tried again. The zero value has seen
-// nothing.
-type illness struct {
-	failed   float64
-	expected float64 // that would have failed anywhere
-	variance float64 // of that number
-	requests float64
-	at       time.Time
+// excessFailures estimates how far an engine's failure rate exceeds the baseline of its
+// requests. An excess that isn't significant counts as zero. Where one request in seven
+// failed by itself, the plain rate of the last few requests moved between 0 and 0.5, and
+// half of all requests went to other regions at 110 ms each: in three regions with one
+// engine each and no other faults, the median answer of plain services took 260 ms,
+// against 28 ms with the significance test. The estimate decays over time, so that an engine
+// excluded for its failures is tried again. The zero value has recorded nothing.
+type excessFailures struct {
+	failed    float64
+	expected  float64 // expected number of failures at any engine
+	variance  float64 // of that number
+	requests  float64
+	updatedAt time.Time
 }
 
 const (
-	// fadeTime is after how long without requests what was seen counts a third.
-	fadeTime = 3 * time.Second
-	// keepRequest is how much earlier requests count with each new one: some ten
-	// are remembered.
-	keepRequest = 0.9
-	// doubt is how many standard deviations above the usual are taken for chance.
-	doubt = 1.5
-	// wellRequests is how many requests without failure an engine is believed to
-	// have had before the first.
-	wellRequests = 2
+	// decayTime is the time without requests after which the estimate has decayed to 1/e.
+	decayTime = 3 * time.Second
+	// decayPerRequest is the weight that earlier requests keep with each new one: about
+	// ten requests are remembered.
+	decayPerRequest = 0.9
+	// significance is how many standard deviations above the baseline are attributed to
+	// chance.
+	significance = 1.5
+	// priorSuccesses is how many successful requests an engine is assumed to have had
+	// initially.
+	priorSuccesses = 2
 )
 
-// fade forgets up to now.
-func (i *illness) fade(now time.Time) {
-	i.scale(math.Exp(-float64(now.Sub(i.at)) / float64(fadeTime)))
-	i.at = now
+// decay applies the decay up to now.
+func (f *excessFailures) decay(now time.Time) {
+	f.scale(math.Exp(-float64(now.Sub(f.updatedAt)) / float64(decayTime)))
+	f.updatedAt = now
 }
 
-func (i *illness) scale(by float64) {
-	i.failed *= by
-	i.expected *= by
-	i.variance *= by
-	i.requests *= by
+func (f *excessFailures) scale(factor float64) {
+	f.failed *= factor
+	f.expected *= factor
+	f.variance *= factor
+	f.requests *= factor
 }
 
-// note takes one more outcome of a request of which that share usually fails.
-func (i *illness) note(failed bool, usual float64, now time.Time) {
-	i.fade(now)
-	i.scale(keepRequest)
-	i.requests++
-	i.expected += usual
-	i.variance += usual * (1 - usual)
+// record adds the outcome of a request that fails with probability usualRate at any
+// engine.
+func (f *excessFailures) record(failed bool, usualRate float64, now time.Time) {
+	f.decay(now)
+	f.scale(decayPerRequest)
+	f.requests++
+	f.expected += usualRate
+	f.variance += usualRate * (1 - usualRate)
 	if failed {
-		i.failed++
+		f.failed++
 	}
 }
 
-// value gives the share of requests that fail beyond the usual.
-func (i illness) value(now time.Time) float64 {
-	i.fade(now)
-	beyond := i.failed - i.expected - doubt*math.Sqrt(i.variance)
-	return max(0, beyond/(i.requests+wellRequests))
+// rate returns the share of requests that failed beyond the baseline.
+func (f excessFailures) rate(now time.Time) float64 {
+	f.decay(now)
+	excess := f.failed - f.expected - significance*math.Sqrt(f.variance)
+	return max(0, excess/(f.requests+priorSuccesses))
 }
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -1,4 +1,4 @@
-// This file defines what is learned of the speed of one service's engines.
+// This file estimates the throughput of one service's engines.
 
 package dispatch
 
@@ -12,100 +12,100 @@
 	"github.com/linenscale/linenscale/pace"
 )
 
-// Speed is how fast the engines of a service are expected to work.
-type Speed struct {
-	_     struct{}      `cbor:",toarray"`
-	Fixed time.Duration // until the first event, beside the reading
-	Token time.Duration // to read one token of a prompt
-	Out   time.Duration // to give one token of an answer
-	Hold  time.Duration // that a request holds its slot
+// Throughput is the expected speed of a service's engines.
+type Throughput struct {
+	_              struct{}      `cbor:",toarray"`
+	Overhead       time.Duration // until the first event, in addition to reading the prompt
+	ReadPerToken   time.Duration // to read one prompt token
+	OutputPerToken time.Duration // to generate one token of the answer
+	SlotTime       time.Duration // how long a request occupies its slot
 }
 
-// Beliefs before the first answers, which replace them: some ten answers count more
-// than these. Engines of two accelerators read 30 to 60 tokens in a millisecond and
-// give one in 4 to 10.
+// Estimates before the first answers. About ten answers outweigh them. Engines of two
+// accelerators read 30 to 60 tokens per millisecond and generate one in 4 to 10 ms.
 const (
-	believedFixed  = 20 * time.Millisecond
-	believedTokens = 9000
-	believedRead   = 250 * time.Millisecond // to read so many tokens
-	believedOut    = 8 * time.Millisecond
-	believedHold   = 2 * time.Second       // of a model's request
-	believedPlain  = 20 * time.Millisecond // of any other
+	priorOverhead       = 20 * time.Millisecond
+	priorReadTokens     = 9000
+	priorReadTime       = 250 * time.Millisecond // for priorReadTokens
+	priorOutputPerToken = 8 * time.Millisecond
+	priorModelSlotTime  = 2 * time.Second       // with a model
+	priorPlainSlotTime  = 20 * time.Millisecond // without a model
 )
 
-// speeds learns the Speed of a service's engines. It is guarded by the Dispatcher's
-// lock; newSpeeds makes one.
-type speeds struct {
-	first *pace.Line // time until the first event, by the tokens to be read until then
-	out   *pace.Mean
-	hold  *pace.Mean
+// throughputEstimator estimates the Throughput of a service's engines from their answers.
+// The Dispatcher's lock guards it.
+type throughputEstimator struct {
+	firstEvent     *pace.Line // time until the first event, by the tokens to be read before it
+	outputPerToken *pace.Mean
+	slotTime       *pace.Mean
 
-	model   bool // the service's engines run one
-	answers int  // that something was learned from
+	model   bool // the service's engines run a model
+	answers int  // number of answers used
 }
 
-func newSpeeds(model bool) *speeds {
-	hold := believedPlain
+func newThroughputEstimator(model bool) *throughputEstimator {
+	slotTime := priorPlainSlotTime
 	if model {
-		hold = believedHold
+		slotTime = priorModelSlotTime
 	}
-	return &speeds{
-		first: pace.NewLine(believedFixed, believedTokens, believedFixed+believedRead),
-		out:   pace.NewMean(believedOut), hold: pace.NewMean(hold), model: model,
+	return &throughputEstimator{
+		firstEvent:     pace.NewLine(priorOverhead, priorReadTokens, priorOverhead+priorReadTime),
+		outputPerToken: pace.NewMean(priorOutputPerToken), slotTime: pace.NewMean(slotTime), model: model,
 	}
 }
 
-// speed gives what is believed now.
-func (s *speeds) speed() Speed {
-	return Speed{Fixed: s.first.Fixed(), Token: time.Duration(s.first.PerUnit()), Out: s.out.Value(), Hold: s.hold.Value()}
+// current returns the current estimate.
+func (s *throughputEstimator) current() Throughput {
+	return Throughput{Overhead: s.firstEvent.Fixed(), ReadPerToken: time.Duration(s.firstEvent.PerUnit()), OutputPerToken: s.outputPerToken.Value(), SlotTime: s.slotTime.Value()}
 }
 
-// doubt gives by how much the expected time until an answer begins is usually off.
-// Without a model the whole answer comes at once, when the request leaves its slot.
-func (s *speeds) doubt() time.Duration {
+// usualError returns the mean error of the estimated time until an answer begins. Without
+// a model the whole answer arrives at once, when the request frees its slot.
+func (s *throughputEstimator) usualError() time.Duration {
 	if s.model {
-		return s.first.Error()
+		return s.firstEvent.Error()
 	}
-	return s.hold.Error()
+	return s.slotTime.Error()
 }
 
-// logBeliefs logs what is believed of the engines' speeds, and of the way to the other
-// regions. The lock is held.
-func (d *Dispatcher) logBeliefs() {
+// logEstimates logs the throughput of each service and the round trip to each other
+// region. The lock is held.
+func (d *Dispatcher) logEstimates() {
 	for _, service := range slices.Sorted(maps.Keys(d.pools)) {
-		speeds := d.pools[service].speeds
-		now := speeds.speed()
-		d.Log.Info("speeds believed", zap.String("service", service), zap.Duration("fixed", now.Fixed), zap.Duration("token_read", now.Token),
-			zap.Duration("token_out", now.Out), zap.Duration("hold", now.Hold), zap.Duration("usual_error", speeds.doubt()), zap.Int("answers", speeds.answers))
+		estimator := d.pools[service].throughput
+		t := estimator.current()
+		d.Log.Info("throughput estimate", zap.String("service", service), zap.Duration("fixed", t.Overhead), zap.Duration("token_read", t.ReadPerToken),
+			zap.Duration("token_out", t.OutputPerToken), zap.Duration("hold", t.SlotTime), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
 	}
-	for _, region := range slices.Sorted(maps.Keys(d.far)) {
+	for _, region := range slices.Sorted(maps.Keys(d.remotes)) {
 		roundTrip, known := d.Trip(region)
-		d.Log.Info("trip believed", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.far[region].at)))
+		d.Log.Info("round-trip estimate", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.remotes[region].reportedAt)))
 	}
 }
 
-// learnBegun learns from the begin of an answer, if the engine wasn't cold and had
-// a slot free: then only the reading of prompts comes before it.
-func (t *Ticket) learnBegun(now time.Time) {
+// recordFirstEvent updates the estimates with the time until an answer's first event. It
+// does so only if the engine was warm and had a free slot: then nothing but the reading
+// of prompts precedes the event.
+func (t *Ticket) recordFirstEvent(now time.Time) {
 	if t.Cold || t.queued || t.CopyFrom != "" || t.pool.service.Model == nil {
 		return
 	}
-	took := now.Sub(t.began)
-	line := t.pool.speeds.first
-	// An error that is usual says nothing of the engine.
-	usual := line.Error()
-	t.engine.slow.Note(line.At(t.work)+usual, took+usual, now)
-	line.Note(t.work, took)
+	took := now.Sub(t.sentAt)
+	firstEvent := t.pool.throughput.firstEvent
+	// A usual error must not count as slowness of the engine.
+	usualError := firstEvent.Error()
+	t.engine.slowdown.Note(firstEvent.At(t.readTokens)+usualError, took+usualError, now)
+	firstEvent.Note(t.readTokens, took)
 }
 
-// learnEnd learns from a whole answer.
-func (t *Ticket) learnEnd(now time.Time) {
-	if t.Cold || t.queued || t.firstAt.IsZero() {
+// recordCompletion updates the estimates with a complete answer.
+func (t *Ticket) recordCompletion(now time.Time) {
+	if t.Cold || t.queued || t.firstEventAt.IsZero() {
 		return
 	}
-	t.pool.speeds.answers++
-	t.pool.speeds.hold.Note(now.Sub(t.began))
-	if t.out > 0 {
-		t.pool.speeds.out.Note(now.Sub(t.firstAt) / time.Duration(t.out))
+	t.pool.throughput.answers++
+	t.pool.throughput.slotTime.Note(now.Sub(t.sentAt))
+	if t.outputTokens > 0 {
+		t.pool.throughput.outputPerToken.Note(now.Sub(t.firstEventAt) / time.Duration(t.outputTokens))
 	}
 }
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -1,4 +1,4 @@
-// This file defines tickets and what their ends teach.
+// This file defines tickets, and how their outcomes update the estimates.
 
 package dispatch
 
@@ -11,149 +11,151 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// Ticket is the right to send one request to one engine.
+// Ticket permits sending one request to one engine.
 type Ticket struct {
-	Engine  string // incarnation
+	Engine  string // ID of the engine
 	Address string
-	Why     string // it was chosen
+	Why     string // score of the engine, for the log
 	Cold    bool
-	Wait    time.Duration // expected until the answer begins
-	// CopyFrom is the address of an engine that keeps the prompt's shared parts, which
-	// this one copies; "" where it reads them, or keeps them itself.
+	Wait    time.Duration // expected time until the answer begins
+	// CopyFrom is the address of the engine from which this one transfers the prompt's
+	// shared blocks; "" if it reads them or has cached them itself.
 	CopyFrom string
 
-	dispatcher *Dispatcher
-	pool       *pool
-	engine     *engine
-	began      time.Time
-	firstAt    time.Time // when the answer began, of one that teaches
-	load       Load      // that the request adds
-	work       float64   // tokens to be read until its first event
-	out        int       // tokens expected of its answer
-	queued     bool      // every slot was taken
-	route      string
-	// fingerprint is the same for each repeat of the request.
+	dispatcher   *Dispatcher
+	pool         *pool
+	engine       *engine
+	sentAt       time.Time
+	firstEventAt time.Time // when the answer began; zero if it isn't used for estimates
+	load         Load      // that the request adds to the engine
+	readTokens   float64   // to read before the first event, for earlier requests too
+	outputTokens int       // expected length of the answer
+	queued       bool      // no slot was free
+	route        string
+	// fingerprint is equal for all repeats of the request.
 	fingerprint quarantine.Fingerprint
-	// limit is what was known of the limit that the engine names; nil where it names none.
+	// limit is the state of the engine's rate limit; nil if it has none.
 	limit *ratelimit.Status
-	// trial is true for the one request that shows whether the engine takes any after a rest.
+	// trial marks the one request that tests whether the engine accepts requests after a
+	// backoff.
 	trial bool
 }
 
-// grant gives a ticket for an engine. The dispatcher's lock is held.
-func (d *Dispatcher) grant(p *pool, e *engine, ask Ask, s score, now time.Time) *Ticket {
+// issueTicket issues a ticket for an engine and counts its load. The dispatcher's lock is
+// held.
+func (d *Dispatcher) issueTicket(p *pool, e *engine, req Ask, s score, now time.Time) *Ticket {
 	t := &Ticket{
 		Engine: e.ID, Address: e.Address, Why: s.String(), Cold: d.isCold(p, e, now), Wait: s.wait,
-		dispatcher: d, pool: p, engine: e, began: now, load: Load{Requests: 1}, route: ask.Route, out: ask.Prompt.TokensOut, queued: s.load.Requests >= e.Slots, fingerprint: ask.Fingerprint,
+		dispatcher: d, pool: p, engine: e, sentAt: now, load: Load{Requests: 1}, route: req.Route, outputTokens: req.Prompt.TokensOut, queued: s.load.Requests >= e.Slots, fingerprint: req.Fingerprint,
 	}
-	if s.copied > 0 {
+	if s.transferred > 0 {
 		t.CopyFrom = s.source.Address
 	}
 	if p.service.Model != nil {
-		t.load.Unread = max(0, ask.Prompt.TokensIn-s.kept)
-		t.work = float64(s.load.Unread + t.load.Unread)
-		t.load.Held = ask.Prompt.TokensIn + ask.Prompt.TokensOut
-		e.read.add(float64(t.load.Unread), now)
-		p.notePrompt(e, ask.Prompt, now)
-		d.noteSent(ask.Prompt, e, now)
+		t.load.Unread = max(0, req.Prompt.TokensIn-s.cached)
+		t.readTokens = float64(s.load.Unread + t.load.Unread)
+		t.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
+		e.readRate.add(float64(t.load.Unread), now)
+		p.recordPrompt(e, req.Prompt, now)
+		d.recordSentBlock(req.Prompt, e, now)
 	}
-	e.own = e.own.plus(t.load)
-	d.suspects.Begin(ask.Fingerprint)
-	d.takeLimited(t, now)
-	d.beginPushedBack(t, now)
+	e.ownLoad = e.ownLoad.plus(t.load)
+	d.quarantine.Begin(req.Fingerprint)
+	d.chargeLimits(t, now)
+	d.beginPushback(t, now)
 	if t.Cold {
-		e.warmNext = now.Add(time.Duration(float64(time.Second) / p.service.ColdRate))
+		e.nextWarmRequest = now.Add(time.Duration(float64(time.Second) / p.service.ColdRate))
 	}
 	return t
 }
 
-// take takes a load away.
+// minus subtracts a load.
 func (l Load) minus(o Load) Load {
-	return l.plus(Load{-o.Requests, -o.Unread, -o.Held, -o.Reading})
+	return l.plus(Load{-o.Requests, -o.Unread, -o.Reserved, -o.ReadRate})
 }
 
-// Begun notes the first byte of the answer: the prompt has been read. It gives
-// the time that this took. served is false for a failure of the engine's own, which
-// tells nothing of its speed.
+// Begun records the first byte of the answer: the prompt has been read. It returns the
+// time since the ticket was issued. served is false if the answer is a failure of the
+// engine itself, which says nothing about its throughput.
 func (t *Ticket) Begun(served bool) time.Duration {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	t.engine.sign = now
-	d.watch.Answers(t.engine.Incarnation(), t.began)
-	t.engine.own.Unread -= t.load.Unread
+	t.engine.lastHeard = now
+	d.crashDetector.Answers(t.engine.Incarnation(), t.sentAt)
+	t.engine.ownLoad.Unread -= t.load.Unread
 	t.load.Unread = 0
 	if served {
-		t.firstAt = now
-		t.learnBegun(now)
+		t.firstEventAt = now
+		t.recordFirstEvent(now)
 	}
-	return now.Sub(t.began)
+	return now.Sub(t.sentAt)
 }
 
-// Outcome says how a ticket ended.
+// Outcome is how a ticket ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a ticket.
 const (
 	Answered    Outcome = iota
-	Failed              // a wrong answer, none in time, or the engine's own failure
+	Failed              // wrong answer, no answer in time, or a failure of the engine itself
 	Unreached           // no connection could be opened
-	Shed                // the engine refused for load
+	Shed                // the engine rejected the request because of overload
 	Misdirected         // another incarnation answered
-	Abandoned           // the caller went away: says nothing of the engine
+	Abandoned           // the caller went away, which says nothing about the engine
 	Broken              // the connection ended before the answer did
-	Unsent              // nothing was sent: the engine wanted nothing any more
+	Unsent              // nothing was sent: the engine stopped accepting requests
 )
 
-// String gives the word used in logs.
+// String returns the name used in logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"answered", "failed", "unreached", "shed", "misdirected", "abandoned", "broken", "unsent"}[o]
 }
 
 const (
-	// avoidBase is how long an engine is avoided that couldn't be connected
-	// to; it doubles with each time in a row up to avoidMost.
-	avoidBase = 300 * time.Millisecond
-	avoidMost = 4 * time.Second
-	// shedTime is how long an engine is avoided that refused for load and doesn't say for how
-	// long it wants nothing.
-	shedTime = 150 * time.Millisecond
+	// minConnectBackoff is how long an engine is excluded after a failed connection. It
+	// doubles with each consecutive failure up to maxConnectBackoff.
+	minConnectBackoff = 300 * time.Millisecond
+	maxConnectBackoff = 4 * time.Second
+	// shedExclusionTime is how long an engine is excluded that rejected a request because
+	// of overload without asking for a backoff.
+	shedExclusionTime = 150 * time.Millisecond
 )
 
-// Done gives the ticket back. It must be called exactly once.
+// Done releases the ticket and records its outcome. It must be called exactly once.
 func (t *Ticket) Done(outcome Outcome) {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
 	e := t.engine
-	e.own = e.own.minus(t.load)
-	d.suspects.End(t.fingerprint, outcome == Answered, now)
+	e.ownLoad = e.ownLoad.minus(t.load)
+	d.quarantine.End(t.fingerprint, outcome == Answered, now)
 	if t.trial {
 		d.pushback.End(e.hash)
 	}
 	switch outcome {
 	case Answered:
-		t.pool.noteOutcome(e, t.route, false, now)
-		e.unreached = 0
-		e.sign = now
-		t.learnEnd(now)
+		t.pool.recordOutcome(e, t.route, false, now)
+		e.connectFailures = 0
+		e.lastHeard = now
+		t.recordCompletion(now)
 	case Failed:
-		t.pool.noteOutcome(e, t.route, true, now)
+		t.pool.recordOutcome(e, t.route, true, now)
 	case Broken:
-		t.pool.noteOutcome(e, t.route, true, now)
-		t.noteBroken(now)
+		t.pool.recordOutcome(e, t.route, true, now)
+		t.recordBroken(now)
 	case Unreached:
-		e.unreached++
-		e.unreachedAt = now
-		e.avoid(now.Add(min(avoidBase<<min(e.unreached-1, 10), avoidMost)))
-		d.Log.Warn("engine avoided", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.unreached), zap.Duration("for", e.avoidUntil.Sub(now)))
+		e.connectFailures++
+		e.connectFailedAt = now
+		e.exclude(now.Add(min(minConnectBackoff<<min(e.connectFailures-1, 10), maxConnectBackoff)))
+		d.Log.Warn("engine excluded: connection failed", zap.String("engine", e.ID), zap.String("address", e.Address), zap.Int("unreached", e.connectFailures), zap.Duration("for", e.excludedUntil.Sub(now)))
 	case Shed:
-		e.avoid(now.Add(shedTime))
+		e.exclude(now.Add(shedExclusionTime))
 	case Misdirected:
-		e.misdirected, e.misdirectedAt = true, now
-		d.crashed(e.Incarnation(), "another answers at its address", now)
+		e.replaced, e.replacedAt = true, now
+		d.engineCrashed(e.Incarnation(), "address answered by another incarnation", now)
 		d.Log.Warn("engine replaced", zap.String("engine", e.ID), zap.String("address", e.Address))
 	case Unsent:
 		d.limits.GiveBack(e.hash, now)
@@ -161,20 +163,20 @@
 	}
 }
 
-// Retry spends one of the sends that the service may get beyond the first of
-// each request, or tells that there is none.
+// Retry takes one send from the service's retry budget, which covers the sends beyond the
+// first of each request. It returns false if the budget is used up.
 func (d *Dispatcher) Retry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.pools[service]
-	return ok && p.budget.Take(d.Clock(), len(d.Peers()))
+	return ok && p.retryBudget.Take(d.Clock(), len(d.Peers()))
 }
 
-// First counts a request's first send to a service.
+// First counts the first send of a request, which earns retry budget.
 func (d *Dispatcher) First(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p, ok := d.pools[service]; ok {
-		p.budget.First(d.Clock())
+		p.retryBudget.First(d.Clock())
 	}
 }
