--- a/ingress/accounts.go
+++ b/ingress/accounts.go
@@ -1,5 +1,5 @@
-// This file defines the filter that finds a request's client account, and holds it to
-// what that account may ask for. It runs before a body is read.
+// This file defines the stage that authenticates a request's client account and charges
+// its allowance. It runs before the body is read.
 
 package ingress
 
@@ -10,109 +10,115 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Keys says how soon a key that is taken away must be refused everywhere.
+// Keys bounds how long a revoked API key may still be accepted. Gateways learn of a
+// revocation from the ledger, so a gateway serves keys only under a lease: while it has
+// confirmed recently enough that its catalog is up to date.
 type Keys struct {
-	// RevokedWithin is how long after a catalog that takes a key away was accepted a
-	// request that is sent with it may still run, on any host; 0 where there is no bound.
+	// RevokedWithin is the bound: this long after the catalog that revokes a key was
+	// accepted, no host may run a request that uses the key. 0 means no bound.
 	RevokedWithin time.Duration
-	// SureUntil gives up to when, on the clock Steady, the catalog of an index holds
-	// everything that has been accepted; false where that isn't known.
+	// SureUntil returns the latest time, on the clock Steady, as of which the catalog at
+	// index contains every accepted change; known is false if that was never confirmed.
 	SureUntil func(index uint64) (at time.Duration, known bool)
-	// Steady goes on while the host is frozen.
+	// Steady reads a clock that keeps counting while the host is suspended.
 	Steady func() time.Duration
 }
 
-// leaseShare is the share of the bound for which a gateway serves keys without news. The
-// rest is for clocks that run at other rates. A host that can't reach control for 0.6 of
-// the bound isn't expected to serve; with 0.95 it does for 4.7 s of five, which is longer
-// than a leader's loss (2.3 s) and the 1.2 s that are usual in quiet times together.
-const leaseShare = 0.95
+// keyLeaseFraction is the fraction of RevokedWithin for which a gateway serves keys after
+// its catalog was last confirmed. The rest allows for clock drift between hosts. A host
+// that can't reach the control hosts for 0.6 of the bound isn't expected to serve. With
+// 0.95 it still serves for 4.7 s of a bound of 5 s. That is longer than the loss of a
+// leader (2.3 s) plus the usual interval between confirmations (1.2 s).
+const keyLeaseFraction = 0.95
 
-// leaseWait is when to come back to a gateway without a lease: cuts last for seconds, and
-// other gateways may be better off.
-const leaseWait = 500 * time.Millisecond
+// keyLeaseRetryAfter is the Retry-After of a gateway without a key lease. Network
+// partitions last for seconds, and other gateways may hold a lease.
+const keyLeaseRetryAfter = 500 * time.Millisecond
 
-// holds tells whether the rules are sure to be new enough to serve keys under. The
-// request has been received before: whatever happens until an engine runs it, it was sent
-// while the lease held.
-func (k Keys) holds(index uint64) (age time.Duration, ok bool) {
+// checkFreshness reports whether the catalog at index is fresh enough to accept keys, and
+// how long ago it was last confirmed. The request has been received before the call, so
+// it was sent while the lease was valid, however long an engine takes to run it.
+func (k Keys) checkFreshness(index uint64) (age time.Duration, ok bool) {
 	if k.RevokedWithin <= 0 {
 		return 0, true
 	}
 	now := k.Steady()
-	at, known := k.SureUntil(index)
+	freshAsOf, known := k.SureUntil(index)
 	if !known {
 		return unknownAge, false
 	}
-	return now - at, float64(now-at) < leaseShare*float64(k.RevokedWithin)
+	return now - freshAsOf, float64(now-freshAsOf) < keyLeaseFraction*float64(k.RevokedWithin)
 }
 
-// unknownAge stands for that of a word that never came.
+// unknownAge is the age of a catalog that was never confirmed.
 const unknownAge = -1
 
-func sayAge(age time.Duration) string {
+func describeAge(age time.Duration) string {
 	if age == unknownAge {
 		return "no word has come yet"
 	}
 	return "the newest word is " + age.Round(time.Millisecond).String() + " old"
 }
 
-// account finds the account of the request. One that was handed over is looked at here
-// as well, by this gateway's own rules, but counts only where it came in.
-func (s *Server) account(x *exchange) error {
-	if !x.rules.table.HasAccounts() {
+// checkAccount finds the client account by the request's key, checks that the request may
+// run in some region, and charges the account's allowance. For a request that was handed
+// over, this gateway authenticates the key again, against its own catalog, but only the
+// entry host charges the allowance.
+func (s *Server) checkAccount(x *exchange) error {
+	if !x.catalog.table.HasAccounts() {
 		return nil
 	}
-	age, sure := s.Keys.holds(x.rules.index)
-	x.account, x.known = x.rules.table.AccountOf(x.identity.Key)
-	x.known = x.known && sure
+	age, fresh := s.Keys.checkFreshness(x.catalog.index)
+	x.account, x.keyValid = x.catalog.table.AccountOf(x.meta.Key)
+	x.keyValid = x.keyValid && fresh
 	if x.route.Public {
-		if !x.known {
+		if !x.keyValid {
 			x.account = catalog.Account{}
 		}
 		return nil
 	}
-	if !sure {
-		return &request.NotRun{Reason: request.ReasonNoLease, Message: "it isn't sure which keys hold: " + sayAge(age), RetryAfter: leaseWait}
+	if !fresh {
+		return &request.NotRun{Reason: request.ReasonNoLease, Message: "it isn't sure which keys hold: " + describeAge(age), RetryAfter: keyLeaseRetryAfter}
 	}
-	if !x.known {
+	if !x.keyValid {
 		return &request.NotRun{Reason: request.ReasonUnknownKey, Message: "no account holds the key"}
 	}
-	if x.homeless(s.Regions) {
-		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: "the account and the route have no region in common", RetryAfter: homelessWait}
+	if x.permittedNowhere(s.Regions) {
+		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: "the account and the route have no region in common", RetryAfter: noRegionRetryAfter}
 	}
-	return s.count(x)
+	return s.chargeAllowance(x)
 }
 
-// homelessWait is when to come back with a request that may run nowhere: no sooner than
-// operators change what is declared.
-const homelessWait = 5 * time.Second
+// noRegionRetryAfter is the Retry-After of a request that no region may run. Only a change
+// of the operators' declarations helps, so an early retry is pointless.
+const noRegionRetryAfter = 5 * time.Second
 
-// homeless tells whether the request may run nowhere.
-func (x *exchange) homeless(regions []string) bool {
+// permittedNowhere reports whether none of regions may run the request.
+func (x *exchange) permittedNowhere(regions []string) bool {
 	for _, region := range regions {
-		if x.permitted(region) {
+		if x.mayRunIn(region) {
 			return false
 		}
 	}
 	return len(regions) > 0
 }
 
-// count counts the request towards the account's allowance, once, however often it is
-// sent.
-func (s *Server) count(x *exchange) error {
-	if x.fixed || s.Allowances == nil {
+// chargeAllowance charges the request to the account's allowance: its rate limit, given
+// as a rate, a burst and a window. A request is charged once, however often it is sent to
+// engines.
+func (s *Server) chargeAllowance(x *exchange) error {
+	if x.handedOver || s.Allowances == nil {
 		return nil
 	}
-	cost := x.account.Allowance.Cost(x.identity.Tokens, x.identity.Tokens != Untold)
+	cost := x.account.Allowance.Cost(x.meta.Tokens, x.meta.Tokens != Untold)
 	var err error
-	x.grant, err = s.Allowances.Ask(x.account.Name, cost, s.Clock())
+	x.charged, err = s.Allowances.Ask(x.account.Name, cost, s.Clock())
 	return err
 }
 
-// giveBack takes a request off its account's use that no engine has run.
-func (x *exchange) giveBack(refusal request.Refusal, now time.Time) {
-	if _, notRun := refusal.(*request.NotRun); notRun {
-		x.grant.GiveBack(now)
+// refundAllowance returns what was charged for a request that no engine has run.
+func (x *exchange) refundAllowance(rejection request.Refusal, now time.Time) {
+	if _, notRun := rejection.(*request.NotRun); notRun {
+		x.charged.GiveBack(now)
 	}
 }
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -1,4 +1,5 @@
-// This file defines how an answer is passed on: whole, or visibly broken.
+// This file defines how an engine's answer is relayed to the caller: complete, or visibly
+// truncated.
 
 package ingress
 
@@ -16,170 +17,174 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// wholeBytes is up to which length an answer that is no stream is held until
-// all of it is there, so that one that breaks can be tried again.
-const wholeBytes = 256 << 10
+// maxBufferedAnswer is the length up to which an answer that is not an event stream is
+// buffered completely before any of it is sent, so that a truncated one can be retried.
+const maxBufferedAnswer = 256 << 10
 
-// pass passes an answer on. An error before x.started leaves the caller
-// untouched. begun is called with the first byte of the body; it may be nil.
-func (s *Server) pass(x *exchange, resp *http.Response, begun func()) error {
+// relayAnswer sends an engine's or a peer gateway's answer to the caller. If it fails
+// before x.answerStarted is set, the caller has received nothing and another attempt is
+// possible. onFirstByte is called once the first bytes of the body have arrived; it may
+// be nil.
+func (s *Server) relayAnswer(x *exchange, resp *http.Response, onFirstByte func()) error {
 	if isEventStream(resp) {
-		return s.passEvents(x, resp, begun)
+		return s.relayEvents(x, resp, onFirstByte)
 	}
-	if x.started {
-		return errors.New("the stream was not continued by a stream")
+	if x.answerStarted {
+		return errors.New("the stream can't be resumed: the answer is not an event stream")
 	}
-	head, err := io.ReadAll(io.LimitReader(resp.Body, wholeBytes))
+	head, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		return &brokenAnswer{errors.Annotate(err, "answer")}
+		return &truncatedAnswer{errors.Annotate(err, "answer")}
 	}
-	if begun != nil {
-		begun()
+	if onFirstByte != nil {
+		onFirstByte()
 	}
-	if len(head) == wholeBytes {
-		s.begin(x, resp, resp.ContentLength)
-		_, err := relay.Copy(x.w, io.MultiReader(bytes.NewReader(head), resp.Body), writeTime, nil)
+	if len(head) == maxBufferedAnswer {
+		s.writeHead(x, resp, resp.ContentLength)
+		_, err := relay.Copy(x.w, io.MultiReader(bytes.NewReader(head), resp.Body), writeTimeout, nil)
 		return err
 	}
-	s.begin(x, resp, int64(len(head)))
+	s.writeHead(x, resp, int64(len(head)))
 	if _, err := x.w.Write(head); err != nil {
 		return &relay.CallerError{Cause: err}
 	}
 	return nil
 }
 
-// brokenAnswer says that the connection ended before the answer did.
-type brokenAnswer struct{ cause error }
+// truncatedAnswer is the error for a connection that ended before the answer did.
+type truncatedAnswer struct{ cause error }
 
 // Error implements error.
-func (b *brokenAnswer) Error() string { return b.cause.Error() }
+func (t *truncatedAnswer) Error() string { return t.cause.Error() }
 
-// Unwrap gives the cause.
-func (b *brokenAnswer) Unwrap() error { return b.cause }
+// Unwrap returns the read error.
+func (t *truncatedAnswer) Unwrap() error { return t.cause }
 
 func isEventStream(resp *http.Response) bool {
-	kind, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
+	mediaType, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
 
-// begin writes the head of the answer, which is the engine's own. length is -1
-// where it isn't known.
-func (s *Server) begin(x *exchange, resp *http.Response, length int64) {
-	to := x.w.Header()
+// writeHead sends the engine's status and headers to the caller. length is the length of
+// the body, -1 if unknown.
+func (s *Server) writeHead(x *exchange, resp *http.Response, length int64) {
+	header := x.w.Header()
 	for name, values := range relay.Forwardable(resp.Header) {
-		to[name] = values
+		header[name] = values
 	}
-	if _, given := to["Content-Type"]; !given {
-		to["Content-Type"] = nil // else net/http guesses one
+	if _, present := header["Content-Type"]; !present {
+		header["Content-Type"] = nil // else net/http guesses one
 	}
-	if _, given := to["Date"]; !given {
-		to["Date"] = nil
+	if _, present := header["Date"]; !present {
+		header["Date"] = nil
 	}
-	to.Del("Content-Length")
+	header.Del("Content-Length")
 	x.chunked = length < 0
 	if !x.chunked {
-		to.Set("Content-Length", strconv.FormatInt(length, 10))
+		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	to.Del(request.HeaderSends)
-	if x.fixed {
-		to.Set(request.HeaderSends, strconv.Itoa(x.done.sends+1))
+	header.Del(request.HeaderSends)
+	if x.handedOver {
+		header.Set(request.HeaderSends, strconv.Itoa(x.progress.sends+1))
 	}
-	x.started = true
+	x.answerStarted = true
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// passEvents passes a stream on as it arrives, whole events only, so that it
-// can go on at another engine after the last of them.
-func (s *Server) passEvents(x *exchange, resp *http.Response, begun func()) error {
-	var cut events
-	chunk := make([]byte, chunkBytes)
-	out := relay.NewWriter(x.w, writeTime)
+// relayEvents relays an event stream as it arrives. It forwards complete events only, so
+// that another engine can resume the stream after the last event sent.
+func (s *Server) relayEvents(x *exchange, resp *http.Response, onFirstByte func()) error {
+	var splitter eventSplitter
+	chunk := make([]byte, readChunkBytes)
+	out := relay.NewWriter(x.w, writeTimeout)
 	for {
 		n, err := resp.Body.Read(chunk)
-		if n > 0 && begun != nil {
-			begun()
-			begun = nil
+		if n > 0 && onFirstByte != nil {
+			onFirstByte()
+			onFirstByte = nil
 		}
-		whole := cut.add(chunk[:n])
+		complete := splitter.push(chunk[:n])
 		if err == io.EOF {
-			if told := x.brokenOff(resp); told != nil {
-				return told
+			if trailerErr := x.checkTrailer(resp); trailerErr != nil {
+				return trailerErr
 			}
-			whole = append(whole, cut.rest()...)
+			complete = append(complete, splitter.remainder()...)
 		}
-		if len(whole) > 0 || err == io.EOF {
-			if !x.started {
-				s.begin(x, resp, -1)
+		if len(complete) > 0 || err == io.EOF {
+			if !x.answerStarted {
+				s.writeHead(x, resp, -1)
 			}
-			if err := out.Pass(whole); err != nil {
+			if err := out.Pass(complete); err != nil {
 				return err
 			}
-			x.noteEvent(time.Now())
-			x.done.lastEvent = cut.last(x.done.lastEvent)
+			x.recordEvent(time.Now())
+			x.progress.lastEventID = splitter.lastIDOr(x.progress.lastEventID)
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return &brokenAnswer{errors.Annotate(err, "stream")}
+			return &truncatedAnswer{errors.Annotate(err, "stream")}
 		}
 	}
 }
 
-// noteEvent takes the time at which an event of a stream was passed on.
-func (x *exchange) noteEvent(now time.Time) {
-	if !x.lastAt.IsZero() {
-		x.pause = max(x.pause, now.Sub(x.lastAt))
+// recordEvent updates the longest pause between events; now is when an event was relayed.
+func (x *exchange) recordEvent(now time.Time) {
+	if !x.lastEventAt.IsZero() {
+		x.longestPause = max(x.longestPause, now.Sub(x.lastEventAt))
 	}
-	x.lastAt = now
+	x.lastEventAt = now
 }
 
-// chunkBytes bounds what is read at once of a stream. Open streams are many.
-const chunkBytes = 2 << 10
+// readChunkBytes bounds one read of a stream. It is small because many streams are open at
+// once.
+const readChunkBytes = 2 << 10
 
-// events cuts a stream of server-sent events at the ends of events. The zero
-// value is the start of a stream.
-type events struct {
+// eventSplitter splits a stream of server-sent events at event boundaries. The zero value
+// is ready for the start of a stream.
+type eventSplitter struct {
 	partial []byte
 	lastID  string
 }
 
-// endOfEvent is the blank line after an event.
-var endOfEvent = []byte("\n\n")
+// eventTerminator is the blank line that ends an event.
+var eventTerminator = []byte("\n\n")
 
-// add takes more of the stream and gives the whole events that are complete
-// with it. The result holds until the next call.
-func (e *events) add(data []byte) []byte {
+// push appends data and returns all events that are complete now. The result is valid
+// until the next call.
+func (e *eventSplitter) push(data []byte) []byte {
 	e.partial = append(e.partial, data...)
-	at := bytes.LastIndex(e.partial, endOfEvent)
-	if at < 0 {
+	end := bytes.LastIndex(e.partial, eventTerminator)
+	if end < 0 {
 		return nil
 	}
-	whole := bytes.Clone(e.partial[:at+len(endOfEvent)])
-	e.partial = append(e.partial[:0], e.partial[at+len(endOfEvent):]...)
-	e.note(whole)
-	return whole
+	complete := bytes.Clone(e.partial[:end+len(eventTerminator)])
+	e.partial = append(e.partial[:0], e.partial[end+len(eventTerminator):]...)
+	e.recordLastID(complete)
+	return complete
 }
 
-// rest gives what stands after the last whole event, at the end of a stream.
-func (e *events) rest() []byte { return e.partial }
+// remainder returns the bytes after the last complete event. It is for the end of the
+// stream.
+func (e *eventSplitter) remainder() []byte { return e.partial }
 
-// idField begins the line of an event that holds its ID.
-var idField = []byte("id:")
+// idPrefix begins the line of an event that contains its ID.
+var idPrefix = []byte("id:")
 
-// note remembers the last ID.
-func (e *events) note(whole []byte) {
-	for line := range bytes.Lines(whole) {
-		if id, ok := bytes.CutPrefix(line, idField); ok {
+// recordLastID remembers the last event ID in complete.
+func (e *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.Lines(complete) {
+		if id, ok := bytes.CutPrefix(line, idPrefix); ok {
 			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// last gives the last ID that was seen, or the one given where none was.
-func (e *events) last(before string) string {
+// lastIDOr returns the last event ID of the stream, or previous if there was none.
+func (e *eventSplitter) lastIDOr(previous string) string {
 	if e.lastID == "" {
-		return before
+		return previous
 	}
 	return e.lastID
 }
--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -1,5 +1,4 @@
-// This file defines what the ingress needs to know of the protocols that
-// callers and engines speak.
+// This file defines the interface to the protocol of callers and engines.
 
 package ingress
 
@@ -14,53 +13,55 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Identity is what a caller says of a request.
+// Identity is the metadata that a caller sends in a request's headers.
 type Identity struct {
 	ID        string
-	Remaining time.Duration // that the caller will wait; 0 where not said
+	Remaining time.Duration // how long the caller will wait; 0 if not stated
 	Prompt    dispatch.Prompt
-	Tokens    int               // of the prompt and of the longest answer together; Untold where not said
-	LastEvent string            // ID of the last event that the caller has; "" for none
-	Key       catalog.KeyDigest // that the caller shows; "" for none
+	Tokens    int               // prompt plus longest answer; Untold if not stated
+	LastEvent string            // ID of the last stream event that the caller has; "" for none
+	Key       catalog.KeyDigest // digest of the API key; "" for none
 }
 
-// Untold stands for a number of tokens that a caller doesn't say.
+// Untold is the number of tokens of a request that doesn't state it.
 const Untold = -1
 
-// Send is what the system tells an engine beside the caller's own words.
+// Send is what the gateway adds to the caller's headers when it sends a request to an
+// engine.
 type Send struct {
-	Engine    string        // the incarnation that is meant
-	Remaining time.Duration // after which the engine may stop
-	LastEvent string        // the stream goes on after this event; "" for the caller's own
-	Keyed     bool          // callers show keys, which engines don't get
+	Engine    string        // the incarnation that the request is for
+	Remaining time.Duration // time limit; the engine may stop after it
+	LastEvent string        // ID of the event to resume the stream after; "" keeps the caller's
+	Keyed     bool          // callers send API keys, which are removed
 	Account   string        // client account; "" for none
-	CopyFrom  string        // address of the engine to copy the prompt's shared parts from; "" for none
+	CopyFrom  string        // address of the engine to transfer the prompt's KV cache from; "" for none
 }
 
-// Verdict is what an answer's head says.
+// Verdict is the metadata in the head of an engine's answer.
 type Verdict struct {
-	ID          string // of the request that it answers
-	Engine      string // incarnation that answered, "" where not said
-	NotRun      bool   // the engine says that it did not run the request
-	Misdirected bool   // another engine answers at this address
-	Cold        time.Duration
-	Limit       ratelimit.Word // what the engine takes from all gateways together
-	Pushback    pushback.Word  // for how long it wants nothing from this gateway
-	Leaving     bool           // it leaves, and wants nothing any more
+	ID          string         // of the request that it answers
+	Engine      string         // incarnation that answered; "" if not stated
+	NotRun      bool           // the engine states that it did not run the request
+	Misdirected bool           // another engine answers at this address
+	Cold        time.Duration  // cold time that the answer states; not used by this package
+	Limit       ratelimit.Word // the engine's rate limit, over all gateways together
+	Pushback    pushback.Word  // backoff that the engine asks this gateway for
+	Leaving     bool           // the engine is draining and accepts no more requests
 }
 
-// Dialect speaks the protocol of callers and engines.
+// Dialect encodes and decodes the platform's headers of callers and engines, whose names
+// this package doesn't know.
 type Dialect interface {
-	// Identify reads a caller's headers; the error is a *request.NotRun.
+	// Identify decodes a caller's headers. The error is a *request.NotRun.
 	Identify(header http.Header) (Identity, error)
-	// Outgoing gives the headers for an engine: the caller's, without those
-	// that only the system may set, and with what is sent.
+	// Outgoing returns the headers for an engine: the caller's, without those that only
+	// the gateway may set, plus those for send. It may modify caller.
 	Outgoing(caller http.Header, send Send) http.Header
-	// Continue gives a caller's headers as if it had asked to go on after the
-	// event.
+	// Continue returns the headers of a caller that resumes the stream after the event
+	// with the ID lastEvent. It may modify caller.
 	Continue(caller http.Header, lastEvent string) http.Header
-	// Judge reads the head of an engine's answer.
+	// Judge decodes the head of an engine's answer.
 	Judge(resp *http.Response) Verdict
-	// Refuse gives the status and headers of an answer that is no engine's.
+	// Refuse returns the status and headers of a rejection by the gateway itself.
 	Refuse(refusal request.Refusal) (status int, header http.Header)
 }
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -1,20 +1,22 @@
-// Package ingress serves the callers of routes that an operator has declared
-// (package catalog) over HTTP.
+// Package ingress is the HTTP proxy between callers and engines. It serves the routes that
+// operators have declared in the catalog (package catalog).
 //
-// A request passes through these filters, each of which may end it:
+// A request passes through these stages, each of which may reject it:
 //
-//	receive   headers and body, within the catalog's limits
-//	match     the route, by host and path
-//	place     this region, or one hand-over to a gateway of another
-//	choose    an engine, by package dispatch
+//	receive   decode the headers, then read the body, within the catalog's limits
+//	match     find the route by host and path, and pick a service
+//	account   authenticate the API key and charge the account's allowance
+//	region    run locally, or hand over to a gateway of another region
+//	engine    choose one, by package dispatch
 //	send      by package relay
-//	answer    the engine's own, unchanged and whole, or visibly broken
+//	answer    relay the engine's answer, unchanged and complete, or visibly truncated
 //
-// What callers and engines write in headers is decoded by a Dialect, so that
-// nothing here knows a header's name.
+// A Dialect encodes and decodes the platform's headers of callers and engines, so that this
+// package doesn't depend on their names.
 //
-// A request that may not be repeated is sent to one engine, on a connection of
-// its own. One that may be is sent again, within the route's attempts, the
-// service's retry budget and the deadline. A refusal as not run is only given
-// where no engine can have begun the request.
+// A request that is not repeatable is sent to one engine, on a connection of its own, and
+// is only sent again if that engine certainly did not run it. A repeatable one is retried
+// after other failures too. Retries are bounded by the route's attempts, the service's
+// retry budget and the deadline. The caller gets a rejection as not run (request.NotRun)
+// only if no engine can have begun the request.
 package ingress
--- a/ingress/examine.go
+++ b/ingress/examine.go
@@ -1,4 +1,5 @@
-// This file defines the duty that looks at engines whose connections broke.
+// This file defines the probing of engines that are suspected to have crashed because a
+// connection to them broke.
 
 package ingress
 
@@ -15,54 +16,56 @@
 )
 
 const (
-	// examineTime bounds the opening of one connection: a process that has ended refuses
-	// it at once, and of a host without power the registry tells.
-	examineTime = 250 * time.Millisecond
-	// examineTries is how often it is opened. A process closes its connections and the
-	// socket that takes new ones in any order, and is gone within some ms.
-	examineTries = 2
-	examinePause = 30 * time.Millisecond
-	// examineAtOnce bounds the engines that are looked at side by side: those without power
-	// take half a second each, and must not hold up those that have crashed.
-	examineAtOnce = 16
+	// probeTimeout bounds the opening of one connection. The host of a process that has
+	// ended refuses the connection at once. A host without power doesn't answer; the
+	// registry notices that its heartbeats stop.
+	probeTimeout = 250 * time.Millisecond
+	// probeAttempts is the number of connections tried per suspect. A process that ends
+	// closes its connections and its listening socket in any order, but within a few
+	// milliseconds, so a second try finds the listener closed.
+	probeAttempts = 2
+	probePause    = 30 * time.Millisecond
+	// maxConcurrentProbes bounds the engines that are probed at once. Engines without power
+	// take half a second each, and must not delay the detection of those that have crashed.
+	maxConcurrentProbes = 16
 )
 
-// Examine opens a connection to each engine in doubt until ctx ends, and tells the
-// dispatcher of those that refuse it.
+// Examine probes the engines that the dispatcher suspects, until ctx ends, and reports
+// those that refuse connections to the dispatcher.
 func (s *Server) Examine(ctx context.Context) error {
-	group := pool.New().WithMaxGoroutines(examineAtOnce)
+	group := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	defer group.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case doubt := <-s.Dispatcher.Doubts():
-			group.Go(func() { s.examine(ctx, doubt) })
+		case suspect := <-s.Dispatcher.Doubts():
+			group.Go(func() { s.probeSuspect(ctx, suspect) })
 		}
 	}
 }
 
-func (s *Server) examine(ctx context.Context, doubt dispatch.Doubt) {
-	if s.refuses(ctx, doubt.Address) {
-		s.Dispatcher.Refused(doubt)
+func (s *Server) probeSuspect(ctx context.Context, suspect dispatch.Doubt) {
+	if s.refusesConnections(ctx, suspect.Address) {
+		s.Dispatcher.Refused(suspect)
 	}
 }
 
-// refuses tells whether nothing listens at an address.
-func (s *Server) refuses(ctx context.Context, address string) bool {
-	for range examineTries {
-		if s.refusesOnce(ctx, address) {
+// refusesConnections reports whether no process listens at address.
+func (s *Server) refusesConnections(ctx context.Context, address string) bool {
+	for range probeAttempts {
+		if s.refusesConnection(ctx, address) {
 			return true
 		}
-		duty.Pause(ctx, examinePause)
+		duty.Pause(ctx, probePause)
 	}
 	return false
 }
 
-func (s *Server) refusesOnce(ctx context.Context, address string) bool {
-	bounded, cancel := context.WithTimeout(ctx, examineTime)
+func (s *Server) refusesConnection(ctx context.Context, address string) bool {
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := s.Dialer.DialContext(bounded, "tcp", address)
+	conn, err := s.Dialer.DialContext(probeCtx, "tcp", address)
 	if err == nil {
 		conn.Close()
 	}
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -18,173 +18,177 @@
 )
 
 const (
-	// retryRegion is when to come back where no region can be reached: cuts last
-	// for seconds.
-	retryRegion = time.Second
-	// gatewaysTried is how many gateways of one region are connected to for one
+	// regionRetryAfter is the Retry-After if no region can be reached. Network partitions
+	// last for seconds.
+	regionRetryAfter = time.Second
+	// maxGatewaysPerRegion bounds the gateways of one region that are tried for one
 	// request.
-	gatewaysTried = 2
+	maxGatewaysPerRegion = 2
 )
 
-// takes tells whether a gateway of another region may get requests.
-func (s *Server) takes(h roster.Host) bool {
-	return h.Region != s.Self.Region && !h.Stopping && h.Handover != "" && !s.paths.avoided(h, s.Clock())
+// acceptsHandover reports whether requests may be handed over to gateway h.
+func (s *Server) acceptsHandover(h roster.Host) bool {
+	return h.Region != s.Self.Region && !h.Stopping && h.Handover != "" && !s.peerPaths.isExcluded(h, s.Clock())
 }
 
-// runIn runs the request here, or hands it over to a gateway of another region.
-func (s *Server) runIn(x *exchange, region string) error {
+// runInRegion runs the request locally, or hands it over to a gateway of another region.
+func (s *Server) runInRegion(x *exchange, region string) error {
 	if region == s.Self.Region {
-		return s.attempts(x)
+		return s.runAttempts(x)
 	}
-	var err error = &request.NotRun{Reason: request.ReasonNoEngine, Message: "no gateway of " + region + " can be reached", RetryAfter: retryRegion}
-	for range gatewaysTried {
-		gateway, ok := s.gatewayIn(region)
+	var err error = &request.NotRun{Reason: request.ReasonNoEngine, Message: "no gateway of " + region + " can be reached", RetryAfter: regionRetryAfter}
+	for range maxGatewaysPerRegion {
+		gateway, ok := s.pickGateway(region)
 		if !ok {
 			return err
 		}
-		var broken bool
-		if broken, err = s.handOver(x, gateway); !broken {
+		var pathBroken bool
+		if pathBroken, err = s.handOver(x, gateway); !pathBroken {
 			return err
 		}
-		s.paths.broken(gateway, s.Clock())
-		if !x.mayGoOn(err) {
+		s.peerPaths.markBroken(gateway, s.Clock())
+		if !x.mayRetryElsewhere(err) {
 			return err
 		}
 	}
 	return err
 }
 
-// gatewayIn draws a gateway of a region.
-func (s *Server) gatewayIn(region string) (roster.Host, bool) {
-	var all []roster.Host
+// pickGateway picks a random gateway of a region.
+func (s *Server) pickGateway(region string) (roster.Host, bool) {
+	var candidates []roster.Host
 	for _, h := range s.Gateways() {
-		if h.Region == region && s.takes(h) {
-			all = append(all, h)
+		if h.Region == region && s.acceptsHandover(h) {
+			candidates = append(candidates, h)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return roster.Host{}, false
 	}
-	return all[s.Random()%uint64(len(all))], true
+	return candidates[s.Random()%uint64(len(candidates))], true
 }
 
-// handOver sends the request to a gateway of another region. It tells whether
-// the way there, or the gateway, is broken.
-func (s *Server) handOver(x *exchange, gateway roster.Host) (broken bool, err error) {
-	s.Log.Info("handed over", x.fields(zap.String("gateway", gateway.Name), zap.String("region", gateway.Region), zap.Duration("remaining", s.remaining(x)))...)
+// handOver sends the request to a gateway of another region and relays its answer.
+// pathBroken reports whether the network path to that gateway, or the gateway itself, has
+// failed.
+func (s *Server) handOver(x *exchange, gateway roster.Host) (pathBroken bool, err error) {
+	s.Log.Info("handing over request", x.logFields(zap.String("gateway", gateway.Name), zap.String("region", gateway.Region), zap.Duration("remaining", s.remaining(x)))...)
 	header := relay.Forwardable(x.r.Header)
-	if x.done.lastEvent != "" {
-		header = s.Dialect.Continue(header, x.done.lastEvent)
+	if x.progress.lastEventID != "" {
+		header = s.Dialect.Continue(header, x.progress.lastEventID)
 	}
-	sent := request.Request{ID: x.identity.ID, Deadline: x.deadline, Sends: x.done.sends}.WithVisit(s.Self.Name)
-	sent.SetHandover(header, s.Clock(), uint64(x.rules.table.Version()))
-	before := x.done.sends
-	away := s.Dispatcher.Sent(gateway.Region, x.ask(nil))
-	var announced atomic.Int64
+	handover := request.Request{ID: x.meta.ID, Deadline: x.deadline, Sends: x.progress.sends}.WithVisit(s.Self.Name)
+	handover.SetHandover(header, s.Clock(), uint64(x.catalog.table.Version()))
+	sendsBefore := x.progress.sends
+	remote := s.Dispatcher.Sent(gateway.Region, x.dispatchRequest(nil))
+	var announcedSends atomic.Int64
 	resp, err := s.Peers.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + gateway.Handover + x.r.URL.RequestURI(), Host: x.r.Host,
-		Header: header, Body: x.reader(), Length: int64(len(x.body)),
-		Echoes: true, Fresh: !x.route.Repeatable() && !s.paths.proven(gateway, s.Clock()),
-		Judge:    func(resp *http.Response) error { return x.judgePeer(resp) },
-		Informed: func(head http.Header) { announced.Store(int64(sendsIn(head))) },
+		Header: header, Body: x.bodyReader(), Length: int64(len(x.body)),
+		Echoes: true, Fresh: !x.route.Repeatable() && !s.peerPaths.answeredRecently(gateway, s.Clock()),
+		Judge:    func(resp *http.Response) error { return x.checkPeerAnswer(resp) },
+		Informed: func(header http.Header) { announcedSends.Store(int64(parseSends(header))) },
 	})
-	away.End()
-	x.done.sends = max(x.done.sends, int(announced.Load()))
+	remote.End()
+	x.progress.sends = max(x.progress.sends, int(announcedSends.Load()))
 	if err == nil {
-		s.paths.answered(gateway, s.Clock())
+		s.peerPaths.recordAnswer(gateway, s.Clock())
 		defer resp.Body.Close()
-		err = s.pass(x, resp, nil)
+		err = s.relayAnswer(x, resp, nil)
 	}
 	if err == nil {
-		s.ended(x, "answered_elsewhere")
+		s.countOutcome(x, "answered_elsewhere")
 		return false, nil
 	}
-	s.Log.Warn("hand-over failed", x.fields(zap.String("gateway", gateway.Name), zap.Bool("started", x.started), telemetry.Cause(err))...)
-	broken, err = x.handOverFailed(err, before)
+	s.Log.Warn("hand-over failed", x.logFields(zap.String("gateway", gateway.Name), zap.Bool("started", x.answerStarted), telemetry.Cause(err))...)
+	pathBroken, err = x.classifyHandOverError(err, sendsBefore)
 	var unknown *request.OutcomeUnknown
-	x.done.unknown = x.done.unknown || errors.As(err, &unknown)
-	return broken, err
+	x.progress.mayHaveRun = x.progress.mayHaveRun || errors.As(err, &unknown)
+	return pathBroken, err
 }
 
-// handOverFailed turns a failure into a refusal. One that the other gateway gave
-// is no sign that it is broken, and neither is a caller who has gone.
-// before is how often the request had been sent to engines by then.
-func (x *exchange) handOverFailed(err error, before int) (broken bool, refusal error) {
-	var refused request.Refusal
-	if errors.As(err, &refused) {
-		return false, refused
+// classifyHandOverError turns the error of a hand-over into a rejection. The path is not
+// broken if the other gateway itself rejected the request, or if the caller has
+// disconnected. sendsBefore is how often the request had been sent to engines before the
+// hand-over.
+func (x *exchange) classifyHandOverError(err error, sendsBefore int) (pathBroken bool, final error) {
+	var rejection request.Refusal
+	if errors.As(err, &rejection) {
+		return false, rejection
 	}
 	var failure *relay.Failure
 	if errors.As(err, &failure) && failure.NotRun {
-		return true, &request.NotRun{Reason: request.ReasonNoEngine, Message: err.Error(), RetryAfter: retryRegion}
+		return true, &request.NotRun{Reason: request.ReasonNoEngine, Message: err.Error(), RetryAfter: regionRetryAfter}
 	}
-	if x.done.sends == before {
-		x.done.sends++ // one at least: the other gateway told nothing
+	if x.progress.sends == sendsBefore {
+		x.progress.sends++ // the other gateway announced no send, but may have made one
 	}
 	return x.r.Context().Err() == nil, &request.OutcomeUnknown{Message: err.Error()}
 }
 
-// judgePeer turns another gateway's refusal back into one of this one's.
-func (x *exchange) judgePeer(resp *http.Response) error {
-	x.noteSends(resp.Header)
+// checkPeerAnswer turns a rejection by another gateway into one by this gateway.
+func (x *exchange) checkPeerAnswer(resp *http.Response) error {
+	x.mergeSends(resp.Header)
 	switch resp.Header.Get(request.HeaderOutcome) {
 	case "":
-		if x.started && resp.StatusCode != http.StatusOK {
-			return relay.NewFailure(false, false, errors.Errorf("the stream was continued with status %d", resp.StatusCode))
+		if x.answerStarted && resp.StatusCode != http.StatusOK {
+			return relay.NewFailure(false, false, errors.Errorf("the other gateway answered the resumed stream with status %d", resp.StatusCode))
 		}
 		return nil
 	case request.NotRunValue:
 		wait, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 		if err != nil {
-			wait = retryRegion
+			wait = regionRetryAfter
 		}
-		return &request.NotRun{Reason: reasonThere(resp.Header), Message: "the gateway of the other region refused it", RetryAfter: wait}
+		return &request.NotRun{Reason: peerReason(resp.Header), Message: "the gateway of the other region refused it", RetryAfter: wait}
 	default:
 		return &request.OutcomeUnknown{Message: "the gateway of the other region could not tell"}
 	}
 }
 
-// reasonThere gives the reason of another gateway's refusal as one of this gateway's. Most
-// hold for that region alone, and another may be tried; a request that crashes engines
-// would crash those as well.
-func reasonThere(said http.Header) request.Reason {
-	if reason := request.Reason(said.Get(request.HeaderReason)); reason == request.ReasonQuarantined {
+// peerReason maps the reason of another gateway's rejection to one for this gateway. Most
+// reasons apply to that region only, so another region may be tried. A request that
+// crashes engines would crash those of the other regions as well.
+func peerReason(header http.Header) request.Reason {
+	if reason := request.Reason(header.Get(request.HeaderReason)); reason == request.ReasonQuarantined {
 		return reason
 	}
 	return request.ReasonNoEngine
 }
 
-// noteSends takes over how often another gateway says that the request has been
-// sent.
-func (x *exchange) noteSends(said http.Header) {
-	x.done.sends = max(x.done.sends, sendsIn(said))
+// mergeSends adopts the number of sends that another gateway reports in header, if it is
+// higher.
+func (x *exchange) mergeSends(header http.Header) {
+	x.progress.sends = max(x.progress.sends, parseSends(header))
 }
 
-// sendsIn reads how often a request has been sent to engines; 0 where that isn't said.
-func sendsIn(head http.Header) int {
-	sends, err := strconv.Atoi(head.Get(request.HeaderSends))
+// parseSends returns how often a request has been sent to engines; 0 if header doesn't
+// state it.
+func parseSends(header http.Header) int {
+	sends, err := strconv.Atoi(header.Get(request.HeaderSends))
 	if err != nil {
 		return 0
 	}
 	return sends
 }
 
-// announceSend tells the gateway that handed the request over, in an informational answer, that it
-// is about to be sent to one more engine. If this gateway is lost, that one counts it.
+// announceSend tells the gateway that handed the request over, in an informational
+// response, that this gateway is about to send it to one more engine. If this gateway is
+// lost, the other one has still counted the send.
 func (x *exchange) announceSend() {
-	if !x.fixed || x.started || x.done.sends == 0 {
+	if !x.handedOver || x.answerStarted || x.progress.sends == 0 {
 		return
 	}
-	x.w.Header().Set(request.HeaderSends, strconv.Itoa(x.done.sends+1))
+	x.w.Header().Set(request.HeaderSends, strconv.Itoa(x.progress.sends+1))
 	x.w.WriteHeader(http.StatusEarlyHints)
 }
 
-// brokenOff gives the refusal that another gateway wrote behind a stream that it
-// couldn't finish, or nil for a stream that is whole.
-func (x *exchange) brokenOff(resp *http.Response) error {
+// checkTrailer returns the rejection that another gateway put into the trailer of a stream
+// that it couldn't finish, or nil for a complete stream.
+func (x *exchange) checkTrailer(resp *http.Response) error {
 	if resp.Trailer.Get(request.HeaderOutcome) == "" {
 		return nil
 	}
-	x.noteSends(resp.Trailer)
+	x.mergeSends(resp.Trailer)
 	return &request.OutcomeUnknown{Message: "the gateway of the other region broke the stream off"}
 }
--- a/ingress/hear.go
+++ b/ingress/hear.go
@@ -1,4 +1,5 @@
-// This file defines what a gateway makes of what an engine's answer says of the engine.
+// This file defines the handling of the rate limits, backoff and draining that engines
+// signal in their answers.
 
 package ingress
 
@@ -12,42 +13,44 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// hear tells the dispatcher what an answer's head says of its engine. Refusals and failures say
-// it as well. Another engine's is left out.
-func (s *Server) hear(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
+// recordSignals passes what the head of an answer signals about its engine to the
+// dispatcher. It does so for rejections and failures too, but not for an answer of another
+// engine at the same address.
+func (s *Server) recordSignals(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
 	if v.Misdirected {
 		return
 	}
-	s.hearPushback(x, ticket, resp, v)
-	s.hearLimit(x, ticket, v)
+	s.recordPushback(x, ticket, resp, v)
+	s.recordLimit(x, ticket, v)
 }
 
-// hearPushback takes what the engine asks of this gateway. An answer to another request, which
-// comes late, says it as well: a rest that is heard late ends late, and who leaves won't stay.
-func (s *Server) hearPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
+// recordPushback records the backoff and draining that the engine asks of this gateway. It
+// also accepts them from a late answer to another request: a backoff received late ends
+// late, and an engine that drains doesn't return.
+func (s *Server) recordPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
 	ticket.HeardPushback(v.Pushback)
 	if !v.NotRun && resp.StatusCode != http.StatusServiceUnavailable {
 		ticket.Taken()
 	}
-	switch word := v.Pushback.(type) {
+	switch signal := v.Pushback.(type) {
 	case pushback.Rest:
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
-		s.Log.Info("engine asked for rest", x.fields(zap.String("engine", ticket.Engine), zap.Duration("for", word.For), zap.Int("status", resp.StatusCode))...)
+		s.Log.Info("engine asked for backoff", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("for", signal.For), zap.Int("status", resp.StatusCode))...)
 	case pushback.Unclear:
-		s.Log.Warn("engine's Retry-After can't be read", x.fields(zap.String("engine", ticket.Engine), zap.Stringer("word", word))...)
+		s.Log.Warn("ignoring malformed Retry-After of engine", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("word", signal))...)
 	case pushback.Nothing:
 	}
 	if v.Leaving {
 		ticket.HeardLeaving()
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
-		s.Log.Info("engine said that it leaves", x.fields(zap.String("engine", ticket.Engine), zap.Int("status", resp.StatusCode))...)
+		s.Log.Info("engine announced that it is draining", x.logFields(zap.String("engine", ticket.Engine), zap.Int("status", resp.StatusCode))...)
 	}
 }
 
-// hearLimit takes how many requests the engine takes. An answer to another request is left out:
-// it may be as old as can be.
-func (s *Server) hearLimit(x *exchange, ticket *dispatch.Ticket, v Verdict) {
-	if v.ID != x.identity.ID && !(v.NotRun && v.ID == "") {
+// recordLimit records the engine's rate limit. It ignores an answer to another request,
+// because its age is unknown.
+func (s *Server) recordLimit(x *exchange, ticket *dispatch.Ticket, v Verdict) {
+	if v.ID != x.meta.ID && !(v.NotRun && v.ID == "") {
 		return
 	}
 	ticket.HeardLimit(v.Limit)
@@ -55,5 +58,5 @@
 		return
 	}
 	s.Metrics.Limited(ticket.Engine, "answered")
-	s.Log.Info("engine named a limit", x.fields(zap.String("engine", ticket.Engine), zap.Stringer("limit", v.Limit))...)
+	s.Log.Info("engine announced a rate limit", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("limit", v.Limit))...)
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -20,98 +20,99 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Bounds of one gateway.
+// Limits of one gateway.
 const (
-	// headerBytes bounds a request's head; catalogs may ask for less.
-	headerBytes = 64 << 10
-	// headerTime bounds the reading of a head.
-	headerTime = 5 * time.Second
-	// idleTime is how long an idle connection of a caller is kept: longer than
+	// maxHeaderBytes bounds the header of a request. Catalogs may state a lower limit, which
+	// this server doesn't enforce.
+	maxHeaderBytes = 64 << 10
+	// headerTimeout bounds the reading of a request's header.
+	headerTimeout = 5 * time.Second
+	// idleTimeout is how long an idle connection of a caller stays open. It is longer than
 	// any that catalogs have asked for, so that callers close first.
-	idleTime = 60 * time.Second
-	// heldBytes bounds the bodies in memory, so that a burst of long prompts
-	// can't exhaust the host's memory.
-	heldBytes = 96 << 20
-	// stopAccepting is how long a stopping gateway takes new connections and
-	// requests: callers have lists of gateways that are some seconds old.
-	stopAccepting = 2500 * time.Millisecond
-	// firstCatalog is how long a gateway that has just started leaves new
-	// connections waiting until it knows a catalog: shorter than the second
-	// after which callers give up on one that isn't read.
-	firstCatalog = 900 * time.Millisecond
-	// writeTime bounds each wait for a caller to take bytes.
-	writeTime = 10 * time.Second
+	idleTimeout = 60 * time.Second
+	// maxBufferedBodies bounds the request bodies in memory, in bytes, so that a burst of
+	// long prompts can't exhaust the host's memory.
+	maxBufferedBodies = 96 << 20
+	// drainDelay is how long a stopping gateway still accepts connections and requests,
+	// because callers use lists of gateways that are some seconds old.
+	drainDelay = 2500 * time.Millisecond
+	// firstCatalogTimeout is how long a gateway that has just started leaves new
+	// connections waiting for the first catalog. It is shorter than the second after which
+	// callers give up on a connection that isn't read.
+	firstCatalogTimeout = 900 * time.Millisecond
+	// writeTimeout bounds each write to a caller.
+	writeTimeout = 10 * time.Second
 )
 
-// Deps are what a Server needs.
+// Deps holds the dependencies and settings of a Server.
 type Deps struct {
 	Self       roster.Host
 	Dialect    Dialect
 	Dispatcher *dispatch.Dispatcher
 	Gateways   func() []roster.Host
 	Engines    *relay.Client
-	Peers      *relay.Client // gateways of other regions
-	Dialer     relay.Dialer  // opens connections to engines in doubt
+	Peers      *relay.Client // sends requests to gateways of other regions
+	Dialer     relay.Dialer  // opens connections to suspected engines
 	Log        *zap.Logger
 	Metrics    *telemetry.Metrics
 	Random     func() uint64
-	// Clock is what deadlines and beliefs are measured by: it goes on while the host is
+	// Clock is the clock for deadlines and estimates. It continues while the host is
 	// suspended, so that no engine gets more time than its caller has left.
 	Clock      func() time.Time
-	StopTime   time.Duration // for requests in flight after a stop
+	StopTime   time.Duration // for requests in flight after Run's context ends
 	Keys       Keys
-	Allowances *allowance.Meter // nil where none are kept
-	Regions    []string         // all there are
+	Allowances *allowance.Meter // nil if allowances are not enforced
+	Regions    []string         // all regions of the deployment
 }
 
-// Server serves callers. New makes one.
+// Server is the HTTP server of one gateway. Create it with New.
 type Server struct {
 	Deps
-	rules    atomic.Pointer[rules]
-	held     atomic.Int64 // bytes of bodies in memory
-	inFlight atomic.Int64
-	stopping atomic.Bool
+	catalog       atomic.Pointer[catalogSnapshot]
+	bufferedBytes atomic.Int64 // of request bodies
+	inFlight      atomic.Int64
+	stopping      atomic.Bool
 
-	paths paths // to gateways of other regions
+	peerPaths pathTable
 }
 
-// rules are what an operator has declared, as of one index of the ledger.
-type rules struct {
+// catalogSnapshot is the catalog as of one index of the ledger.
+type catalogSnapshot struct {
 	index uint64
 	table *catalog.Table
 }
 
-// New makes a server that knows no route yet.
+// New returns a server without a catalog. Take sets the catalog.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
-// Take takes over a state of the ledger. States older than the last are
-// ignored.
+// Take applies a state of the ledger. It ignores a state that is not newer than the
+// current one.
 func (s *Server) Take(state ledger.State) {
-	old := s.rules.Load()
-	if old != nil && old.index >= state.Index {
+	current := s.catalog.Load()
+	if current != nil && current.index >= state.Index {
 		return
 	}
 	table := catalog.NewTable(state.Catalog)
 	s.Dispatcher.Take(state, table)
-	s.rules.Store(&rules{state.Index, table})
+	s.catalog.Store(&catalogSnapshot{state.Index, table})
 	s.Metrics.Revision(state.Catalog.Version)
 }
 
-// Ready tells whether the gateway takes requests.
+// Ready reports whether the gateway accepts requests: it has a catalog and isn't stopping.
 func (s *Server) Ready() bool {
-	r := s.rules.Load()
-	return !s.stopping.Load() && r != nil && r.table.Version() > 0
+	current := s.catalog.Load()
+	return !s.stopping.Load() && current != nil && current.table.Version() > 0
 }
 
-// Stopping tells whether the gateway is about to end.
+// Stopping reports whether the gateway is shutting down.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// Run serves both listeners until ctx ends, then finishes what is in flight
-// within StopTime. Connections may wait in the listeners until there is a
-// catalog to serve.
+// Run serves both listeners until ctx ends, then finishes the requests in flight within
+// StopTime. Connections wait in the listeners until the first catalog arrives, or
+// firstCatalogTimeout has passed.
 func (s *Server) Run(ctx context.Context, callers, handover net.Listener) error {
 	s.awaitCatalog(ctx)
-	servers := []*http.Server{s.server(s.CallersHandler()), s.server(s.HandoverHandler())}
+	servers := []*http.Server{s.newHTTPServer(s.CallersHandler()), s.newHTTPServer(s.HandoverHandler())}
 	group := pool.New().WithErrors()
 	for i, listener := range []net.Listener{callers, handover} {
 		group.Go(func() error {
@@ -129,43 +130,43 @@
 	return group.Wait()
 }
 
-// awaitCatalog waits for the first catalog, and for a lease where one is needed, but not
-// for long: without them, callers are told when to come back.
+// awaitCatalog waits for the first catalog, and for a key lease if one is required, for at
+// most firstCatalogTimeout. After that, requests are rejected with a Retry-After.
 func (s *Server) awaitCatalog(ctx context.Context) {
-	for until := time.Now().Add(firstCatalog); time.Now().Before(until) && ctx.Err() == nil && !s.serves(); {
-		time.Sleep(firstCatalog / 50)
+	for until := time.Now().Add(firstCatalogTimeout); time.Now().Before(until) && ctx.Err() == nil && !s.canServeKeys(); {
+		time.Sleep(firstCatalogTimeout / 50)
 	}
 }
 
-// serves tells whether requests with a key can be served.
-func (s *Server) serves() bool {
+// canServeKeys reports whether requests with an API key can be served.
+func (s *Server) canServeKeys() bool {
 	if !s.Ready() {
 		return false
 	}
-	r := s.rules.Load()
-	if !r.table.HasAccounts() {
+	current := s.catalog.Load()
+	if !current.table.HasAccounts() {
 		return true
 	}
-	_, sure := s.Keys.holds(r.index)
-	return sure
+	_, fresh := s.Keys.checkFreshness(current.index)
+	return fresh
 }
 
-// stop goes on serving those who have not heard of the stop yet, then finishes
-// what is in flight.
+// stop shuts the servers down. It first keeps serving for callers that haven't learned of
+// the stop yet, then finishes the requests in flight.
 func (s *Server) stop(servers []*http.Server) {
 	s.stopping.Store(true)
 	s.Log.Info("stopping", zap.Int64("in_flight", s.inFlight.Load()), zap.Duration("at_most", s.StopTime))
-	bound, cancel := context.WithTimeout(context.Background(), s.StopTime)
+	stopCtx, cancel := context.WithTimeout(context.Background(), s.StopTime)
 	defer cancel()
 	for _, server := range servers {
 		server.SetKeepAlivesEnabled(false)
 	}
-	time.Sleep(min(stopAccepting, s.StopTime/2))
+	time.Sleep(min(drainDelay, s.StopTime/2))
 	group := pool.New()
 	for _, server := range servers {
 		group.Go(func() {
-			if err := server.Shutdown(bound); err != nil {
-				s.Log.Warn("requests cut off", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
+			if err := server.Shutdown(stopCtx); err != nil {
+				s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
 				server.Close()
 			}
 		})
@@ -173,24 +174,24 @@
 	group.Wait()
 }
 
-func (s *Server) server(handler http.Handler) *http.Server {
+func (s *Server) newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    headerBytes,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          telemetry.HTTPErrors(s.Log),
 		ConnContext:       withConn,
 	}
 }
 
-// CallersHandler serves callers.
+// CallersHandler returns the handler for requests of callers.
 func (s *Server) CallersHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, false) })
 }
 
-// HandoverHandler serves other gateways. What they bring is not handed over
-// again.
+// HandoverHandler returns the handler for requests that other gateways hand over. Those
+// are not handed over again.
 func (s *Server) HandoverHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, true) })
 }
--- a/ingress/left.go
+++ b/ingress/left.go
@@ -1,4 +1,5 @@
-// This file defines how it is seen that a caller has left before its request was read.
+// This file defines how the gateway detects a caller that disconnected before its request
+// was read.
 
 package ingress
 
@@ -11,19 +12,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn keeps a connection where callerLeft finds it.
+// withConn stores conn in the context for callerDisconnected.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// callerLeft tells whether the caller has closed its connection already. A gateway that
-// was too busy to read finds requests of callers who have long since gone elsewhere:
-// net/http notices that only some time after the request is read, when it may have reached an
-// engine. Where it can't be told, the caller counts as there.
-func callerLeft(r *http.Request) bool {
+// callerDisconnected reports whether the caller has already closed its connection. An
+// overloaded gateway reads requests of callers that have long since gone to another one.
+// net/http notices this only some time after it has read the request, when an engine may
+// have received it. If the state can't be determined, the result is false.
+func callerDisconnected(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(syscall.Conn)
 	if !ok {
 		return false
@@ -32,11 +33,11 @@
 	if err != nil {
 		return false
 	}
-	left := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
-		var next [1]byte
-		n, _, err := unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		left = n == 0 && err == nil
+		var buf [1]byte
+		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		closed = n == 0 && err == nil
 	})
-	return err == nil && left
+	return err == nil && closed
 }
--- a/ingress/paths.go
+++ b/ingress/paths.go
@@ -1,4 +1,5 @@
-// This file defines what a gateway knows of the ways to gateways of other regions.
+// This file defines what a gateway remembers about the network paths to gateways of other
+// regions.
 
 package ingress
 
@@ -10,76 +11,77 @@
 )
 
 const (
-	// passOverTime is for how long a gateway that couldn't be connected to is
-	// passed over: until the roster has it off, or has heard it again.
-	passOverTime = 1500 * time.Millisecond
-	// provenTime is how fresh an answer from a gateway must be for a request that may
-	// not be repeated to take a connection that has been used before. Behind a cut it
-	// would be lost there, while the opening of a new one fails without harm, but takes
-	// a round trip: 110 ms of a target of 300 to 800 ms between the users' regions.
-	provenTime = 500 * time.Millisecond
+	// exclusionTime is how long a gateway is excluded from hand-overs after one has failed.
+	// By then the roster has removed the gateway, or has heard from it again.
+	exclusionTime = 1500 * time.Millisecond
+	// answerFreshFor is how recent a gateway's last answer must be for a request that is
+	// not repeatable to reuse a connection. In a network partition a request sent on a
+	// pooled connection is lost, while opening a new connection fails safely. But that
+	// takes a round trip: 110 ms of a target of 300 to 800 ms between the users' regions.
+	answerFreshFor = 500 * time.Millisecond
 )
 
-// paths holds what requests have shown of gateways of other regions. The zero value
-// knows nothing; it is safe for concurrent use.
-type paths struct {
-	mu    sync.Mutex
-	known map[string]*path // by the gateway's name and life
+// pathTable holds the state of the network paths to gateways of other regions. The zero
+// value is empty and ready to use. It is safe for concurrent use.
+type pathTable struct {
+	mu     sync.Mutex
+	byPeer map[string]*path // by the gateway's name and incarnation
 }
 
-// path is the way to one gateway.
+// path is the network path to one gateway.
 type path struct {
-	avoid time.Time // until then
-	heard time.Time // when an answer last came
+	excludedUntil time.Time
+	lastAnswer    time.Time
 }
 
-// of gives what is known of a gateway, which is nothing of what it was before it
-// started anew. The lock is held.
-func (p *paths) of(h roster.Host, now time.Time) *path {
+// entry returns the path to a gateway, creating it if needed. A restarted gateway has a new
+// entry. The caller holds the lock.
+func (p *pathTable) entry(h roster.Host, now time.Time) *path {
 	key := h.Name + "/" + h.Life
-	one, ok := p.known[key]
+	found, ok := p.byPeer[key]
 	if ok {
-		return one
+		return found
 	}
-	if p.known == nil {
-		p.known = make(map[string]*path)
+	if p.byPeer == nil {
+		p.byPeer = make(map[string]*path)
 	}
-	for other, old := range p.known {
-		if now.After(old.avoid) && now.Sub(old.heard) > provenTime {
-			delete(p.known, other)
+	for otherKey, other := range p.byPeer {
+		if now.After(other.excludedUntil) && now.Sub(other.lastAnswer) > answerFreshFor {
+			delete(p.byPeer, otherKey)
 		}
 	}
-	one = &path{}
-	p.known[key] = one
-	return one
+	found = &path{}
+	p.byPeer[key] = found
+	return found
 }
 
-// broken notes that a gateway couldn't be reached.
-func (p *paths) broken(h roster.Host, now time.Time) {
+// markBroken excludes a gateway for exclusionTime after the path to it, or the gateway
+// itself, has failed.
+func (p *pathTable) markBroken(h roster.Host, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	*p.of(h, now) = path{avoid: now.Add(passOverTime)}
+	*p.entry(h, now) = path{excludedUntil: now.Add(exclusionTime)}
 }
 
-// answered notes that an answer has come from a gateway.
-func (p *paths) answered(h roster.Host, now time.Time) {
+// recordAnswer records that a gateway has answered.
+func (p *pathTable) recordAnswer(h roster.Host, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(h, now).heard = now
+	p.entry(h, now).lastAnswer = now
 }
 
-// avoided tells whether a gateway should be passed over.
-func (p *paths) avoided(h roster.Host, now time.Time) bool {
+// isExcluded reports whether no request may be handed over to a gateway now.
+func (p *pathTable) isExcluded(h roster.Host, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.known[h.Name+"/"+h.Life]
-	return ok && now.Before(one.avoid)
+	found, ok := p.byPeer[h.Name+"/"+h.Life]
+	return ok && now.Before(found.excludedUntil)
 }
 
-// proven tells whether the way to a gateway was open a moment ago.
-func (p *paths) proven(h roster.Host, now time.Time) bool {
+// answeredRecently reports whether a gateway has answered within answerFreshFor.
+func (p *pathTable) answeredRecently(h roster.Host, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.known[h.Name+"/"+h.Life]
-	return ok && now.Sub(one.heard) <= provenTime
+	found, ok := p.byPeer[h.Name+"/"+h.Life]
+	return ok && now.Sub(found.lastAnswer) <= answerFreshFor
 }
--- a/ingress/place.go
+++ b/ingress/place.go
@@ -1,4 +1,4 @@
-// This file defines where a request runs: in this region or in another.
+// This file defines the choice of the region that runs a request.
 
 package ingress
 
@@ -11,90 +11,91 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// place runs the request in the region that is expected to serve it best. What
-// was refused as not run may be tried in other regions after that.
-func (s *Server) place(x *exchange) error {
-	if x.fixed {
-		return s.attempts(x)
+// runInBestRegion runs the request in the region that is expected to serve it best. If it
+// is rejected there as not run, it may be tried in other regions.
+func (s *Server) runInBestRegion(x *exchange) error {
+	if x.handedOver {
+		return s.runAttempts(x)
 	}
-	here := x.permitted(s.Self.Region)
-	if !here {
-		x.tried = append(x.tried, s.Self.Region)
+	local := x.mayRunIn(s.Self.Region)
+	if !local {
+		x.triedRegions = append(x.triedRegions, s.Self.Region)
 	}
-	err := s.placeInTurn(x, here)
-	var refusal *request.NotRun
-	if x.done.unknown && errors.As(err, &refusal) {
-		// What one region ran may not be promised away by another's refusal.
-		return &request.OutcomeUnknown{Message: "an engine may have run it, and then " + refusal.Error()}
+	err := s.tryRegions(x, local)
+	var rejection *request.NotRun
+	if x.progress.mayHaveRun && errors.As(err, &rejection) {
+		// An engine of one region may have run it, so the caller must not get the rejection of
+		// another region, which states that it did not run.
+		return &request.OutcomeUnknown{Message: "an engine may have run it, and then " + rejection.Error()}
 	}
 	return err
 }
 
-// placeInTurn tries one region after the other. here tells whether this one is among
-// them.
-func (s *Server) placeInTurn(x *exchange, here bool) error {
-	var cause error = &request.NotRun{Reason: request.ReasonNoEngine, Message: "no gateway can be reached of a region where the route may run", RetryAfter: retryRegion}
-	for range maxRegions {
-		region, ok, err := s.chooseRegion(x, here)
+// tryRegions tries one region after another. The local region is a candidate only if local
+// is true.
+func (s *Server) tryRegions(x *exchange, local bool) error {
+	var lastErr error = &request.NotRun{Reason: request.ReasonNoEngine, Message: "no gateway can be reached of a region where the route may run", RetryAfter: regionRetryAfter}
+	for range maxRegionsTried {
+		region, ok, err := s.chooseRegion(x, local)
 		if err != nil {
 			return err
 		}
 		if !ok {
 			break
 		}
-		x.tried = append(x.tried, region)
-		err = s.runIn(x, region)
+		x.triedRegions = append(x.triedRegions, region)
+		err = s.runInRegion(x, region)
 		if region == s.Self.Region {
-			here = false
+			local = false
 		}
-		if err == nil || !x.mayGoOn(err) {
+		if err == nil || !x.mayRetryElsewhere(err) {
 			return err
 		}
-		cause = err
+		lastErr = err
 	}
-	return cause
+	return lastErr
 }
 
-// mayGoOn tells whether a request that failed in one region may be tried in
-// another. The right to send it once more is spent by whoever does so.
-func (x *exchange) mayGoOn(err error) bool {
-	if x.done.sends >= x.route.Attempts || x.r.Context().Err() != nil {
+// mayRetryElsewhere reports whether a request that failed in one region may be tried in
+// another. It doesn't spend the retry budget; the gateway that sends the request does.
+func (x *exchange) mayRetryElsewhere(err error) bool {
+	if x.progress.sends >= x.route.Attempts || x.r.Context().Err() != nil {
 		return false
 	}
 	var unknown *request.OutcomeUnknown
 	if errors.As(err, &unknown) {
 		return x.route.Repeatable()
 	}
-	return elsewhere(err)
+	return lacksCapacity(err)
 }
 
-// maxRegions bounds the regions that are tried for one request.
-const maxRegions = 3
+// maxRegionsTried bounds the regions that are tried for one request.
+const maxRegionsTried = 3
 
-// elsewhere tells whether a request that was refused may be tried in another
-// region: nothing of it has run, and it is the engines that lack.
-func elsewhere(err error) bool {
-	var refusal *request.NotRun
-	return errors.As(err, &refusal) && (refusal.Reason == request.ReasonNoEngine || refusal.Reason == request.ReasonOverload)
+// lacksCapacity reports whether err is a rejection as not run for lack of engines or
+// capacity. Such a request may be tried in another region.
+func lacksCapacity(err error) bool {
+	var rejection *request.NotRun
+	return errors.As(err, &rejection) && (rejection.Reason == request.ReasonNoEngine || rejection.Reason == request.ReasonOverload)
 }
 
-// chooseRegion gives the region to try next; false where none is left. The error
-// is a refusal where even the best is overloaded.
-func (s *Server) chooseRegion(x *exchange, here bool) (region string, ok bool, err error) {
+// chooseRegion returns the region to try next; ok is false if none is left. The error is a
+// rejection if even the best region is overloaded.
+func (s *Server) chooseRegion(x *exchange, local bool) (region string, ok bool, err error) {
 	var reachable []string
 	for _, h := range s.Gateways() {
-		if !slices.Contains(reachable, h.Region) && !slices.Contains(x.tried, h.Region) && x.permitted(h.Region) && s.takes(h) {
+		if !slices.Contains(reachable, h.Region) && !slices.Contains(x.triedRegions, h.Region) && x.mayRunIn(h.Region) && s.acceptsHandover(h) {
 			reachable = append(reachable, h.Region)
 		}
 	}
-	if !here && len(reachable) == 0 {
+	if !local && len(reachable) == 0 {
 		return "", false, nil
 	}
-	place := s.Dispatcher.ChooseRegion(x.ask(nil), here, reachable)
-	if !here && place.Region == s.Self.Region {
-		// Nothing is known of the others: any is better than none.
-		place.Region = reachable[s.Random()%uint64(len(reachable))]
+	choice := s.Dispatcher.ChooseRegion(x.dispatchRequest(nil), local, reachable)
+	if !local && choice.Region == s.Self.Region {
+		// No state of the other regions is known: choose a random one.
+		choice.Region = reachable[s.Random()%uint64(len(reachable))]
 	}
-	s.Log.Info("region chosen", x.fields(zap.String("region", place.Region), zap.Duration("here", place.Here), zap.Duration("there", place.There), zap.Duration("queue", place.Queue), zap.Bool("home", place.Home))...)
-	return place.Region, true, place.Refusal
+	s.Log.Info("region chosen", x.logFields(zap.String("region", choice.Region), zap.Duration("here", choice.Here), zap.Duration("there", choice.There), zap.Duration("queue", choice.Queue), zap.Bool("home", choice.Home))...)
+	return choice.Region, true, choice.Refusal
 }
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -1,4 +1,4 @@
-// This file defines the first filters: receive and match.
+// This file defines the first stages: receive and match.
 
 package ingress
 
@@ -21,42 +21,42 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// exchange is one request on its way through the filters.
+// exchange is one request and its state on the way through the stages.
 type exchange struct {
 	w        http.ResponseWriter
 	r        *http.Request
-	identity Identity
-	rules    *rules
+	meta     Identity
+	catalog  *catalogSnapshot // at the time of the request
 	route    catalog.Route
 	service  string
 	account  catalog.Account
-	known    bool             // the caller holds a key of the account
-	grant    *allowance.Grant // what was counted towards its allowance
+	keyValid bool             // the request has a key of account
+	charged  *allowance.Grant // what was charged to the account's allowance
 	body     []byte
 	// fingerprint is the same for each repeat of the request.
-	fingerprint quarantine.Fingerprint
-	began       time.Time
-	deadline    time.Time
-	fixed       bool     // handed over: it stays here
-	tried       []string // regions
-	started     bool     // the caller has had the head of an answer
-	chunked     bool     // whose length it doesn't tell
-	done        progress
-	first       time.Duration // from the send until the answer began
-	lastAt      time.Time     // when the newest event was passed on
-	pause       time.Duration // the longest between two events
+	fingerprint    quarantine.Fingerprint
+	startedAt      time.Time
+	deadline       time.Time
+	handedOver     bool // by another gateway: it runs in the local region
+	triedRegions   []string
+	answerStarted  bool // the answer's head was sent to the caller
+	chunked        bool // the answer's head stated no length
+	progress       progress
+	firstByteAfter time.Duration // from the send until the answer began
+	lastEventAt    time.Time     // when the last stream event was relayed
+	longestPause   time.Duration // between two stream events
 }
 
-// serve runs the filters. Every way out writes one final answer, or aborts the
-// connection of an answer that has begun.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, fixed bool) {
+// serve passes a request through all stages. Every path writes exactly one final answer,
+// or aborts the connection if the answer has begun.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, handedOver bool) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	x := &exchange{w: w, r: r, began: s.Clock(), fixed: fixed}
-	w.Header()["Date"] = nil // the answer's headers are the engine's own
+	x := &exchange{w: w, r: r, startedAt: s.Clock(), handedOver: handedOver}
+	w.Header()["Date"] = nil // net/http must add none: the engine's headers are relayed unchanged
 	err := s.receive(x)
-	defer s.release(x)
-	if err == nil && callerLeft(r) {
+	defer s.releaseBody(x)
+	if err == nil && callerDisconnected(r) {
 		err = &request.NotRun{Reason: request.ReasonCancelled, Message: "the caller left before its request was read"}
 	}
 	if err == nil {
@@ -64,69 +64,69 @@
 		defer cancel()
 		x.r = r.WithContext(ctx)
 		defer s.Metrics.Begin(x.service)()
-		err = s.place(x)
+		err = s.runInBestRegion(x)
 	}
 	if err != nil {
-		s.refuse(x, request.AsRefusal(err))
+		s.writeRejection(x, request.AsRefusal(err))
 	}
 }
 
-// receive identifies the request, finds its route and reads its body.
+// receive decodes the headers, finds the route, checks the account and reads the body.
 func (s *Server) receive(x *exchange) error {
 	remaining := time.Duration(0)
-	if !x.fixed {
+	if !x.handedOver {
 		request.DropHandover(x.r.Header)
 	} else {
-		x.done.sends = request.TakeSends(x.r.Header)
+		x.progress.sends = request.TakeSends(x.r.Header)
 		var err error
 		if _, remaining, err = request.TakeHandover(x.r.Header); err != nil {
 			return err
 		}
 	}
 	var err error
-	if x.identity, err = s.Dialect.Identify(x.r.Header); err != nil {
+	if x.meta, err = s.Dialect.Identify(x.r.Header); err != nil {
 		return err
 	}
-	if x.fixed {
-		x.identity.Remaining = remaining
+	if x.handedOver {
+		x.meta.Remaining = remaining
 	}
-	x.done.lastEvent = x.identity.LastEvent
-	if err := s.match(x); err != nil {
+	x.progress.lastEventID = x.meta.LastEvent
+	if err := s.matchRoute(x); err != nil {
 		return err
 	}
-	if err := s.account(x); err != nil {
+	if err := s.checkAccount(x); err != nil {
 		return err
 	}
-	x.deadline = x.began.Add(x.route.Timeout)
-	if wait := x.identity.Remaining; wait > 0 && wait < x.route.Timeout {
-		x.deadline = x.began.Add(wait)
+	x.deadline = x.startedAt.Add(x.route.Timeout)
+	if timeout := x.meta.Remaining; timeout > 0 && timeout < x.route.Timeout {
+		x.deadline = x.startedAt.Add(timeout)
 	}
 	if err := s.readBody(x); err != nil {
 		return err
 	}
-	x.fingerprint = quarantine.FingerprintOf(x.caller(), x.r.Method, x.r.Host, x.r.URL.RequestURI(), x.body)
+	x.fingerprint = quarantine.FingerprintOf(x.callerID(), x.r.Method, x.r.Host, x.r.URL.RequestURI(), x.body)
 	return nil
 }
 
-// caller gives what is known of who sent the request: its account, or else its key.
-func (x *exchange) caller() string {
+// callerID identifies the caller for the fingerprint: by its account, or else by its key.
+func (x *exchange) callerID() string {
 	if x.account.Name != "" {
 		return x.account.Name
 	}
-	return string(x.identity.Key)
+	return string(x.meta.Key)
 }
 
-// match finds the route and draws the service.
-func (s *Server) match(x *exchange) error {
-	x.rules = s.rules.Load()
-	if x.rules == nil || x.rules.table.Version() == 0 {
-		return &request.NotRun{Reason: request.ReasonNoLease, Message: "this gateway knows no catalog yet", RetryAfter: catalogWait}
+// matchRoute finds the route and picks one of its services at random, by weight.
+func (s *Server) matchRoute(x *exchange) error {
+	x.catalog = s.catalog.Load()
+	if x.catalog == nil || x.catalog.table.Version() == 0 {
+		return &request.NotRun{Reason: request.ReasonNoLease, Message: "this gateway knows no catalog yet", RetryAfter: catalogRetryAfter}
 	}
 	host := x.r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	route, ok := x.rules.table.Match(host, x.r.URL.EscapedPath())
+	route, ok := x.catalog.table.Match(host, x.r.URL.EscapedPath())
 	if !ok {
 		return &request.NotRun{Reason: request.ReasonUnknown, Message: "no route for " + host + x.r.URL.Path}
 	}
@@ -134,75 +134,75 @@
 	return nil
 }
 
-// catalogWait is when to come back to a gateway that has just started.
-const catalogWait = 500 * time.Millisecond
+// catalogRetryAfter is the Retry-After of a gateway that has no catalog yet.
+const catalogRetryAfter = 500 * time.Millisecond
 
-// readBody reads the body into memory, so that it can be sent again.
+// readBody reads the body into memory, so that it can be sent to several engines.
 func (s *Server) readBody(x *exchange) error {
 	if x.r.Body == nil || x.r.Body == http.NoBody {
 		return nil
 	}
-	limit := x.rules.table.Limits().BodyBytes
+	limit := x.catalog.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = heldBytes
+		limit = maxBufferedBodies
 	}
 	if x.r.ContentLength > limit {
-		return tooLong(limit)
+		return bodyTooLong(limit)
 	}
 	controller := http.NewResponseController(x.w)
-	_ = controller.SetReadDeadline(time.Now().Add(s.remaining(x))) // a recorder in tests has none
-	into := bytes.NewBuffer(make([]byte, 0, max(0, min(x.r.ContentLength, limit))+bytes.MinRead))
-	_, err := into.ReadFrom(io.LimitReader(x.r.Body, limit+1))
-	x.body = into.Bytes()
-	if s.held.Add(int64(len(x.body))) > heldBytes {
+	_ = controller.SetReadDeadline(time.Now().Add(s.remaining(x))) // not supported by httptest.ResponseRecorder
+	buf := bytes.NewBuffer(make([]byte, 0, max(0, min(x.r.ContentLength, limit))+bytes.MinRead))
+	_, err := buf.ReadFrom(io.LimitReader(x.r.Body, limit+1))
+	x.body = buf.Bytes()
+	if s.bufferedBytes.Add(int64(len(x.body))) > maxBufferedBodies {
 		return &request.NotRun{Reason: request.ReasonOverload, Message: "the bodies in memory are too many", RetryAfter: time.Second}
 	}
 	if err != nil {
 		return &request.NotRun{Reason: request.ReasonBadRequest, Message: "the body ended early: " + err.Error()}
 	}
 	if int64(len(x.body)) > limit {
-		return tooLong(limit)
+		return bodyTooLong(limit)
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return nil
 }
 
-func tooLong(limit int64) error {
+func bodyTooLong(limit int64) error {
 	return &request.NotRun{Reason: request.ReasonTooLarge, Message: errors.Errorf("the body is longer than %d bytes", limit).Error()}
 }
 
-func (s *Server) release(x *exchange) { s.held.Add(-int64(len(x.body))) }
+func (s *Server) releaseBody(x *exchange) { s.bufferedBytes.Add(-int64(len(x.body))) }
 
-func (x *exchange) reader() io.Reader {
+func (x *exchange) bodyReader() io.Reader {
 	if len(x.body) == 0 {
 		return nil
 	}
 	return bytes.NewReader(x.body)
 }
 
-// ask gives what the choice of an engine needs to know.
-func (x *exchange) ask(tried []string) dispatch.Ask {
+// dispatchRequest returns the description of the request for the dispatcher.
+func (x *exchange) dispatchRequest(triedEngines []string) dispatch.Ask {
 	return dispatch.Ask{
-		ID: x.identity.ID, Route: x.route.Name, Service: x.service, Prompt: x.identity.Prompt, Deadline: x.deadline, Tried: tried,
-		Target: x.route.Target, Permitted: x.permitted, Fingerprint: x.fingerprint,
+		ID: x.meta.ID, Route: x.route.Name, Service: x.service, Prompt: x.meta.Prompt, Deadline: x.deadline, Tried: triedEngines,
+		Target: x.route.Target, Permitted: x.mayRunIn, Fingerprint: x.fingerprint,
 	}
 }
 
-// permitted tells whether the request may run in a region: the homes of its route and
-// of its account both bind.
-func (x *exchange) permitted(region string) bool {
+// mayRunIn reports whether the request may run in a region. Both its route and its account
+// must permit the region.
+func (x *exchange) mayRunIn(region string) bool {
 	return x.route.Permits(region) && x.account.Permits(region)
 }
 
-// fields are on each log line of a request.
-func (x *exchange) fields(more ...zap.Field) []zap.Field {
+// logFields returns the fields that each log line about the request has, plus more.
+func (x *exchange) logFields(more ...zap.Field) []zap.Field {
 	var version int64
 	var index uint64
-	if x.rules != nil {
-		version, index = x.rules.table.Version(), x.rules.index
+	if x.catalog != nil {
+		version, index = x.catalog.table.Version(), x.catalog.index
 	}
 	return slices.Concat([]zap.Field{
-		zap.String("request", x.identity.ID), zap.String("route", x.route.Name), zap.String("service", x.service), zap.String("account", x.account.Name),
-		zap.Int64("version", version), zap.Uint64("index", index), zap.Bool("handed_over", x.fixed),
+		zap.String("request", x.meta.ID), zap.String("route", x.route.Name), zap.String("service", x.service), zap.String("account", x.account.Name),
+		zap.Int64("version", version), zap.Uint64("index", index), zap.Bool("handed_over", x.handedOver),
 	}, more)
 }
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -1,4 +1,4 @@
-// This file defines the answers that are no engine's.
+// This file defines the answers that the gateway itself writes.
 
 package ingress
 
@@ -12,78 +12,78 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// A caller that was refused for lack of engines comes back after a share of the
-// time that it has left, drawn between these two. What lacks now lacks for seconds
-// as a rule (a burst, a cut, a crash), so that who comes back as soon as the queue
-// that it saw has been served meets the same queue, with all others who were refused.
-// Callers wait for a third of their time at most.
+// After a rejection for lack of capacity, the Retry-After is a random fraction of the
+// caller's remaining time, between these bounds. Such a lack (a burst, a partition, a
+// crash) usually lasts for seconds. A caller that retries as soon as the queue that it met
+// has been served meets the same queue again, together with all other rejected callers.
+// Callers wait for at most a third of their time.
 const (
-	leastWait = 0.20
-	mostWait  = 0.33
+	minRetryFraction = 0.20
+	maxRetryFraction = 0.33
 )
 
-// spread lets callers come back over the time that they have. The gateway that the
-// caller asked does so, and not the one that it was handed over to.
-func (s *Server) spread(x *exchange, refusal request.Refusal) request.Refusal {
-	n, ok := refusal.(*request.NotRun)
-	if !ok || x.fixed || (n.Reason != request.ReasonNoEngine && n.Reason != request.ReasonOverload) {
-		return refusal
+// spreadRetries spreads the retries of rejected callers over their remaining time. Only
+// the entry host does so, not a gateway that the request was handed over to.
+func (s *Server) spreadRetries(x *exchange, rejection request.Refusal) request.Refusal {
+	notRun, ok := rejection.(*request.NotRun)
+	if !ok || x.handedOver || (notRun.Reason != request.ReasonNoEngine && notRun.Reason != request.ReasonOverload) {
+		return rejection
 	}
-	share := leastWait + (mostWait-leastWait)*float64(s.Random()>>11)/(1<<53)
-	out := *n
-	out.RetryAfter = max(n.RetryAfter, time.Duration(share*float64(s.remaining(x))))
-	return &out
+	fraction := minRetryFraction + (maxRetryFraction-minRetryFraction)*float64(s.Random()>>11)/(1<<53)
+	spread := *notRun
+	spread.RetryAfter = max(notRun.RetryAfter, time.Duration(fraction*float64(s.remaining(x))))
+	return &spread
 }
 
-// ended counts a request that has ended; one that was handed over counts for its account
-// where it came in.
-func (s *Server) ended(x *exchange, outcome string) {
+// countOutcome counts a finished request in the metrics. Only the entry host counts it for
+// the account.
+func (s *Server) countOutcome(x *exchange, outcome string) {
 	s.Metrics.Request(x.service, outcome)
-	if x.account.Name != "" && !x.fixed {
+	if x.account.Name != "" && !x.handedOver {
 		s.Metrics.Account(x.account.Name, outcome)
 	}
 }
 
-// refuse writes the final answer of a request that no engine answers.
-func (s *Server) refuse(x *exchange, refusal request.Refusal) {
+// writeRejection writes the final answer of a request that no engine has answered.
+func (s *Server) writeRejection(x *exchange, rejection request.Refusal) {
 	outcome := request.OutcomeUnknownValue
 	reason := "outcome_unknown"
-	x.giveBack(refusal, s.Clock())
-	refusal = s.spread(x, refusal)
-	var wait time.Duration
-	if n, ok := refusal.(*request.NotRun); ok {
-		outcome, reason, wait = request.NotRunValue, string(n.Reason), n.RetryAfter
+	x.refundAllowance(rejection, s.Clock())
+	rejection = s.spreadRetries(x, rejection)
+	var retryAfter time.Duration
+	if notRun, ok := rejection.(*request.NotRun); ok {
+		outcome, reason, retryAfter = request.NotRunValue, string(notRun.Reason), notRun.RetryAfter
 	}
-	s.ended(x, reason)
-	s.Log.Info("refused", x.fields(zap.String("reason", reason), zap.Bool("started", x.started), zap.Duration("come_back", wait), zap.String("why", refusal.Error()))...)
-	if x.started {
-		x.breakOff(outcome)
+	s.countOutcome(x, reason)
+	s.Log.Info("refused", x.logFields(zap.String("reason", reason), zap.Bool("started", x.answerStarted), zap.Duration("come_back", retryAfter), zap.String("why", rejection.Error()))...)
+	if x.answerStarted {
+		x.abortAnswer(outcome)
 		return
 	}
-	status, header := s.Dialect.Refuse(refusal)
-	to := x.w.Header()
-	clear(to)
-	to["Date"] = nil
+	status, header := s.Dialect.Refuse(rejection)
+	out := x.w.Header()
+	clear(out)
+	out["Date"] = nil
 	for name, values := range header {
-		to[name] = values
+		out[name] = values
 	}
-	if x.fixed {
-		to.Set(request.HeaderOutcome, outcome)
-		to.Set(request.HeaderReason, reason)
-		to.Set(request.HeaderSends, strconv.Itoa(x.done.sends))
+	if x.handedOver {
+		out.Set(request.HeaderOutcome, outcome)
+		out.Set(request.HeaderReason, reason)
+		out.Set(request.HeaderSends, strconv.Itoa(x.progress.sends))
 	}
-	to.Set("Content-Length", strconv.Itoa(0))
+	out.Set("Content-Length", strconv.Itoa(0))
 	x.w.WriteHeader(status)
 }
 
-// breakOff ends an answer that has begun, so that it is seen to be broken. The
-// gateway that handed the request over is told by trailers: it is it who must know
-// how often the request has been sent, and that this gateway itself is well.
-func (x *exchange) breakOff(outcome string) {
-	if !x.fixed || !x.chunked {
+// abortAnswer ends an answer that has begun, so that it is visibly truncated. If another
+// gateway handed the request over, trailers tell it the outcome and how often the request
+// has been sent; they also show that this gateway works and only the engines failed.
+func (x *exchange) abortAnswer(outcome string) {
+	if !x.handedOver || !x.chunked {
 		panic(http.ErrAbortHandler)
 	}
 	trailer := x.w.Header()
 	trailer.Set(http.TrailerPrefix+request.HeaderOutcome, outcome)
-	trailer.Set(http.TrailerPrefix+request.HeaderSends, strconv.Itoa(x.done.sends))
+	trailer.Set(http.TrailerPrefix+request.HeaderSends, strconv.Itoa(x.progress.sends))
 }
