--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -15,21 +15,21 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// crashingProxy stands before an engine that can lose power: then open connections are
-// reset when something is sent on them, and none can be opened.
+// crashingProxy is a proxy in front of an engine that simulates a loss of power: open
+// connections are reset at the next write, and new ones fail.
 type crashingProxy struct {
 	listener net.Listener
-	to       string
+	upstream string
 	crashed  atomic.Bool
 	ended    context.Context
 }
 
-func newCrashingProxy(t *testing.T, to string) *crashingProxy {
+func newCrashingProxy(t *testing.T, upstream string) *crashingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ended, end := context.WithCancel(context.Background())
-	p := &crashingProxy{listener: listener, to: to, ended: ended}
+	p := &crashingProxy{listener: listener, upstream: upstream, ended: ended}
 	group := pool.New()
 	group.Go(func() {
 		for {
@@ -48,34 +48,34 @@
 	return p
 }
 
-// pipe passes bytes both ways until either side ends, or the engine has crashed.
+// pipe copies bytes in both directions until either side ends or the engine has crashed.
 func (p *crashingProxy) pipe(conn net.Conn) {
 	defer conn.Close()
-	far, err := net.Dial("tcp", p.to)
+	upstream, err := net.Dial("tcp", p.upstream)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer upstream.Close()
 	stop := context.AfterFunc(p.ended, func() { conn.Close() })
 	defer stop()
 	group := pool.New()
 	defer group.Wait()
 	group.Go(func() {
-		_, _ = io.Copy(conn, far) // ends with the connection
+		_, _ = io.Copy(conn, upstream) // ends when the connection closes
 		conn.Close()
 	})
-	data := make([]byte, 4096)
+	buf := make([]byte, 4096)
 	for {
-		n, err := conn.Read(data)
+		n, err := conn.Read(buf)
 		if p.crashed.Load() {
-			_ = conn.(*net.TCPConn).SetLinger(0) // so that it is reset
+			_ = conn.(*net.TCPConn).SetLinger(0) // Close resets the connection
 			conn.Close()
 		}
 		if err != nil || p.crashed.Load() {
-			far.Close()
+			upstream.Close()
 			return
 		}
-		_, _ = far.Write(data[:n]) // an engine that has gone is seen by the other copy
+		_, _ = upstream.Write(buf[:n]) // on failure, the other copy ends as well
 	}
 }
 
@@ -84,12 +84,13 @@
 	p.listener.Close()
 }
 
-// TestTwoEnginesThatCrashedAreNotTwoSends has three engines, of which two lose power while
-// this gateway keeps connections to them. A request that may reach two engines is reset by
-// the first. Its second send opens a connection of its own, so that the other engine that
-// crashed is seen not to have got it, and the third answers.
-func TestTwoEnginesThatCrashedAreNotTwoSends(t *testing.T) {
-	for try := range 20 { // the order of the engines is drawn by the request's ID
+// TestUnreachableEnginesDontCountAsSends guards against losing a request when two of three
+// engines lose power while the gateway has pooled connections to them. The first engine
+// resets the request, which uses up one of two sends. The second send opens a new
+// connection, so the other crashed engine is known not to have received the request, and
+// the third engine answers.
+func TestUnreachableEnginesDontCountAsSends(t *testing.T) {
+	for try := range 20 { // the request's ID determines the order of the engines
 		g := newGateway(t, "g1", "lagos")
 		g.declare()
 		var proxies []*crashingProxy
@@ -101,7 +102,7 @@
 			g.engines.Beat(registry.Engine{ID: e.ID, Born: 1, Service: "portal", Address: p.listener.Addr().String(), DataCentre: "a", Slots: 8, Sequence: 1})
 		}
 		g.server.Dispatcher.Tick()
-		for range 12 { // until a connection to each is kept
+		for range 12 { // until there is a pooled connection to each engine
 			must.Eq(t, http.StatusOK, do(t, g, platformtest.Request{Path: "/safe/1"}).Status)
 		}
 		proxies[0].crash()
--- a/ingress/handover_test.go
+++ b/ingress/handover_test.go
@@ -18,9 +18,9 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// cuttingProxy passes connections on to an address, and breaks the first one off
-// after so many bytes of its answer.
-func cuttingProxy(t *testing.T, to string, after int64) string {
+// startTruncatingProxy starts a proxy to an address and returns its own address. It closes
+// the first connection after limit bytes of the answer.
+func startTruncatingProxy(t *testing.T, upstream string, limit int64) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -32,8 +32,8 @@
 			if err != nil {
 				return
 			}
-			cut := first.CompareAndSwap(false, true)
-			group.Go(func() { pipe(conn, to, cut, after) })
+			truncate := first.CompareAndSwap(false, true)
+			group.Go(func() { pipe(conn, upstream, truncate, limit) })
 		}
 	})
 	t.Cleanup(func() {
@@ -43,30 +43,30 @@
 	return listener.Addr().String()
 }
 
-// pipe joins a connection to an address until either side ends.
-func pipe(conn net.Conn, to string, cut bool, after int64) {
+// pipe copies bytes between a connection and an address until either side ends.
+func pipe(conn net.Conn, address string, truncate bool, limit int64) {
 	defer conn.Close()
-	far, err := net.Dial("tcp", to)
+	upstream, err := net.Dial("tcp", address)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer upstream.Close()
 	group := pool.New()
 	group.Go(func() {
-		_, _ = io.Copy(far, conn) // ends with the connection
-		far.Close()
+		_, _ = io.Copy(upstream, conn) // ends when the connection closes
+		upstream.Close()
 	})
-	if cut {
-		_, _ = io.CopyN(conn, far, after)
+	if truncate {
+		_, _ = io.CopyN(conn, upstream, limit)
 	} else {
-		_, _ = io.Copy(conn, far)
+		_, _ = io.Copy(conn, upstream)
 	}
 	conn.Close()
 	group.Wait()
 }
 
-// deadAddress gives an address at which nothing listens.
-func deadAddress(t *testing.T) string {
+// unusedAddress returns an address at which nothing listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -74,109 +74,110 @@
 	return listener.Addr().String()
 }
 
-// TestADeadGatewayIsPassedOver has two gateways in the only region where a request
-// may run, of which the one that is drawn first is dead.
-func TestADeadGatewayIsPassedOver(t *testing.T) {
+// TestUnreachableGatewayIsSkipped has two gateways in the only region where the request may
+// run. The one that is picked first is unreachable.
+func TestUnreachableGatewayIsSkipped(t *testing.T) {
 	lagos, kano, _ := twoRegions(t)
-	dead := roster.Host{Name: "g3", Role: roster.RoleGateway, Region: "kano", Handover: deadAddress(t)}
-	lagos.peers = append(lagos.peers, dead) // the random number 1 draws the second of two
+	dead := roster.Host{Name: "g3", Role: roster.RoleGateway, Region: "kano", Handover: unusedAddress(t)}
+	lagos.peers = append(lagos.peers, dead) // the random number 1 picks the second of two
 	for range 2 {
 		must.Eq(t, http.StatusOK, do(t, lagos, platformtest.Request{Path: "/home/1"}).Status)
 	}
 	lagos.peers = []roster.Host{dead}
-	must.True(t, do(t, lagos, platformtest.Request{Path: "/home/1"}).Promised(), must.Sprint("no gateway is left"))
+	must.True(t, do(t, lagos, platformtest.Request{Path: "/home/1"}).Promised(), must.Sprint("no reachable gateway is left"))
 	_ = kano
 }
 
-// TestABrokenHandOverGoesOn breaks a stream that was handed over after its head
-// and an event: one that may be resumed goes on over another gateway, whole; one
-// that may not be is visibly broken.
-func TestABrokenHandOverGoesOn(t *testing.T) {
-	for path, whole := range map[string]bool{"/review/1": true, "/chat/1": false} {
+// TestTruncatedHandOverIsResumed truncates a stream that was handed over, after its head
+// and one event. A resumable stream continues, complete, by another gateway; any other is
+// visibly truncated.
+func TestTruncatedHandOverIsResumed(t *testing.T) {
+	for path, resumable := range map[string]bool{"/review/1": true, "/chat/1": false} {
 		t.Run(path[1:5], func(t *testing.T) {
 			lagos, kano, engines := twoRegions(t)
-			cut := lagos.peers[0]
-			cut.Name, cut.Handover = "g3", cuttingProxy(t, address(kano.handover), 330)
-			lagos.peers = append(lagos.peers, cut) // the random number 1 draws the second of two
+			truncating := lagos.peers[0]
+			truncating.Name, truncating.Handover = "g3", startTruncatingProxy(t, hostPort(kano.handover), 330)
+			lagos.peers = append(lagos.peers, truncating) // the random number 1 picks the second of two
 			result := do(t, lagos, platformtest.Request{Path: path, Model: true, Deadline: 5 * time.Second})
-			must.Eq(t, whole, result.Whole, must.Sprint(result.Status, result.Body))
-			if whole {
-				must.Eq(t, stream(5), result.Body)
+			must.Eq(t, resumable, result.Whole, must.Sprint(result.Status, result.Body))
+			if resumable {
+				must.Eq(t, streamBody(5), result.Body)
 			}
-			ran, _ := runs(engines, result.ID)
-			must.Eq(t, map[bool]int{true: 2, false: 1}[whole], ran)
+			ran, _ := countRuns(engines, result.ID)
+			must.Eq(t, map[bool]int{true: 2, false: 1}[resumable], ran)
 		})
 	}
 }
 
-// TestSendsCountOverABrokenStream breaks a stream that was handed over at every
-// engine, after its head and an event: a route of two attempts reaches two engines,
-// though there is another gateway that could be asked; and the gateway that told of
-// it isn't taken for broken.
-func TestSendsCountOverABrokenStream(t *testing.T) {
+// TestSendsCountAcrossATruncatedHandOver guards against exceeding a route's attempts by
+// another hand-over. Every engine truncates the stream: a route with two attempts reaches
+// two engines, although another gateway could be tried. The gateway that reported the
+// failure isn't excluded.
+func TestSendsCountAcrossATruncatedHandOver(t *testing.T) {
 	lagos, kano, engines := twoRegions(t)
 	second := lagos.peers[0]
 	second.Name = "g3"
 	lagos.peers = append(lagos.peers, second)
-	breakAll(engines, platformtest.FaultCut, 2)
+	injectFault(engines, platformtest.FaultCut, 2)
 	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
 	must.False(t, result.Whole, must.Sprint(result.Status, result.Body))
-	_, arrived := runs(engines, result.ID)
+	_, arrived := countRuns(engines, result.ID)
 	must.Eq(t, 2, arrived)
-	for range 2 { // one draw for each gateway
+	for range 2 { // one pick for each gateway
 		result = do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
 		must.True(t, result.Whole)
-		must.Eq(t, "", result.Header.Get("Linenscale-Sends"), must.Sprint("nothing that hosts tell each other reaches callers"))
+		must.Eq(t, "", result.Header.Get("Linenscale-Sends"), must.Sprint("headers between gateways must not reach callers"))
 	}
 	_ = kano
 }
 
-// TestNoRetriesAreLeftInTheOtherRegion has an engine that runs a request and gives
-// no answer, and no right to send it again, here or in the other region. The caller
-// must have an answer, and it must not promise that the request hasn't run.
-func TestNoRetriesAreLeftInTheOtherRegion(t *testing.T) {
+// TestEmptyRetryBudgetInTheOtherRegion guards against promising that a request has not run
+// when it may have. An engine runs the request and resets the connection, and neither
+// region has retry budget left to send it again.
+func TestEmptyRetryBudgetInTheOtherRegion(t *testing.T) {
 	lagos, kano := newGateway(t, "g1", "lagos"), newGateway(t, "g2", "kano")
-	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: address(kano.handover)}}
+	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: hostPort(kano.handover)}}
 	for _, g := range []*gateway{lagos, kano} {
 		g.server.Dispatcher.Budget = retry.Policy{Window: time.Minute}
 		g.declare()
 	}
-	broken := lagos.start(t, "portal", "a")
-	well := kano.start(t, "portal", "b")
-	broken.SetFaults(platformtest.NewFaultPlan(platformtest.FaultReset, -1))
+	faulty := lagos.start(t, "portal", "a")
+	healthy := kano.start(t, "portal", "b")
+	faulty.SetFaults(platformtest.NewFaultPlan(platformtest.FaultReset, -1))
 	result := do(t, lagos, platformtest.Request{Path: "/safe/1"})
 	must.Eq(t, http.StatusBadGateway, result.Status)
-	must.SliceEmpty(t, well.Arrivals())
-	must.SliceLen(t, 1, broken.Arrivals())
+	must.SliceEmpty(t, healthy.Arrivals())
+	must.SliceLen(t, 1, faulty.Arrivals())
 }
 
-// TestASecondSendWithoutARightToIt hands over a request that has been sent once, to a
-// gateway which may send nothing a second time: it must say so, and not break off.
-func TestASecondSendWithoutARightToIt(t *testing.T) {
+// TestHandOverWithEmptyRetryBudgetIsRejected hands over a request that has been sent once, to
+// a gateway without retry budget. The gateway must reject it, not abort the connection.
+func TestHandOverWithEmptyRetryBudgetIsRejected(t *testing.T) {
 	kano := newGateway(t, "g2", "kano")
 	kano.server.Dispatcher.Budget = retry.Policy{Window: time.Minute}
 	kano.declare()
-	well := kano.start(t, "portal", "b")
+	healthy := kano.start(t, "portal", "b")
 	header := make(http.Header)
-	sent := request.Request{ID: "r1", Deadline: time.Now().Add(5 * time.Second), Sends: 1}.WithVisit("g1")
-	sent.SetHandover(header, time.Now(), 1)
+	handover := request.Request{ID: "r1", Deadline: time.Now().Add(5 * time.Second), Sends: 1}.WithVisit("g1")
+	handover.SetHandover(header, time.Now(), 1)
 	var caller platformtest.Caller
-	result, err := caller.Do(context.Background(), address(kano.handover), platformtest.Request{Host: "h", Path: "/safe/1", Header: header})
+	result, err := caller.Do(context.Background(), hostPort(kano.handover), platformtest.Request{Host: "h", Path: "/safe/1", Header: header})
 	must.NoError(t, err)
 	must.True(t, result.Promised(), must.Sprint(result.Status))
-	must.SliceEmpty(t, well.Arrivals())
+	must.SliceEmpty(t, healthy.Arrivals())
 }
 
-// TestSendsOfALostGatewayCount guards against a request that reaches more engines than its route
-// allows: the gateway that it was handed over to sends it to two, and is lost before it reports that.
-func TestSendsOfALostGatewayCount(t *testing.T) {
+// TestSendsOfALostGatewayAreCounted guards against a request that reaches more engines than
+// its route allows, because the gateway that it was handed over to sends it to two engines
+// and is lost before it reports that.
+func TestSendsOfALostGatewayAreCounted(t *testing.T) {
 	lagos, kano, engines := twoRegions(t)
-	const announcement = 58 // bytes of the informational answer before the second send
+	const announcement = 58 // bytes of the informational response before the second send
 	lost := lagos.peers[0]
-	lost.Name, lost.Handover = "g3", cuttingProxy(t, address(kano.handover), announcement)
+	lost.Name, lost.Handover = "g3", startTruncatingProxy(t, hostPort(kano.handover), announcement)
 	lagos.peers = append(lagos.peers, lost)
-	breakAll(engines, platformtest.FaultError, 1)
+	injectFault(engines, platformtest.FaultError, 1)
 	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
-	_, arrived := runs(engines, result.ID)
+	_, arrived := countRuns(engines, result.ID)
 	must.LessEq(t, 2, arrived, must.Sprint(result.Status, result.Body))
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -29,7 +29,7 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// routes of every test: one of each kind.
+// testCatalog is the catalog of the tests, with a route of each kind.
 var testCatalog = catalog.Catalog{
 	Version: 1,
 	Routes: []catalog.Route{
@@ -46,7 +46,7 @@
 	Limits:   catalog.Limits{BodyBytes: 1000},
 }
 
-// gateway is one gateway with its own view of engines.
+// gateway is a gateway with its own registry of engines.
 type gateway struct {
 	server   *ingress.Server
 	engines  *registry.Table
@@ -60,7 +60,7 @@
 	return newGatewayAt(t, name, region, time.Now)
 }
 
-// newGatewayAt makes a gateway that goes by a clock of the test's.
+// newGatewayAt returns a gateway with the given clock.
 func newGatewayAt(t *testing.T, name, region string, clock func() time.Time) *gateway {
 	t.Helper()
 	g := &gateway{engines: registry.New("life", time.Minute, clock)}
@@ -84,12 +84,12 @@
 	return g
 }
 
-// declare gives the gateway the catalog, and its dispatcher the engines.
+// declare applies testCatalog to the gateway.
 func (g *gateway) declare() {
 	g.server.Take(ledger.State{Index: 1, Catalog: testCatalog})
 }
 
-func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+func hostPort(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
 // start starts an engine and registers it with the gateway.
 func (g *gateway) start(t *testing.T, service, dataCentre string) *platformtest.Engine {
@@ -107,7 +107,7 @@
 	return e
 }
 
-// setUp gives a gateway with two engines of each service.
+// setUp returns a gateway with two engines of each service.
 func setUp(t *testing.T) (*gateway, []*platformtest.Engine) {
 	t.Helper()
 	g := newGateway(t, "g1", "lagos")
@@ -123,13 +123,14 @@
 	t.Helper()
 	var c platformtest.Caller
 	r.Host = "h"
-	result, err := c.Do(context.Background(), address(g.callers), r)
+	result, err := c.Do(context.Background(), hostPort(g.callers), r)
 	must.NoError(t, err)
 	return result
 }
 
-// runs counts how often all engines together ran a request, and arrivals.
-func runs(engines []*platformtest.Engine, id string) (ran, arrived int) {
+// countRuns returns how often all engines together ran a request, and how often it reached
+// one.
+func countRuns(engines []*platformtest.Engine, id string) (ran, arrived int) {
 	for _, e := range engines {
 		ran += e.Runs()[id]
 		for _, a := range e.Arrivals() {
@@ -141,30 +142,31 @@
 	return ran, arrived
 }
 
-// breakAll makes the next n requests go wrong, whichever engines they reach.
-func breakAll(engines []*platformtest.Engine, f platformtest.Fault, n int) {
+// injectFault injects a fault into the next n requests, whichever engines they reach; -1
+// means all requests.
+func injectFault(engines []*platformtest.Engine, f platformtest.Fault, n int) {
 	plan := platformtest.NewFaultPlan(f, n)
 	for _, e := range engines {
 		e.SetFaults(plan)
 	}
 }
 
-func stream(to int) string {
-	all := ""
-	for n := 1; n <= to; n++ {
-		all += platformtest.Event(n)
+func streamBody(events int) string {
+	body := ""
+	for n := 1; n <= events; n++ {
+		body += platformtest.Event(n)
 	}
-	return all
+	return body
 }
 
-func TestAnswersArePassedOnUnchanged(t *testing.T) {
+func TestAnswersAreRelayedUnchanged(t *testing.T) {
 	g, engines := setUp(t)
 	plain := do(t, g, platformtest.Request{Path: "/safe/1?q=%2F", Method: http.MethodGet})
 	must.Eq(t, http.StatusOK, plain.Status)
 	must.Eq(t, platformtest.Answer(plain.Engine, plain.ID), plain.Body)
 	events := do(t, g, platformtest.Request{Path: "/chat/1", Model: true, Body: "a prompt"})
 	must.True(t, events.Whole)
-	must.Eq(t, stream(5), events.Body)
+	must.Eq(t, streamBody(5), events.Body)
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
 			must.True(t, a.Path == "/safe/1?q=%2F" || a.Body == "a prompt")
@@ -172,7 +174,7 @@
 	}
 }
 
-func TestWhatOnlyTheSystemSetsIsTakenOff(t *testing.T) {
+func TestReservedHeadersOfCallersAreRemoved(t *testing.T) {
 	g, engines := setUp(t)
 	forged := platformtest.Reserved()
 	forged["X-Other"], forged["Linenscale-Handover-Path"] = []string{"kept"}, []string{"g9"}
@@ -187,9 +189,9 @@
 	}
 }
 
-// TestFaultsOfEngines breaks the first engine that is asked, and looks at the
-// answer and at how often the request ran.
-func TestFaultsOfEngines(t *testing.T) {
+// TestEngineFaults injects a fault into the first engine that gets the request, and checks
+// the answer and how often the request ran.
+func TestEngineFaults(t *testing.T) {
 	cases := []struct {
 		fault  platformtest.Fault
 		path   string
@@ -222,15 +224,15 @@
 	for _, c := range cases {
 		t.Run(string(c.fault)+strings.ReplaceAll(c.path, "/", "-"), func(t *testing.T) {
 			g, engines := setUp(t)
-			// Only the first engine that is asked does wrong.
-			breakAll(engines, c.fault, 1)
+			// Only the first send meets the fault.
+			injectFault(engines, c.fault, 1)
 			result := do(t, g, platformtest.Request{Path: c.path, Model: c.model, Body: "x"})
 			must.Eq(t, c.status, result.Status)
 			must.Eq(t, c.whole, result.Whole)
-			ran, _ := runs(engines, result.ID)
+			ran, _ := countRuns(engines, result.ID)
 			must.Eq(t, c.ran, ran)
 			if c.model && c.status == 200 && c.whole {
-				must.Eq(t, stream(5), result.Body)
+				must.Eq(t, streamBody(5), result.Body)
 			}
 			if c.status == http.StatusServiceUnavailable {
 				must.Positive(t, result.RetryAfter)
@@ -239,49 +241,49 @@
 	}
 }
 
-// TestABrokenStreamIsVisiblyBroken breaks every engine: what arrives is whole
-// events from the start, without a clean end.
-func TestABrokenStreamIsVisiblyBroken(t *testing.T) {
+// TestFailedStreamIsVisiblyTruncated makes every engine fail in the middle of a stream. The
+// caller gets complete events from the start, and no clean end.
+func TestFailedStreamIsVisiblyTruncated(t *testing.T) {
 	g, engines := setUp(t)
-	breakAll(engines, platformtest.FaultCut, -1)
+	injectFault(engines, platformtest.FaultCut, -1)
 	result := do(t, g, platformtest.Request{Path: "/review/1", Model: true})
 	must.False(t, result.Whole)
-	must.True(t, strings.HasPrefix(stream(5), result.Body), must.Sprint(result.Body))
+	must.True(t, strings.HasPrefix(streamBody(5), result.Body), must.Sprint(result.Body))
 	must.StrHasSuffix(t, "\n\n", result.Body)
-	ran, _ := runs(engines, result.ID)
+	ran, _ := countRuns(engines, result.ID)
 	must.Eq(t, 2, ran, must.Sprint("the route allows two engines"))
 }
 
-func TestASilentEngineIsGivenUpAtTheRoutesTimeout(t *testing.T) {
+func TestUnresponsiveEngineTimesOutWithTheRoute(t *testing.T) {
 	g, engines := setUp(t)
-	breakAll(engines, platformtest.FaultSilent, -1)
+	injectFault(engines, platformtest.FaultSilent, -1)
 	result := do(t, g, platformtest.Request{Path: "/unsafe/1", Deadline: 10 * time.Second})
 	must.Eq(t, http.StatusGatewayTimeout, result.Status)
 	must.False(t, result.Promised())
-	ran, _ := runs(engines, result.ID)
+	ran, _ := countRuns(engines, result.ID)
 	must.Eq(t, 1, ran)
 }
 
-func TestRefusalsThatAreNoEngines(t *testing.T) {
+func TestRejectionsByTheGateway(t *testing.T) {
 	g, engines := setUp(t)
 	must.Eq(t, http.StatusNotFound, do(t, g, platformtest.Request{Path: "/none/"}).Status)
 	must.Eq(t, http.StatusRequestEntityTooLarge, do(t, g, platformtest.Request{Path: "/safe/", Body: strings.Repeat("x", 1001)}).Status)
 	empty := do(t, g, platformtest.Request{Path: "/empty/"})
 	must.True(t, empty.Promised())
 	must.Positive(t, empty.RetryAfter)
-	young := newGateway(t, "g2", "lagos")
-	must.True(t, do(t, young, platformtest.Request{Path: "/none/"}).Promised(), must.Sprint("a gateway without a catalog refuses nothing for good"))
-	must.False(t, young.server.Ready())
+	starting := newGateway(t, "g2", "lagos")
+	must.True(t, do(t, starting, platformtest.Request{Path: "/none/"}).Promised(), must.Sprint("a gateway without a catalog rejects every request as not run"))
+	must.False(t, starting.server.Ready())
 	must.True(t, g.server.Ready())
 	for _, e := range engines {
 		must.SliceEmpty(t, e.Arrivals())
 	}
 }
 
-// TestRefusedCallersAreSpread refuses many requests at once: their callers are told
-// to come back over the time that they have, not all at the same moment, and none
-// so late that it has too little left.
-func TestRefusedCallersAreSpread(t *testing.T) {
+// TestRetriesOfRejectedCallersAreSpread guards against a thundering herd after many
+// rejections. The Retry-After values are spread over the callers' remaining time, none of
+// them so late that a caller has too little time left.
+func TestRetriesOfRejectedCallersAreSpread(t *testing.T) {
 	g, _ := setUp(t)
 	g.server.Random = rand.New(rand.NewPCG(1, 1)).Uint64
 	earliest, latest := time.Hour, time.Duration(0)
@@ -294,26 +296,27 @@
 	must.Between(t, 9*time.Second, latest, 10*time.Second)
 }
 
-func TestACallerWhoLeavesEndsTheEnginesWork(t *testing.T) {
+func TestDisconnectedCallerCancelsTheEnginesWork(t *testing.T) {
 	g, engines := setUp(t)
-	breakAll(engines, platformtest.FaultSilent, -1)
+	injectFault(engines, platformtest.FaultSilent, -1)
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	group.Go(func() {
 		var c platformtest.Caller
-		_, err := c.Do(ctx, address(g.callers), platformtest.Request{Host: "h", Path: "/chat/1", Model: true, Deadline: 20 * time.Second})
+		_, err := c.Do(ctx, hostPort(g.callers), platformtest.Request{Host: "h", Path: "/chat/1", Model: true, Deadline: 20 * time.Second})
 		must.Error(t, err)
 	})
-	eventually(t, "the engine runs it", func() bool { return g.inFlight(engines) == 1 })
+	eventually(t, "the engine runs the request", func() bool { return g.arrivals(engines) == 1 })
 	cancel()
 	group.Wait()
-	// An engine that is told nothing more would work on until the deadline.
+	// Without the cancellation, the engine would work until the deadline.
 	eventually(t, "the engine has stopped", func() bool { return g.idle(engines) })
 }
 
-// TestCallersWhoLeaveUnreadReachNoEngine sends whole requests to a gateway that is too
-// busy to read them, and closes the connections before it does.
-func TestCallersWhoLeaveUnreadReachNoEngine(t *testing.T) {
+// TestRequestsOfDisconnectedCallersAreNotSent sends complete requests to a gateway that is
+// too busy to read them, and closes the connections before it does. Fewer than four of them
+// may reach an engine.
+func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	const callers = 40
 	g, engines := setUp(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -337,10 +340,10 @@
 	for _, e := range engines {
 		arrived += len(e.Arrivals())
 	}
-	must.Less(t, 4, arrived, must.Sprintf("of %d callers who had left", callers))
+	must.Less(t, 4, arrived, must.Sprintf("requests sent, of %d disconnected callers", callers))
 }
 
-func (g *gateway) inFlight(engines []*platformtest.Engine) int {
+func (g *gateway) arrivals(engines []*platformtest.Engine) int {
 	n := 0
 	for _, e := range engines {
 		n += len(e.Arrivals())
@@ -357,10 +360,10 @@
 	return true
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -368,12 +371,12 @@
 	t.Fatalf("%s: not within 5 s", what)
 }
 
-// twoRegions gives a gateway in lagos without engines and one in kano with.
+// twoRegions returns a gateway in lagos without engines, and one in kano with engines.
 func twoRegions(t *testing.T) (lagos, kano *gateway, engines []*platformtest.Engine) {
 	t.Helper()
 	lagos, kano = newGateway(t, "g1", "lagos"), newGateway(t, "g2", "kano")
-	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: address(kano.handover)}}
-	kano.peers = []roster.Host{{Name: "g1", Role: roster.RoleGateway, Region: "lagos", Handover: address(lagos.handover)}}
+	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: hostPort(kano.handover)}}
+	kano.peers = []roster.Host{{Name: "g1", Role: roster.RoleGateway, Region: "lagos", Handover: hostPort(lagos.handover)}}
 	lagos.declare()
 	kano.declare()
 	for range 2 {
@@ -382,7 +385,7 @@
 	return lagos, kano, engines
 }
 
-func TestARequestIsHandedOverWhereNothingCanServeIt(t *testing.T) {
+func TestRequestIsHandedOverWithoutLocalEngines(t *testing.T) {
 	lagos, _, engines := twoRegions(t)
 	for _, path := range []string{"/safe/1", "/unsafe/1", "/home/1"} {
 		result := do(t, lagos, platformtest.Request{Path: path, Body: "x"})
@@ -390,7 +393,7 @@
 		must.Eq(t, platformtest.Answer(result.Engine, result.ID), result.Body)
 	}
 	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true})
-	must.Eq(t, stream(5), result.Body)
+	must.Eq(t, streamBody(5), result.Body)
 	must.True(t, result.Whole)
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
@@ -401,10 +404,10 @@
 	}
 }
 
-// TestAHandOverWaitsForNoNewConnection hands two requests over that may not be
-// repeated. The second finds a connection on which an answer has just come; one that
-// comes later opens another, since the way may be cut meanwhile.
-func TestAHandOverWaitsForNoNewConnection(t *testing.T) {
+// TestHandOverReusesAFreshConnection hands over two requests that are not repeatable. The
+// second reuses a connection on which an answer has just arrived. A later one opens a new
+// connection, since the network may have been partitioned meanwhile.
+func TestHandOverReusesAFreshConnection(t *testing.T) {
 	lagos, kano, _ := twoRegions(t)
 	var opened atomic.Int64
 	counted := httptest.NewUnstartedServer(kano.server.HandoverHandler())
@@ -415,61 +418,62 @@
 	}
 	counted.Start()
 	t.Cleanup(counted.Close)
-	lagos.peers[0].Handover = address(counted)
+	lagos.peers[0].Handover = hostPort(counted)
 	send := func() {
 		result := do(t, lagos, platformtest.Request{Path: "/unsafe/1", Body: "x"})
 		must.Eq(t, http.StatusOK, result.Status)
 	}
 	send()
-	opening := opened.Load()
-	do(t, lagos, platformtest.Request{Path: "/safe/1"}) // leaves a connection that is kept
+	openedBefore := opened.Load()
+	do(t, lagos, platformtest.Request{Path: "/safe/1"}) // leaves a pooled connection
 	send()
-	must.Eq(t, opening+1, opened.Load())
+	must.Eq(t, openedBefore+1, opened.Load())
 	time.Sleep(700 * time.Millisecond)
 	send()
-	must.Eq(t, opening+2, opened.Load())
+	must.Eq(t, openedBefore+2, opened.Load())
 }
 
-// TestABoundRequestStaysAtHome has engines in lagos only: a request bound to
-// kano is refused as not run, and reaches none of them.
-func TestABoundRequestStaysAtHome(t *testing.T) {
+// TestRequestRunsOnlyInItsHomeRegion has engines in lagos only. A request with the home
+// region kano is rejected as not run and reaches none of them.
+func TestRequestRunsOnlyInItsHomeRegion(t *testing.T) {
 	g, engines := setUp(t)
 	result := do(t, g, platformtest.Request{Path: "/home/1"})
 	must.True(t, result.Promised())
-	_, arrived := runs(engines, result.ID)
+	_, arrived := countRuns(engines, result.ID)
 	must.Eq(t, 0, arrived)
 }
 
-// TestSendsCountOverRegions lets every engine refuse: a route of two attempts
-// reaches two engines, wherever they stand, and one of one attempt reaches one.
-func TestSendsCountOverRegions(t *testing.T) {
+// TestSendsCountAcrossRegions makes every engine reject requests. A request reaches as many
+// engines as its route has attempts, over all regions.
+func TestSendsCountAcrossRegions(t *testing.T) {
 	lagos, kano, engines := twoRegions(t)
 	lagos.peers = append(lagos.peers, roster.Host{Name: "g1", Role: roster.RoleGateway, Region: "lagos"})
-	here := []*platformtest.Engine{lagos.start(t, "portal", "a"), lagos.start(t, "portal", "a")}
-	engines = append(engines, here...)
-	breakAll(engines, platformtest.FaultShed, -1)
+	local := []*platformtest.Engine{lagos.start(t, "portal", "a"), lagos.start(t, "portal", "a")}
+	engines = append(engines, local...)
+	injectFault(engines, platformtest.FaultShed, -1)
 	for path, want := range map[string]int{"/safe/1": 2, "/unsafe/1": 1, "/unsafe2/1": 2} {
 		result := do(t, lagos, platformtest.Request{Path: path})
 		must.True(t, result.Promised(), must.Sprint(path, result.Status))
-		_, arrived := runs(engines, result.ID)
+		_, arrived := countRuns(engines, result.ID)
 		must.Eq(t, want, arrived, must.Sprint(path))
 	}
 	_ = kano
 }
 
-// TestNothingCirclesBetweenGateways gives two gateways no engines at all.
-func TestNothingCirclesBetweenGateways(t *testing.T) {
+// TestNoHandOverLoopBetweenGateways has two gateways in different regions, both without
+// engines.
+func TestNoHandOverLoopBetweenGateways(t *testing.T) {
 	lagos, kano := newGateway(t, "g1", "lagos"), newGateway(t, "g2", "kano")
-	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: address(kano.handover)}}
-	kano.peers = []roster.Host{{Name: "g1", Role: roster.RoleGateway, Region: "lagos", Handover: address(lagos.handover)}}
+	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: hostPort(kano.handover)}}
+	kano.peers = []roster.Host{{Name: "g1", Role: roster.RoleGateway, Region: "lagos", Handover: hostPort(lagos.handover)}}
 	lagos.declare()
 	kano.declare()
 	must.True(t, do(t, lagos, platformtest.Request{Path: "/safe/1"}).Promised())
 }
 
-// TestAYoungGatewayOpensWhenItKnowsACatalog connects before there is one: the
-// request is served, and not refused.
-func TestAYoungGatewayOpensWhenItKnowsACatalog(t *testing.T) {
+// TestStartingGatewayServesOnceItHasACatalog sends a request before the gateway has a
+// catalog. The request waits, and is served instead of rejected.
+func TestStartingGatewayServesOnceItHasACatalog(t *testing.T) {
 	g := newGateway(t, "g1", "lagos")
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -485,7 +489,7 @@
 		must.NoError(t, err)
 		done <- result
 	})
-	time.Sleep(100 * time.Millisecond) // the request waits meanwhile
+	time.Sleep(100 * time.Millisecond) // the request is waiting now
 	g.start(t, "portal", "a")
 	g.declare()
 	must.Eq(t, http.StatusOK, (<-done).Status)
@@ -493,8 +497,8 @@
 	group.Wait()
 }
 
-// TestAStoppingGatewayFinishesWhatItHas stops a gateway while a stream runs.
-func TestAStoppingGatewayFinishesWhatItHas(t *testing.T) {
+// TestStoppingGatewayFinishesRequestsInFlight stops a gateway while a stream is in flight.
+func TestStoppingGatewayFinishesRequestsInFlight(t *testing.T) {
 	g, _ := setUp(t)
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -513,7 +517,7 @@
 	cancel()
 	group.Wait()
 	result := <-done
-	must.Eq(t, stream(5), result.Body)
+	must.Eq(t, streamBody(5), result.Body)
 	must.True(t, result.Whole)
 	must.False(t, g.server.Ready())
 }
--- a/ingress/pushback_test.go
+++ b/ingress/pushback_test.go
@@ -10,67 +10,65 @@
 )
 
 const (
-	// restAsked is what an engine of these tests asks for.
-	restAsked = 3 * time.Second
-	// restHeard is when it wants nothing any more: what is on its way may still come before.
-	restHeard = 500 * time.Millisecond
-	// restMost is how many requests may reach it from one gateway after that, until the rest
-	// ends.
-	restMost = 2
+	// backoffTime is the backoff that an engine of these tests asks for.
+	backoffTime = 3 * time.Second
+	// backoffGrace is the time after which it should get no more requests. Those already in
+	// flight may arrive earlier.
+	backoffGrace = 500 * time.Millisecond
+	// maxDuringBackoff is the maximum of requests that one gateway may send from then until
+	// the backoff ends.
+	maxDuringBackoff = 2
 )
 
-// inRest gives the most requests that an engine got from one gateway within a rest, of those that
-// it asked for from a time on: it refuses all and asks for rest each time.
-func (w *regionWorld) inRest(e *platformtest.Engine, from time.Duration) int {
-	most := 0
-	for i, asked := range w.arrivals[e] {
-		if asked.at < from {
+// arrivalsDuringBackoff returns the highest number of requests that an engine got from one
+// gateway within a backoff that it asked for at from or later. The engine rejects every
+// request and asks for backoff each time.
+func (r *simulatedRegion) arrivalsDuringBackoff(e *platformtest.Engine, from time.Duration) int {
+	peak := 0
+	for i, rejected := range r.arrivals[e] {
+		if rejected.at < from {
 			continue
 		}
 		n := 0
-		for _, a := range w.arrivals[e][i:] {
-			if a.from == asked.from && a.at > asked.at+restHeard && a.at < asked.at+restAsked {
+		for _, a := range r.arrivals[e][i:] {
+			if a.from == rejected.from && a.at > rejected.at+backoffGrace && a.at < rejected.at+backoffTime {
 				n++
 			}
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
-// TestAnEngineThatAsksForRestIsLeftAlone plays what users saw: engines turned requests away and
-// asked for three seconds of rest, and got 5 to 8 more from each gateway within them, all of which
-// they refused. Callers were refused, while four of a region's six engines served.
-//
-// Evidence: no gateway sent to an engine within 150 ms of its refusal, and each did soon after,
-// whatever it had asked for; 38 of 41 sends within a rest were first sends of requests that had
-// come in there; and callers were told to come back after the very time that the engine had
-// asked for. So it was read, as a word to the caller, and the choice went by a constant of its own.
-// The engine's word is kept by itself now (package pushback), and everything that may send goes
-// by the one answer to whether an engine may get a request (dispatch, standing.go).
-func TestAnEngineThatAsksForRestIsLeftAlone(t *testing.T) {
-	w := newRegionWorld(t, 4)
-	w.run(t, time.Second, 20)
-	began := w.since()
-	w.engines[0].SetRest("3")
-	served := w.run(t, 9*time.Second, 20)
-	must.LessEq(t, restMost, w.inRest(w.engines[0], began))
-	must.GreaterEq(t, 180-3*len(w.gateways), served, must.Sprint("each gateway is refused once a rest, at most; the others serve all else"))
-	w.engines[0].SetRest("")
-	w.run(t, restAsked, 20)
-	before := len(w.arrivals[w.engines[0]])
-	must.Eq(t, 80, w.run(t, 4*time.Second, 20))
-	must.GreaterEq(t, 10, len(w.arrivals[w.engines[0]])-before, must.Sprint("it takes its part again"))
+// TestBackoffOfEnginesIsObserved guards against sending requests to an engine that has asked
+// for backoff. Engines rejected requests and asked for three seconds, but got 5 to 8 more
+// requests from each gateway in that time and rejected them all, while four of a region's
+// six engines could have served them. The gateways relayed the Retry-After to callers, but
+// chose engines by a constant exclusion of 150 ms. Now package pushback stores the backoff,
+// and every path that sends a request checks it (dispatch/standing.go).
+func TestBackoffOfEnginesIsObserved(t *testing.T) {
+	r := newSimulatedRegion(t, 4)
+	r.run(t, time.Second, 20)
+	began := r.elapsed()
+	r.engines[0].SetRest("3")
+	served := r.run(t, 9*time.Second, 20)
+	must.LessEq(t, maxDuringBackoff, r.arrivalsDuringBackoff(r.engines[0], began))
+	must.GreaterEq(t, 180-3*len(r.gateways), served, must.Sprint("each gateway is rejected at most once per backoff; the other engines serve the rest"))
+	r.engines[0].SetRest("")
+	r.run(t, backoffTime, 20)
+	before := len(r.arrivals[r.engines[0]])
+	must.Eq(t, 80, r.run(t, 4*time.Second, 20))
+	must.GreaterEq(t, 10, len(r.arrivals[r.engines[0]])-before, must.Sprint("the engine gets its share again"))
 }
 
-// TestAnEngineThatSaysThatItLeavesGetsNothingMore has an engine say in its answers, of which all
-// are good, that it leaves, while its heartbeats say that it is ready.
-func TestAnEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
-	w := newRegionWorld(t, 3)
-	w.run(t, time.Second, 20)
-	w.engines[1].SetLeaving()
-	w.run(t, time.Second, 20)
-	before := len(w.arrivals[w.engines[1]])
-	must.Eq(t, 100, w.run(t, 5*time.Second, 20))
-	must.Eq(t, before, len(w.arrivals[w.engines[1]]))
+// TestDrainingEngineGetsNoMoreRequests has an engine announce in its answers, which are all
+// successful, that it is draining, while its heartbeats still report it as ready.
+func TestDrainingEngineGetsNoMoreRequests(t *testing.T) {
+	r := newSimulatedRegion(t, 3)
+	r.run(t, time.Second, 20)
+	r.engines[1].SetLeaving()
+	r.run(t, time.Second, 20)
+	before := len(r.arrivals[r.engines[1]])
+	must.Eq(t, 100, r.run(t, 5*time.Second, 20))
+	must.Eq(t, before, len(r.arrivals[r.engines[1]]))
 }
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -16,17 +16,18 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// poison is the body of the request that crashes the engines of a cluster.
-const poison = "query of death"
+// crashingPrompt is the body of the request that crashes the engines of a cluster.
+const crashingPrompt = "query of death"
 
-// cluster is some gateways of two regions that tell each other what they know, and model
-// engines that crash under one request.
+// cluster is three gateways in two regions that exchange reports, and model engines that
+// crash on one request.
 type cluster struct {
 	gateways []*gateway
 	engines  []*platformtest.Engine
 }
 
-// newCluster starts two gateways in lagos and one in kano, and so many engines in each.
+// newCluster starts two gateways in lagos and one in kano, and the given number of engines
+// in each region.
 func newCluster(t *testing.T, engines int) *cluster {
 	t.Helper()
 	c := &cluster{}
@@ -36,7 +37,7 @@
 		name := fmt.Sprint("g", i)
 		g := newGateway(t, name, region)
 		c.gateways = append(c.gateways, g)
-		hosts = append(hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: region, Peer: name, Handover: address(g.handover)})
+		hosts = append(hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: region, Peer: name, Handover: hostPort(g.handover)})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
@@ -53,7 +54,7 @@
 		c.start(ctx, t, group, "lagos")
 		c.start(ctx, t, group, "kano")
 	}
-	c.exchange()
+	c.exchangeReports()
 	return c
 }
 
@@ -61,7 +62,7 @@
 func (c *cluster) start(ctx context.Context, t *testing.T, group *pool.Pool, region string) {
 	t.Helper()
 	dataCentre := map[string]string{"lagos": "a", "kano": "b"}[region]
-	e, err := platformtest.StartEngine(ctx, group, "127.0.0.1:0", platformtest.EngineOptions{Service: "model", DataCentre: dataCentre, CrashOn: poison, Pause: 10 * time.Millisecond})
+	e, err := platformtest.StartEngine(ctx, group, "127.0.0.1:0", platformtest.EngineOptions{Service: "model", DataCentre: dataCentre, CrashOn: crashingPrompt, Pause: 10 * time.Millisecond})
 	must.NoError(t, err)
 	c.engines = append(c.engines, e)
 	for _, g := range c.gateways {
@@ -72,9 +73,8 @@
 	}
 }
 
-// exchange lets every gateway tell the others for longer than it takes until all regions
-// are told.
-func (c *cluster) exchange() {
+// exchangeReports lets the gateways exchange reports for long enough to reach all regions.
+func (c *cluster) exchangeReports() {
 	for range 6 {
 		for _, g := range c.gateways {
 			for _, out := range g.server.Dispatcher.Tell() {
@@ -95,7 +95,7 @@
 	}
 }
 
-// arrived counts the requests with a body that reached engines.
+// arrived counts the requests with the given body that reached engines.
 func (c *cluster) arrived(body string) int {
 	n := 0
 	for _, e := range c.engines {
@@ -108,28 +108,26 @@
 	return n
 }
 
-// TestARequestThatCrashesEnginesStopsReachingThem plays what users saw: within ten seconds
-// all twelve engines of a language service ended once, and in the worst second 31 of 33
-// short requests failed. A caller sent one request again and again, each time under another
-// ID and at any gateway of two regions; each engine that began to run it crashed 0.1 s later,
-// with up to 24 others on it. Each gateway took each repeat for a request of its own.
-//
-// Evidence: eleven of the twelve crashes that the logs hold had that prompt's part among the
-// requests that broke, always on their first send (attempt=1, sends=1); no gateway sent any
-// of them twice. What the gateways lacked was to know that they were the same.
-func TestARequestThatCrashesEnginesStopsReachingThem(t *testing.T) {
+// TestRequestThatCrashesEnginesIsQuarantined guards against a query of death. A caller
+// repeated one request, each time with a new ID and at any gateway of two regions, and each
+// engine that began to run it crashed 0.1 s later with up to 24 other requests in flight:
+// all twelve engines of a service crashed within ten seconds, and in the worst second 31 of
+// 33 short requests failed. The logs show that prompt in eleven of the twelve crashes,
+// always as a first send (attempt=1, sends=1), so a limit on retries doesn't help: the
+// gateways have to recognise the repeats as the same request.
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	c := newCluster(t, 6)
-	refused := 0
+	rejected := 0
 	for i := range 12 {
-		result := do(t, c.gateways[i%3], platformtest.Request{Path: "/chat/1", Model: true, Body: poison, Deadline: 5 * time.Second})
+		result := do(t, c.gateways[i%3], platformtest.Request{Path: "/chat/1", Model: true, Body: crashingPrompt, Deadline: 5 * time.Second})
 		must.NotEq(t, http.StatusOK, result.Status)
 		if result.Promised() {
-			refused++
+			rejected++
 		}
-		c.exchange()
+		c.exchangeReports()
 	}
-	must.Eq(t, 3, c.arrived(poison), must.Sprint("three engines are enough to know it"))
-	must.Eq(t, 9, refused)
+	must.Eq(t, 3, c.arrived(crashingPrompt), must.Sprint("the request is quarantined after three crashes"))
+	must.Eq(t, 9, rejected)
 	result := do(t, c.gateways[0], platformtest.Request{Path: "/chat/1", Model: true, Body: "another", Deadline: 5 * time.Second})
-	must.Eq(t, stream(5), result.Body, must.Sprint("other requests are served"))
+	must.Eq(t, streamBody(5), result.Body, must.Sprint("other requests are served"))
 }
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -17,24 +17,24 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// regionWorld is three gateways of one region that tell each other what they know, before
-// engines that say in their answers what they want, in a time of its own.
-type regionWorld struct {
-	now      atomic.Int64 // nanoseconds since the start
-	start    time.Time
-	gateways []*gateway
-	engines  []*platformtest.Engine
-	arrivals map[*platformtest.Engine][]arrival
-	sent     int
+// simulatedRegion is three gateways of one region that exchange reports, and engines that
+// signal limits and backoff in their answers, with a simulated clock.
+type simulatedRegion struct {
+	elapsedNanos atomic.Int64 // since start
+	start        time.Time
+	gateways     []*gateway
+	engines      []*platformtest.Engine
+	arrivals     map[*platformtest.Engine][]arrival
+	requests     int
 }
 
-func newRegionWorld(t *testing.T, engines int) *regionWorld {
+func newSimulatedRegion(t *testing.T, engines int) *simulatedRegion {
 	t.Helper()
-	w := &regionWorld{start: time.Now(), arrivals: make(map[*platformtest.Engine][]arrival)}
+	r := &simulatedRegion{start: time.Now(), arrivals: make(map[*platformtest.Engine][]arrival)}
 	var hosts []roster.Host
 	for i := range 3 {
-		g := newGatewayAt(t, fmt.Sprint("g", i), "lagos", w.clock)
-		w.gateways = append(w.gateways, g)
+		g := newGatewayAt(t, fmt.Sprint("g", i), "lagos", r.clock)
+		r.gateways = append(r.gateways, g)
 		hosts = append(hosts, roster.Host{Name: g.server.Self.Name, Role: roster.RoleGateway, Region: "lagos", Peer: g.server.Self.Name})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,54 +46,54 @@
 	for range engines {
 		e, err := platformtest.StartEngine(ctx, group, "127.0.0.1:0", platformtest.EngineOptions{Service: "model", DataCentre: "a", Events: 1})
 		must.NoError(t, err)
-		w.engines = append(w.engines, e)
+		r.engines = append(r.engines, e)
 	}
-	for _, g := range w.gateways {
+	for _, g := range r.gateways {
 		g.peers = hosts
 		g.declare()
-		for _, e := range w.engines {
+		for _, e := range r.engines {
 			g.engines.Beat(registry.Engine{ID: e.ID, Service: "model", Address: e.Address(), DataCentre: "a", Slots: 8, Sequence: 1})
 		}
 		g.server.Dispatcher.Tick()
 	}
-	return w
+	return r
 }
 
-func (w *regionWorld) since() time.Duration { return time.Duration(w.now.Load()) }
-func (w *regionWorld) clock() time.Time     { return w.start.Add(w.since()) }
+func (r *simulatedRegion) elapsed() time.Duration { return time.Duration(r.elapsedNanos.Load()) }
+func (r *simulatedRegion) clock() time.Time       { return r.start.Add(r.elapsed()) }
 
-// run lets that much time pass, with so many requests a second at the gateways in turn. It
-// gives how many were served.
-func (w *regionWorld) run(t *testing.T, length time.Duration, perSecond float64) (served int) {
+// run advances the clock by duration and meanwhile sends perSecond requests a second,
+// to each gateway in turn. It returns how many were served.
+func (r *simulatedRegion) run(t *testing.T, duration time.Duration, perSecond float64) (served int) {
 	t.Helper()
 	step := time.Duration(float64(time.Second) / perSecond)
-	told := w.since()
-	for until := w.since() + length; w.since() < until; {
-		w.now.Add(int64(step))
-		if w.since()-told >= rollup.Every {
-			told = w.since()
-			w.exchange()
+	lastExchange := r.elapsed()
+	for until := r.elapsed() + duration; r.elapsed() < until; {
+		r.elapsedNanos.Add(int64(step))
+		if r.elapsed()-lastExchange >= rollup.Every {
+			lastExchange = r.elapsed()
+			r.exchangeReports()
 		}
-		w.sent++
-		g := w.gateways[w.sent%len(w.gateways)]
-		if do(t, g, platformtest.Request{Path: "/chat/1", Model: true, Body: fmt.Sprint(w.sent), Deadline: 5 * time.Second}).Status == http.StatusOK {
+		r.requests++
+		g := r.gateways[r.requests%len(r.gateways)]
+		if do(t, g, platformtest.Request{Path: "/chat/1", Model: true, Body: fmt.Sprint(r.requests), Deadline: 5 * time.Second}).Status == http.StatusOK {
 			served++
 		}
-		for _, e := range w.engines {
-			for len(w.arrivals[e]) < len(e.Arrivals()) {
-				w.arrivals[e] = append(w.arrivals[e], arrival{w.since(), g})
+		for _, e := range r.engines {
+			for len(r.arrivals[e]) < len(e.Arrivals()) {
+				r.arrivals[e] = append(r.arrivals[e], arrival{r.elapsed(), g})
 			}
 		}
 	}
 	return served
 }
 
-// exchange lets every gateway tell the others once.
-func (w *regionWorld) exchange() {
-	for _, g := range w.gateways {
+// exchangeReports lets every gateway send its reports to the others once.
+func (r *simulatedRegion) exchangeReports() {
+	for _, g := range r.gateways {
 		g.server.Dispatcher.Tick()
 		for _, out := range g.server.Dispatcher.Tell() {
-			for _, to := range w.gateways {
+			for _, to := range r.gateways {
 				if to != g {
 					to.server.Dispatcher.Hear(out.Message)
 				}
--- a/ingress/suspension_test.go
+++ b/ingress/suspension_test.go
@@ -12,11 +12,12 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// TestASuspendedGatewayGivesNoMoreTimeThanIsLeft suspends a gateway after the first send of
-// a request, which its engine doesn't answer. The clock of contexts stands still meanwhile.
-// What the second engine may take is what the caller then has left, and where nothing is,
-// none is asked: a gateway that went by the clock of contexts gave the whole second again.
-func TestASuspendedGatewayGivesNoMoreTimeThanIsLeft(t *testing.T) {
+// TestDeadlineIncludesTimeSuspended guards against granting an engine more time than the
+// caller has left. A gateway is suspended after the first send of a request, while the clock
+// of contexts stands still. The second engine gets the time that the caller then has left,
+// and none is tried if there is none. By the clock of contexts it would get a whole second
+// again.
+func TestDeadlineIncludesTimeSuspended(t *testing.T) {
 	for name, test := range map[string]struct {
 		suspended time.Duration
 		status    int
@@ -27,35 +28,35 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, engines := setUp(t)
-			var slept atomic.Bool
+			var resumed atomic.Bool
 			clock := func() time.Time {
 				now := time.Now()
-				if !slept.Load() {
+				if !resumed.Load() {
 					for _, e := range engines {
-						slept.Store(slept.Load() || len(e.Arrivals()) > 0)
+						resumed.Store(resumed.Load() || len(e.Arrivals()) > 0)
 					}
 				}
-				if slept.Load() {
+				if resumed.Load() {
 					now = now.Add(test.suspended)
 				}
 				return now
 			}
 			g.server.Clock, g.server.Dispatcher.Clock = clock, clock
-			breakAll(engines, platformtest.FaultReset, 1)
+			injectFault(engines, platformtest.FaultReset, 1)
 			result := do(t, g, platformtest.Request{Path: "/safe/1", Deadline: 5 * time.Second})
 			must.Eq(t, test.status, result.Status)
-			_, arrived := runs(engines, result.ID)
+			_, arrived := countRuns(engines, result.ID)
 			must.Eq(t, test.arrivals, arrived)
-			least := 1000
+			shortest := 1000
 			for _, e := range engines {
 				for _, a := range e.Arrivals() {
 					ms, err := strconv.Atoi(a.Header.Get("X-Linenscale-Deadline-Ms"))
 					must.NoError(t, err)
-					least = min(least, ms)
+					shortest = min(shortest, ms)
 				}
 			}
 			if test.arrivals > 1 {
-				must.LessEq(t, 400, least, must.Sprint("of a second"))
+				must.LessEq(t, 400, shortest, must.Sprint("at most 400 ms of the second are left"))
 			}
 		})
 	}
