--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -18,7 +18,7 @@
 	ID        string
 	Remaining time.Duration // how long the caller will wait; 0 if not stated
 	Prompt    dispatch.Prompt
-	Tokens    int               // prompt plus longest answer; Untold if not stated
+	Tokens    int               // prompt plus longest answer; -1 if not stated
 	LastEvent string            // ID of the last stream event that the caller has; "" for none
 	Key       catalog.KeyDigest // digest of the API key; "" for none
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -82,7 +82,7 @@
 	table *catalog.Table
 }
 
-// New returns a server without a catalog. Take sets the catalog.
+// New returns a server that has no catalog yet, so it is not ready.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
 // Take applies a state of the ledger. It ignores a state that is not newer than the
