--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -49,8 +49,8 @@
 	Leaving     bool           // the engine is draining and accepts no more requests
 }
 
-// Dialect encodes and decodes the platform's headers of callers and engines, whose names
-// this package doesn't know.
+// Dialect encodes and decodes the platform's headers of callers and engines. This package
+// does not depend on their names.
 type Dialect interface {
 	// Identify decodes a caller's headers. The error is a *request.NotRun.
 	Identify(header http.Header) (Identity, error)
