--- a/rollup/board.go
+++ b/rollup/board.go
@@ -17,16 +17,16 @@
 	// Life is how long what was heard is believed: it comes six times within it, and
 	// datagrams are lost now and then.
 	Life = 600 * time.Millisecond
-	// freshTime is how long ago a leader must have been heard for nobody else to be
+	// leaderTimeout is how long ago a leader must have been heard for nobody else to be
 	// told: with one message lost and one late it still is.
-	freshTime = 280 * time.Millisecond
-	// lookEvery is how often the list of gateways is looked at: to sort 300 into
+	leaderTimeout = 280 * time.Millisecond
+	// topologyInterval is how often the list of gateways is looked at: to sort 300 into
 	// groups takes 80 us. A leader that is gone is replaced sooner.
-	lookEvery = 500 * time.Millisecond
-	// remembered is how many of its own reports a gateway remembers, to take them out
+	topologyInterval = 500 * time.Millisecond
+	// reportHistory is how many of its own reports a gateway remembers, to take them out
 	// of sums that hold them: a report is in sums that are believed for up to Life
 	// after it was told up to 0.2 s before.
-	remembered = 10
+	reportHistory = 10
 )
 
 // Deps are what a Board needs.
@@ -39,30 +39,30 @@
 // Board holds what was heard. It isn't safe for concurrent use. New makes one.
 type Board struct {
 	Deps
-	view    view
-	looked  time.Time
-	number  uint32
-	told    [remembered]Report // by number
-	members map[uint32]heard   // of the own group, by their hashes
-	sums    map[Group]heard    // of other groups
-	total   heard
-	leaders map[string]time.Time // when each leader was last heard
-	far     map[string]farHeard  // by region
+	topology      topology
+	topologyAt    time.Time
+	lastNumber    uint32
+	sentReports   [reportHistory]Report      // by number
+	memberReports map[uint32]receivedMessage // of the own group, by their hashes
+	groupSums     map[Group]receivedMessage  // of other groups
+	regionTotal   receivedMessage
+	leaderSeen    map[string]time.Time    // when each leader was last heard
+	remote        map[string]remoteReport // by region
 }
 
-// heard is a message and when it came.
-type heard struct {
-	at time.Time
+// receivedMessage is a message and when it came.
+type receivedMessage struct {
+	receivedAt time.Time
 	Message
 }
 
-func (h heard) fresh(now time.Time) bool { return now.Sub(h.at) <= freshTime }
-func (h heard) valid(now time.Time) bool { return now.Sub(h.at) <= Life }
+func (m receivedMessage) isFresh(now time.Time) bool { return now.Sub(m.receivedAt) <= leaderTimeout }
+func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= Life }
 
-type farHeard struct {
-	at     time.Time
-	direct bool // heard from that region itself
-	word   FarWord
+type remoteReport struct {
+	receivedAt time.Time
+	direct     bool // heard from that region itself
+	report     FarWord
 }
 
 // Outgoing is a message and the addresses that it goes to.
@@ -74,108 +74,108 @@
 // New makes a board that has heard nothing.
 func New(deps Deps) *Board {
 	return &Board{
-		Deps: deps, members: make(map[uint32]heard), sums: make(map[Group]heard),
-		leaders: make(map[string]time.Time), far: make(map[string]farHeard),
+		Deps: deps, memberReports: make(map[uint32]receivedMessage), groupSums: make(map[Group]receivedMessage),
+		leaderSeen: make(map[string]time.Time), remote: make(map[string]remoteReport),
 	}
 }
 
-// look takes over the list of gateways.
-func (b *Board) look() {
-	b.looked = b.Clock()
-	b.view = newView(b.Self, b.Hosts(), b.Self.Region)
+// refreshTopology takes over the list of gateways.
+func (a *Board) refreshTopology() {
+	a.topologyAt = a.Clock()
+	a.topology = newTopology(a.Self, a.Hosts(), a.Self.Region)
 }
 
 // Tell gives the messages that are due, with this gateway's own report. It is called
 // each Every.
-func (b *Board) Tell(own Report) []Outgoing {
-	now := b.Clock()
-	if now.Sub(b.looked) >= lookEvery {
-		b.look()
+func (a *Board) Tell(own Report) []Outgoing {
+	now := a.Clock()
+	if now.Sub(a.topologyAt) >= topologyInterval {
+		a.refreshTopology()
 	}
-	b.forget(now)
-	b.number++
-	b.told[b.number%remembered] = own
+	a.expire(now)
+	a.lastNumber++
+	a.sentReports[a.lastNumber%reportHistory] = own
 	self := Message{
-		From: b.Self.Name, Group: loneGroup(b.Self), Report: own,
-		Members: []Member{{Hash: hashOf(b.Self.Name), Number: b.number}},
+		From: a.Self.Name, Group: singletonGroup(a.Self), Report: own,
+		Members: []Member{{Hash: hashOf(a.Self.Name), Number: a.lastNumber}},
 	}
-	if b.view.few {
-		return []Outgoing{{b.heads(now), self}}
+	if a.topology.fullMesh {
+		return []Outgoing{{a.otherLeaderAddresses(now), self}}
 	}
 	var out []Outgoing
-	if b.leads(now) {
-		out = b.lead(own, now)
+	if a.isLeader(now) {
+		out = a.leaderMessages(own, now)
 	}
-	if first := b.view.ranked[0]; first.Name != b.Self.Name {
-		out = append(out, Outgoing{b.until(b.view.ranked, now), self})
+	if first := a.topology.ranked[0]; first.Name != a.Self.Name {
+		out = append(out, Outgoing{a.leaderAddresses(a.topology.ranked, now), self})
 	}
 	return out
 }
 
-// leads tells whether this gateway sums its group: it has been told reports, or
+// isLeader tells whether this gateway sums its group: it has been told reports, or
 // nobody before it in rank has been heard to lead.
-func (b *Board) leads(now time.Time) bool {
-	if b.view.few || len(b.members) > 0 {
-		return !b.view.few
+func (a *Board) isLeader(now time.Time) bool {
+	if a.topology.fullMesh || len(a.memberReports) > 0 {
+		return !a.topology.fullMesh
 	}
-	for _, h := range b.view.ranked[:min(len(b.view.ranked), candidates)] {
-		if h.Name == b.Self.Name {
+	for _, h := range a.topology.ranked[:min(len(a.topology.ranked), leaderCandidates)] {
+		if h.Name == a.Self.Name {
 			return true
 		}
-		if now.Sub(b.leaders[h.Name]) <= freshTime {
+		if now.Sub(a.leaderSeen[h.Name]) <= leaderTimeout {
 			return false
 		}
 	}
 	return false
 }
 
-// lead gives the messages of a leader.
-func (b *Board) lead(own Report, now time.Time) []Outgoing {
-	group := newSum()
-	group.add(own, 1)
-	message := Message{From: b.Self.Name, Group: b.view.own, Far: b.farWords(true, now)}
-	message.Members = []Member{{Hash: hashOf(b.Self.Name), Number: b.number}}
-	for _, m := range b.members {
-		group.add(m.Report.aged(now.Sub(m.at)), 1)
+// leaderMessages gives the messages of a leader.
+func (a *Board) leaderMessages(own Report, now time.Time) []Outgoing {
+	groupSum := newSum()
+	groupSum.add(own, 1)
+	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Far: a.remoteReports(true, now)}
+	message.Members = []Member{{Hash: hashOf(a.Self.Name), Number: a.lastNumber}}
+	for _, m := range a.memberReports {
+		groupSum.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
 		message.Members = append(message.Members, m.Members...)
 	}
-	message.Report = group.report()
+	message.Report = groupSum.report()
 	total := message
 	total.Total = true
-	total.Far = b.farWords(false, now)
-	for _, s := range b.sums {
-		group.add(s.Report.aged(now.Sub(s.at)), 1)
+	total.Far = a.remoteReports(false, now)
+	for _, s := range a.groupSums {
+		groupSum.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
 		total.Others += len(s.Members)
 	}
-	total.Report = group.report()
-	var members []string
-	for _, h := range b.view.ranked {
-		if h.Name != b.Self.Name {
-			members = append(members, h.Peer)
+	total.Report = groupSum.report()
+	var memberAddresses []string
+	for _, h := range a.topology.ranked {
+		if h.Name != a.Self.Name {
+			memberAddresses = append(memberAddresses, h.Peer)
 		}
 	}
-	return []Outgoing{{b.heads(now), message}, {members, total}}
+	return []Outgoing{{a.otherLeaderAddresses(now), message}, {memberAddresses, total}}
 }
 
-// heads gives the addresses of those who lead the other groups.
-func (b *Board) heads(now time.Time) []string {
+// otherLeaderAddresses gives the addresses of those who lead the other groups.
+func (a *Board) otherLeaderAddresses(now time.Time) []string {
 	var out []string
-	for _, p := range b.view.others {
-		out = append(out, b.until(p.hosts, now)...)
+	for _, g := range a.topology.otherGroups {
+		out = append(out, a.leaderAddresses(g.hosts, now)...)
 	}
 	return out
 }
 
-// until gives the addresses of the first in rank, and of the next as long as those
+// leaderAddresses gives the addresses of the first in rank, and of the next as long as those
 // before have not been heard to lead.
-func (b *Board) until(ranked []roster.Host, now time.Time) []string {
+func (a *Board) leaderAddresses(ranked []roster.Host, now time.Time) []string {
 	var out []string
-	for _, h := range ranked[:min(len(ranked), candidates)] {
-		if h.Name == b.Self.Name {
+	for _, h := range ranked[:min(len(ranked), leaderCandidates)] {
+		if h.Name == a.Self.Name {
 			break // this one leads, if none before does
 		}
 		out = append(out, h.Peer)
-		if now.Sub(b.leaders[h.Name]) <= freshTime {
+		if now.Sub(a.leaderSeen[h.Name]) <= leaderTimeout {
 			break
 		}
 	}
@@ -184,112 +184,112 @@
 
 // Hear takes a message. It gives the words of other regions that are newer than what
 // was known.
-func (b *Board) Hear(m Message) (far []FarWord) {
-	now := b.Clock()
-	for _, w := range m.Far {
-		if b.hearFar(w, len(m.Members) == 0, now) {
-			far = append(far, w)
+func (a *Board) Hear(m Message) (newer []FarWord) {
+	now := a.Clock()
+	for _, report := range m.Far {
+		if a.receiveRemote(report, len(m.Members) == 0, now) {
+			newer = append(newer, report)
 		}
 	}
-	b.hearReport(heard{now, m}, now)
-	return far
+	a.receiveReport(receivedMessage{now, m}, now)
+	return newer
 }
 
-// hearReport takes the report of a message.
-func (b *Board) hearReport(h heard, now time.Time) {
-	m := h.Message
-	if m.From == b.Self.Name || len(m.Members) == 0 {
+// receiveReport takes the report of a message.
+func (a *Board) receiveReport(msg receivedMessage, now time.Time) {
+	m := msg.Message
+	if m.From == a.Self.Name || len(m.Members) == 0 {
 		return
 	}
 	switch {
 	case m.Total:
-		b.leaders[m.From] = now
-		b.hearTotal(h, now)
-	case m.Group.Alone() && b.view.own.contains(m.Group):
-		b.members[m.Group.Low] = h
-	case b.view.own.overlaps(m.Group):
-		b.leaders[m.From] = now // another one sums this group
+		a.leaderSeen[m.From] = now
+		a.receiveTotal(msg, now)
+	case m.Group.Alone() && a.topology.ownGroup.contains(m.Group):
+		a.memberReports[m.Group.Low] = msg
+	case a.topology.ownGroup.overlaps(m.Group):
+		a.leaderSeen[m.From] = now // another one sums this group
 	default:
-		b.leaders[m.From] = now
-		b.hearSum(h, now)
+		a.leaderSeen[m.From] = now
+		a.receiveGroupSum(msg, now)
 	}
 }
 
-// hearTotal takes the sum of the region. Of two leaders, the one that more gateways
+// receiveTotal takes the sum of the region. Of two leaders, the one that more gateways
 // tell counts.
-func (b *Board) hearTotal(h heard, now time.Time) {
-	if !h.Group.contains(loneGroup(b.Self)) {
+func (a *Board) receiveTotal(msg receivedMessage, now time.Time) {
+	if !msg.Group.contains(singletonGroup(a.Self)) {
 		return
 	}
-	if h.From == b.total.From || !b.total.fresh(now) || len(h.Members) > len(b.total.Members) {
-		b.total = h
+	if msg.From == a.regionTotal.From || !a.regionTotal.isFresh(now) || len(msg.Members) > len(a.regionTotal.Members) {
+		a.regionTotal = msg
 	}
 }
 
-// hearSum takes the sum of another group, in place of all that it overlaps. Of two
+// receiveGroupSum takes the sum of another group, in place of all that it overlaps. Of two
 // leaders, the one that more gateways tell counts.
-func (b *Board) hearSum(h heard, now time.Time) {
-	for group, held := range b.sums {
-		if group.overlaps(h.Group) && held.From != h.From && held.fresh(now) && len(held.Members) >= len(h.Members) {
+func (a *Board) receiveGroupSum(msg receivedMessage, now time.Time) {
+	for group, known := range a.groupSums {
+		if group.overlaps(msg.Group) && known.From != msg.From && known.isFresh(now) && len(known.Members) >= len(msg.Members) {
 			return
 		}
 	}
-	for group := range b.sums {
-		if group.overlaps(h.Group) {
-			delete(b.sums, group)
+	for group := range a.groupSums {
+		if group.overlaps(msg.Group) {
+			delete(a.groupSums, group)
 		}
 	}
-	b.sums[h.Group] = h
+	a.groupSums[msg.Group] = msg
 }
 
-// hearFar takes another region's word, and tells whether it isn't older than what was
+// receiveRemote takes another region's word, and tells whether it isn't older than what was
 // known.
-func (b *Board) hearFar(w FarWord, direct bool, now time.Time) bool {
-	at := now.Add(-w.Age)
-	known, ok := b.far[w.Region]
-	if w.Region == b.Self.Region || (ok && at.Before(known.at)) {
+func (a *Board) receiveRemote(report FarWord, direct bool, now time.Time) bool {
+	receivedAt := now.Add(-report.Age)
+	known, ok := a.remote[report.Region]
+	if report.Region == a.Self.Region || (ok && receivedAt.Before(known.receivedAt)) {
 		return false
 	}
-	same := known.direct && at.Sub(known.at) < Every // it came by way of another leader as well
-	b.far[w.Region] = farHeard{at, direct || same, w}
+	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < Every // it came by way of another leader as well
+	a.remote[report.Region] = remoteReport{receivedAt, direct || sameReport, report}
 	return true
 }
 
-// farWords gives the words of other regions, to be passed on: to other leaders only those
+// remoteReports gives the words of other regions, to be passed on: to other leaders only those
 // that were heard from there, since whoever else has one was told by such a leader.
-func (b *Board) farWords(direct bool, now time.Time) []FarWord {
+func (a *Board) remoteReports(directOnly bool, now time.Time) []FarWord {
 	var out []FarWord
-	for _, f := range b.far {
-		if direct && !f.direct {
+	for _, entry := range a.remote {
+		if directOnly && !entry.direct {
 			continue
 		}
-		word := f.word
-		word.Age = now.Sub(f.at)
-		out = append(out, word)
+		report := entry.report
+		report.Age = now.Sub(entry.receivedAt)
+		out = append(out, report)
 	}
 	return out
 }
 
-// forget drops what is too old to be believed.
-func (b *Board) forget(now time.Time) {
-	for hash, h := range b.members {
-		if !h.valid(now) || !b.view.own.contains(h.Group) {
-			delete(b.members, hash)
+// expire drops what is too old to be believed.
+func (a *Board) expire(now time.Time) {
+	for hash, msg := range a.memberReports {
+		if !msg.isValid(now) || !a.topology.ownGroup.contains(msg.Group) {
+			delete(a.memberReports, hash)
 		}
 	}
-	for group, h := range b.sums {
-		if !h.valid(now) || b.view.own.overlaps(group) {
-			delete(b.sums, group)
+	for group, msg := range a.groupSums {
+		if !msg.isValid(now) || a.topology.ownGroup.overlaps(group) {
+			delete(a.groupSums, group)
 		}
 	}
-	for region, f := range b.far {
-		if now.Sub(f.at) > Life {
-			delete(b.far, region)
+	for region, entry := range a.remote {
+		if now.Sub(entry.receivedAt) > Life {
+			delete(a.remote, region)
 		}
 	}
-	for name, at := range b.leaders {
-		if now.Sub(at) > Life {
-			delete(b.leaders, name)
+	for name, seen := range a.leaderSeen {
+		if now.Sub(seen) > Life {
+			delete(a.leaderSeen, name)
 		}
 	}
 }
@@ -303,53 +303,53 @@
 }
 
 // Others gives what the other gateways of the region do.
-func (b *Board) Others() Others {
-	s, gateways := b.others()
-	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: b.view.size() - 1}
+func (a *Board) Others() Others {
+	s, gateways := a.sumOthers()
+	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: a.topology.size() - 1}
 }
 
-// others sums the newest words up, and counts whose they are.
-func (b *Board) others() (s *sum, gateways int) {
-	now := b.Clock()
+// sumOthers sums the newest words up, and counts whose they are.
+func (a *Board) sumOthers() (s *sum, gateways int) {
+	now := a.Clock()
 	s = newSum()
-	if b.total.valid(now) && len(b.total.Members) > 1+len(b.members) {
-		return b.totalOfOthers(s)
+	if a.regionTotal.isValid(now) && len(a.regionTotal.Members) > 1+len(a.memberReports) {
+		return a.totalWithoutSelf(s)
 	}
-	for _, h := range b.members {
-		gateways += b.addValid(s, h, now)
+	for _, msg := range a.memberReports {
+		gateways += a.addValid(s, msg, now)
 	}
-	for _, h := range b.sums {
-		gateways += b.addValid(s, h, now)
+	for _, msg := range a.groupSums {
+		gateways += a.addValid(s, msg, now)
 	}
 	return s, gateways
 }
 
 // addValid adds what is still believed, and gives how many gateways it is of.
-func (b *Board) addValid(s *sum, h heard, now time.Time) int {
-	if !h.valid(now) {
+func (a *Board) addValid(s *sum, msg receivedMessage, now time.Time) int {
+	if !msg.isValid(now) {
 		return 0
 	}
-	s.add(h.Report.additive(), 1)
-	return len(h.Members)
+	s.add(msg.Report.additiveFields(), 1)
+	return len(msg.Members)
 }
 
-// totalOfOthers takes this gateway's own report out of the total.
-func (b *Board) totalOfOthers(s *sum) (*sum, int) {
-	s.add(b.total.Report.additive(), 1)
-	gateways := b.total.Others + len(b.total.Members)
-	self := hashOf(b.Self.Name)
-	own := slices.IndexFunc(b.total.Members, func(m Member) bool { return m.Hash == self })
-	if own >= 0 {
+// totalWithoutSelf takes this gateway's own report out of the total.
+func (a *Board) totalWithoutSelf(s *sum) (*sum, int) {
+	s.add(a.regionTotal.Report.additiveFields(), 1)
+	gateways := a.regionTotal.Others + len(a.regionTotal.Members)
+	self := hashOf(a.Self.Name)
+	ownIndex := slices.IndexFunc(a.regionTotal.Members, func(m Member) bool { return m.Hash == self })
+	if ownIndex >= 0 {
 		gateways--
-		if number := b.total.Members[own].Number; b.number-number < remembered {
-			s.add(b.told[number%remembered].additive(), -1)
+		if number := a.regionTotal.Members[ownIndex].Number; a.lastNumber-number < reportHistory {
+			s.add(a.sentReports[number%reportHistory].additiveFields(), -1)
 		}
 	}
 	return s, gateways
 }
 
 // Leads tells whether this gateway sums its group, and how many others it sums.
-func (b *Board) Leads() (leads bool, members int) { return b.leads(b.Clock()), len(b.members) }
+func (a *Board) Leads() (leads bool, members int) { return a.isLeader(a.Clock()), len(a.memberReports) }
 
 // Few tells whether the gateways are so few that each tells all others.
-func (b *Board) Few() bool { return b.view.few }
+func (a *Board) Few() bool { return a.topology.fullMesh }
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// fewOthers is up to how many other gateways of the region each tells all of
+	// maxFullMeshPeers is up to how many other gateways of the region each tells all of
 	// them: with more, leaders cost less.
-	fewOthers = 8
-	// mostMembers is how many gateways form a group at most, but for the unevenness
+	maxFullMeshPeers = 8
+	// maxGroupSize is how many gateways form a group at most, but for the unevenness
 	// of hashes. With 100 gateways of a region it makes eight groups of twelve, near
 	// the square root, where a leader has the least to tell.
-	mostMembers = 16
-	// candidates is how many gateways of a group may lead it, one after the other.
-	candidates = 3
-	// farLeaders is how many leaders of another region are told of this one; they tell
+	maxGroupSize = 16
+	// leaderCandidates is how many gateways of a group may lead it, one after the other.
+	leaderCandidates = 3
+	// maxRemoteLeaders is how many leaders of another region are told of this one; they tell
 	// the rest there.
-	farLeaders = 3
+	maxRemoteLeaders = 3
 )
 
 // Group is the gateways of a data centre whose hashed names lie in a range, both ends
@@ -37,12 +37,12 @@
 }
 
 // contains tells whether all of another group belong to this one.
-func (g Group) contains(o Group) bool {
-	return g.DataCentre == o.DataCentre && g.Low <= o.Low && o.High <= g.High
+func (g Group) contains(other Group) bool {
+	return g.DataCentre == other.DataCentre && g.Low <= other.Low && other.High <= g.High
 }
 
-func (g Group) overlaps(o Group) bool {
-	return g.DataCentre == o.DataCentre && g.Low <= o.High && o.Low <= g.High
+func (g Group) overlaps(other Group) bool {
+	return g.DataCentre == other.DataCentre && g.Low <= other.High && other.Low <= g.High
 }
 
 // Alone tells whether the group can have one member only.
@@ -50,8 +50,8 @@
 
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// loneGroup is the group of one gateway alone.
-func loneGroup(h roster.Host) Group {
+// singletonGroup is the group of one gateway alone.
+func singletonGroup(h roster.Host) Group {
 	hash := hashOf(h.Name)
 	return Group{DataCentre: h.DataCentre, Low: hash, High: hash}
 }
@@ -60,7 +60,7 @@
 // groups is a power of two, so that the ranges of different numbers lie within each
 // other.
 func groupOf(h roster.Host, gateways int) Group {
-	halvings := bits.Len(uint(max(0, gateways-1) / mostMembers))
+	halvings := bits.Len(uint(max(0, gateways-1) / maxGroupSize))
 	width := 32 - halvings
 	low := uint32(uint64(hashOf(h.Name)) >> width << width)
 	return Group{DataCentre: h.DataCentre, Low: low, High: low + uint32(1<<width-1)}
@@ -75,81 +75,81 @@
 	return x * 0x94d049bb133111eb
 }
 
-// party is a group and its gateways, the first in rank first.
-type party struct {
+// rankedGroup is a group and its gateways, the first in rank first.
+type rankedGroup struct {
 	group Group
 	hosts []roster.Host
 }
 
-// view is a region's gateways as one of them sees them.
-type view struct {
-	few    bool          // each tells all others
-	own    Group         // of the one who sees
-	ranked []roster.Host // of the own group
-	others []party       // the region's other groups, in the order of their ranges
+// topology is a region's gateways as one of them sees them.
+type topology struct {
+	fullMesh    bool          // each tells all others
+	ownGroup    Group         // of the one who sees
+	ranked      []roster.Host // of the own group
+	otherGroups []rankedGroup // the region's other groups, in the order of their ranges
 }
 
 // size counts the region's gateways, the one who sees among them.
-func (v view) size() int {
-	n := len(v.ranked)
-	for _, p := range v.others {
-		n += len(p.hosts)
+func (t topology) size() int {
+	n := len(t.ranked)
+	for _, g := range t.otherGroups {
+		n += len(g.hosts)
 	}
 	return n
 }
 
-// newView makes the view of self on the gateways of a region, self among them or not.
-func newView(self roster.Host, hosts []roster.Host, region string) view {
-	near := []roster.Host{}
-	inCentre := map[string]int{}
+// newTopology makes the view of self on the gateways of a region, self among them or not.
+func newTopology(self roster.Host, hosts []roster.Host, region string) topology {
+	local := []roster.Host{}
+	perDataCentre := map[string]int{}
 	for _, h := range hosts {
 		if h.Region == region && h.Role == roster.RoleGateway && h.Name != self.Name {
-			near = append(near, h)
-			inCentre[h.DataCentre]++
+			local = append(local, h)
+			perDataCentre[h.DataCentre]++
 		}
 	}
 	if self.Region == region {
-		near = append(near, self)
-		inCentre[self.DataCentre]++
+		local = append(local, self)
+		perDataCentre[self.DataCentre]++
 	}
-	v := view{few: len(near)-1 <= fewOthers}
-	group := func(h roster.Host) Group {
-		if v.few {
-			return loneGroup(h)
+	t := topology{fullMesh: len(local)-1 <= maxFullMeshPeers}
+	groupFor := func(h roster.Host) Group {
+		if t.fullMesh {
+			return singletonGroup(h)
 		}
-		return groupOf(h, inCentre[h.DataCentre])
+		return groupOf(h, perDataCentre[h.DataCentre])
 	}
-	v.own = group(self)
-	parties := make(map[Group][]roster.Host)
-	for _, h := range near {
-		g := group(h)
-		parties[g] = append(parties[g], h)
+	t.ownGroup = groupFor(self)
+	byGroup := make(map[Group][]roster.Host)
+	for _, h := range local {
+		g := groupFor(h)
+		byGroup[g] = append(byGroup[g], h)
 	}
-	for g, all := range parties {
-		slices.SortFunc(all, func(a, b roster.Host) int { return cmp.Compare(g.rank(b.Name), g.rank(a.Name)) })
-		if g == v.own && self.Region == region {
-			v.ranked = all
+	for g, members := range byGroup {
+		slices.SortFunc(members, func(a, b roster.Host) int { return cmp.Compare(g.rank(b.Name), g.rank(a.Name)) })
+		if g == t.ownGroup && self.Region == region {
+			t.ranked = members
 			continue
 		}
-		v.others = append(v.others, party{g, all})
+		t.otherGroups = append(t.otherGroups, rankedGroup{g, members})
 	}
-	slices.SortFunc(v.others, func(a, b party) int {
+	slices.SortFunc(t.otherGroups, func(a, b rankedGroup) int {
 		return cmp.Or(cmp.Compare(a.group.DataCentre, b.group.DataCentre), cmp.Compare(a.group.Low, b.group.Low))
 	})
-	return v
+	return t
 }
 
 // FarLeaders gives the addresses of those gateways of another region that tell the
 // others there. They are spread over its groups, and so over its data centres.
 func FarLeaders(hosts []roster.Host, region string) []string {
-	v := newView(roster.Host{}, hosts, region)
-	most := min(len(v.others), farLeaders)
-	if v.few {
-		most = len(v.others)
+	t := newTopology(roster.Host{}, hosts, region)
+	count := min(len(t.otherGroups), maxRemoteLeaders)
+	if t.fullMesh {
+		count = len(t.otherGroups)
 	}
 	var out []string
-	for i := range most {
-		out = append(out, v.others[i*len(v.others)/most].hosts[0].Peer)
+	for i := range count {
+		out = append(out, t.otherGroups[i*len(t.otherGroups)/count].hosts[0].Peer)
 	}
 	return out
 }
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -96,30 +96,30 @@
 	Far     []FarWord `cbor:"7,keyasint,omitempty"`
 }
 
-// additive gives what adds up: the rest is news of its moment.
-func (r Report) additive() Report { return Report{Engines: r.Engines, Accounts: r.Accounts} }
+// additiveFields gives what adds up: the rest is news of its moment.
+func (r Report) additiveFields() Report { return Report{Engines: r.Engines, Accounts: r.Accounts} }
 
 // sum adds reports up.
 type sum struct {
-	loads map[uint64]EngineLoad
-	parts map[SentPart]bool
-	dead  map[uint64]bool
-	gone  map[uint64]bool
-	left  map[uint64]bool // engines that leave
-	rest  map[uint64]int  // by engine: gateways that it asked for rest
-	uses  map[uint32]AccountUse
+	loads       map[uint64]EngineLoad
+	blocks      map[SentPart]bool
+	unreachable map[uint64]bool
+	replaced    map[uint64]bool
+	draining    map[uint64]bool // engines that leave
+	backingOff  map[uint64]int  // by engine: gateways that it asked for rest
+	uses        map[uint32]AccountUse
 	// crashes are by request and engine, each as old as the one who knows it best tells.
 	crashes map[crashKey]quarantine.Note
 	limits  map[uint64]ratelimit.Note // by engine, the newest
 }
 
-// mostCrashes bounds the notes of one sum, to some 4 KB: those of twelve engines that end
+// maxCrashes bounds the notes of one sum, to some 4 KB: those of twelve engines that end
 // at once with twenty requests each. What is left out is told with one of the next.
-const mostCrashes = 256
+const maxCrashes = 256
 
-// mostLimits bounds the notes of limits in one sum, to some 4 KB. What is left out is told
+// maxLimits bounds the notes of limits in one sum, to some 4 KB. What is left out is told
 // with one of the next.
-const mostLimits = 256
+const maxLimits = 256
 
 // aged gives a report that was heard so long ago, as it is told on.
 func (r Report) aged(by time.Duration) Report {
@@ -138,83 +138,83 @@
 }
 
 // add adds a report times so many: -1 takes it away.
-func (s *sum) add(r Report, times int) {
+func (s *sum) add(r Report, factor int) {
 	for _, e := range r.Engines {
 		l := s.loads[e.Engine]
 		l.Engine = e.Engine
-		l.Requests += times * e.Requests
-		l.Unread += times * e.Unread
-		l.Held += times * e.Held
-		l.Reading += times * e.Reading
+		l.Requests += factor * e.Requests
+		l.Unread += factor * e.Unread
+		l.Held += factor * e.Held
+		l.Reading += factor * e.Reading
 		s.loads[e.Engine] = l
 	}
 	for _, a := range r.Accounts {
 		u := s.uses[a.Account]
 		u.Account = a.Account
-		u.Admitted += times * a.Admitted
-		u.Steady += times * a.Steady
-		u.Window += times * a.Window
-		u.Asked += times * a.Asked
+		u.Admitted += factor * a.Admitted
+		u.Steady += factor * a.Steady
+		u.Window += factor * a.Window
+		u.Asked += factor * a.Asked
 		s.uses[a.Account] = u
 	}
 	for _, p := range r.Parts {
-		s.parts[p] = true
+		s.blocks[p] = true
 	}
 	for _, hash := range r.Dead {
-		s.dead[hash] = true
+		s.unreachable[hash] = true
 	}
 	for _, hash := range r.Gone {
-		s.gone[hash] = true
+		s.replaced[hash] = true
 	}
 	for _, hash := range r.Leaving {
-		s.left[hash] = true
+		s.draining[hash] = true
 	}
-	for _, one := range r.Resting {
-		s.rest[one.Engine] += one.Gateways
+	for _, b := range r.Resting {
+		s.backingOff[b.Engine] += b.Gateways
 	}
 	for _, n := range r.Crashes {
 		key := crashKey{n.Request, n.Engine}
-		if held, ok := s.crashes[key]; !ok || n.Age > held.Age {
+		if known, ok := s.crashes[key]; !ok || n.Age > known.Age {
 			s.crashes[key] = n
 		}
 	}
 	for _, n := range r.Limits {
-		if held, ok := s.limits[n.Engine]; !ok || n.Age < held.Age {
+		if known, ok := s.limits[n.Engine]; !ok || n.Age < known.Age {
 			s.limits[n.Engine] = n
 		}
 	}
 }
 
 func (s *sum) report() Report {
-	r := Report{Engines: make([]EngineLoad, 0, len(s.loads)), Parts: make([]SentPart, 0, len(s.parts))}
+	r := Report{Engines: make([]EngineLoad, 0, len(s.loads)), Parts: make([]SentPart, 0, len(s.blocks))}
 	for _, l := range s.loads {
 		r.Engines = append(r.Engines, l)
 	}
-	for p := range s.parts {
+	for p := range s.blocks {
 		r.Parts = append(r.Parts, p)
 	}
-	for hash := range s.dead {
+	for hash := range s.unreachable {
 		r.Dead = append(r.Dead, hash)
 	}
-	for hash := range s.gone {
+	for hash := range s.replaced {
 		r.Gone = append(r.Gone, hash)
 	}
-	for hash := range s.left {
+	for hash := range s.draining {
 		r.Leaving = append(r.Leaving, hash)
 	}
-	for hash, gateways := range s.rest {
+	for hash, gateways := range s.backingOff {
 		r.Resting = append(r.Resting, Resting{Engine: hash, Gateways: gateways})
 	}
 	for _, u := range s.uses {
 		r.Accounts = append(r.Accounts, u)
 	}
 	for _, n := range s.crashes {
-		if len(r.Crashes) < mostCrashes {
+		if len(r.Crashes) < maxCrashes {
 			r.Crashes = append(r.Crashes, n)
 		}
 	}
 	for _, n := range s.limits {
-		if len(r.Limits) < mostLimits {
+		if len(r.Limits) < maxLimits {
 			r.Limits = append(r.Limits, n)
 		}
 	}
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -14,17 +14,17 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// region is the gateways of one region, whose messages take one step of virtual time
+// testRegion is the gateways of one region, whose messages take one step of virtual time
 // each way.
-type region struct {
-	now     time.Time
-	hosts   []roster.Host
-	boards  map[string]*rollup.Board // by address
-	loads   map[string]int           // requests of each gateway, by address
-	silent  map[string]bool          // neither tells nor hears
-	cut     func(from, to string) bool
-	bytes   map[string]int // sent and received, by address
-	engines int            // that each gateway uses beside
+type testRegion struct {
+	now          time.Time
+	hosts        []roster.Host
+	aggregators  map[string]*rollup.Board // by address
+	loads        map[string]int           // requests of each gateway, by address
+	down         map[string]bool          // neither tells nor hears
+	dropped      func(from, to string) bool
+	bytes        map[string]int // sent and received, by address
+	extraEngines int            // that each gateway uses beside
 }
 
 const (
@@ -32,47 +32,47 @@
 	engine = 42 // the one that all send to
 )
 
-// newRegion makes so many gateways in two data centres.
-func newRegion(gateways int) *region {
-	r := &region{
-		now: time.Unix(1000, 0), boards: make(map[string]*rollup.Board), loads: make(map[string]int),
-		silent: make(map[string]bool), cut: func(string, string) bool { return false }, bytes: make(map[string]int),
+// newTestRegion makes so many gateways in two data centres.
+func newTestRegion(gateways int) *testRegion {
+	r := &testRegion{
+		now: time.Unix(1000, 0), aggregators: make(map[string]*rollup.Board), loads: make(map[string]int),
+		down: make(map[string]bool), dropped: func(string, string) bool { return false }, bytes: make(map[string]int),
 	}
 	for i := range gateways {
 		name := fmt.Sprintf("gateway-%03d", i)
 		r.hosts = append(r.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "here", DataCentre: fmt.Sprint("dc", i%2), Peer: name})
 	}
 	for _, h := range r.hosts {
-		r.boards[h.Peer] = rollup.New(rollup.Deps{Self: h, Hosts: func() []roster.Host { return r.hosts }, Clock: func() time.Time { return r.now }})
+		r.aggregators[h.Peer] = rollup.New(rollup.Deps{Self: h, Hosts: func() []roster.Host { return r.hosts }, Clock: func() time.Time { return r.now }})
 	}
 	return r
 }
 
-// pass lets the gateways tell, each at its own time of the period.
-func (r *region) pass(d time.Duration) {
+// advance lets the gateways tell, each at its own time of the period.
+func (r *testRegion) advance(d time.Duration) {
 	for until := r.now.Add(d); r.now.Before(until); r.now = r.now.Add(step) {
-		turn := int(r.now.UnixNano()/int64(step)) % int(rollup.Every/step)
+		slot := int(r.now.UnixNano()/int64(step)) % int(rollup.Every/step)
 		for i, h := range r.hosts {
-			if i%int(rollup.Every/step) == turn && !r.silent[h.Peer] {
-				r.tell(h.Peer)
+			if i%int(rollup.Every/step) == slot && !r.down[h.Peer] {
+				r.sendReport(h.Peer)
 			}
 		}
 	}
 }
 
-func (r *region) tell(from string) {
+func (r *testRegion) sendReport(from string) {
 	report := rollup.Report{Engines: []rollup.EngineLoad{{Engine: engine, Requests: r.loads[from]}}}
-	for i := range r.engines {
+	for i := range r.extraEngines {
 		report.Engines = append(report.Engines, rollup.EngineLoad{Engine: math.MaxUint64 - uint64(i+len(from)*int(from[len(from)-1]))%72, Requests: 1, Unread: 3000, Held: 9000, Reading: 9000})
 	}
-	for _, out := range r.boards[from].Tell(report) {
+	for _, out := range r.aggregators[from].Tell(report) {
 		data, err := cbor.Marshal(out.Message)
 		if err != nil {
 			panic(err)
 		}
 		for _, to := range out.To {
 			r.bytes[from] += len(data)
-			if r.boards[to] == nil || r.silent[to] || r.cut(from, to) {
+			if r.aggregators[to] == nil || r.down[to] || r.dropped(from, to) {
 				continue
 			}
 			r.bytes[to] += len(data)
@@ -80,56 +80,56 @@
 			if err := cbor.Unmarshal(data, &m); err != nil {
 				panic(err)
 			}
-			r.boards[to].Hear(m)
+			r.aggregators[to].Hear(m)
 		}
 	}
 }
 
-// known gives how many requests of others a gateway knows.
-func (r *region) known(at string) int {
-	return r.boards[at].Others().Loads[engine].Requests
+// peerRequests gives how many requests of others a gateway knows.
+func (r *testRegion) peerRequests(gateway string) int {
+	return r.aggregators[gateway].Others().Loads[engine].Requests
 }
 
 // leaders lists the gateways that sum their groups.
-func (r *region) leaders() []string {
+func (r *testRegion) leaders() []string {
 	var out []string
 	for _, h := range r.hosts {
-		if leads, _ := r.boards[h.Peer].Leads(); leads && !r.silent[h.Peer] {
+		if leads, _ := r.aggregators[h.Peer].Leads(); leads && !r.down[h.Peer] {
 			out = append(out, h.Peer)
 		}
 	}
 	return out
 }
 
-// wantKnown checks that every gateway that isn't silent knows what the others do.
-func (r *region) wantKnown(t *testing.T, note string) {
+// checkPeerRequests checks that every gateway that isn't silent knows what the others do.
+func (r *testRegion) checkPeerRequests(t *testing.T, note string) {
 	t.Helper()
 	for _, h := range r.hosts {
 		want := 0
 		for peer, load := range r.loads {
-			if peer != h.Peer && !r.silent[peer] {
+			if peer != h.Peer && !r.down[peer] {
 				want += load
 			}
 		}
-		if !r.silent[h.Peer] {
-			must.Eq(t, want, r.known(h.Peer), must.Sprintf("%s: known at %s", note, h.Peer))
+		if !r.down[h.Peer] {
+			must.Eq(t, want, r.peerRequests(h.Peer), must.Sprintf("%s: known at %s", note, h.Peer))
 		}
 	}
 }
 
-// TestLoadIsKnownWithinThreeTenths changes one gateway's load at any number of
+// TestLoadReachesAllGatewaysWithin300ms changes one gateway's load at any number of
 // gateways: 0.3 s and the way later all know it, and nothing twice.
-func TestLoadIsKnownWithinThreeTenths(t *testing.T) {
+func TestLoadReachesAllGatewaysWithin300ms(t *testing.T) {
 	for _, n := range []int{2, 9, 10, 17, 50, 100, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := newRegion(n)
+			r := newTestRegion(n)
 			r.loads[r.hosts[n/2].Peer] = 3
 			r.loads[r.hosts[0].Peer] = 2
-			r.pass(time.Second)
-			r.wantKnown(t, "at rest")
+			r.advance(time.Second)
+			r.checkPeerRequests(t, "at rest")
 			r.loads[r.hosts[n/2].Peer] = 8
-			r.pass(300 * time.Millisecond)
-			r.wantKnown(t, "after a change")
+			r.advance(300 * time.Millisecond)
+			r.checkPeerRequests(t, "after a change")
 		})
 	}
 }
@@ -138,94 +138,94 @@
 // gateways still names: 0.4 s later what others do is counted again, once.
 func TestALostLeaderIsReplaced(t *testing.T) {
 	for _, n := range []int{20, 100, 200} {
-		r := newRegion(n)
+		r := newTestRegion(n)
 		for _, h := range r.hosts {
 			r.loads[h.Peer] = 1
 		}
-		r.pass(time.Second)
+		r.advance(time.Second)
 		leaders := r.leaders()
 		must.Positive(t, len(leaders))
-		r.silent[leaders[0]] = true
-		r.pass(rollup.Life + 300*time.Millisecond)
-		r.wantKnown(t, "without its leader")
-		r.silent[leaders[0]] = false
-		r.pass(time.Second)
-		r.wantKnown(t, "when the leader is back")
+		r.down[leaders[0]] = true
+		r.advance(rollup.Life + 300*time.Millisecond)
+		r.checkPeerRequests(t, "without its leader")
+		r.down[leaders[0]] = false
+		r.advance(time.Second)
+		r.checkPeerRequests(t, "when the leader is back")
 		must.Eq(t, leaders, r.leaders())
 	}
 }
 
-// TestNothingCountsTwice kills a leader, lets it come back, and changes the list of
+// TestNoReportIsCountedTwice kills a leader, lets it come back, and changes the list of
 // gateways so that groups are halved and joined: at no time does anybody count more
 // than there is.
-func TestNothingCountsTwice(t *testing.T) {
-	r := newRegion(70)
+func TestNoReportIsCountedTwice(t *testing.T) {
+	r := newTestRegion(70)
 	all := r.hosts
 	for _, h := range all {
 		r.loads[h.Peer] = 1
 	}
-	r.pass(time.Second)
-	never := func(note string) {
+	r.advance(time.Second)
+	checkNoOvercount := func(note string) {
 		for range 10 {
-			r.pass(100 * time.Millisecond)
+			r.advance(100 * time.Millisecond)
 			for _, h := range r.hosts {
-				must.LessEq(t, len(all)-1, r.known(h.Peer), must.Sprintf("%s: at %s", note, h.Peer))
+				must.LessEq(t, len(all)-1, r.peerRequests(h.Peer), must.Sprintf("%s: at %s", note, h.Peer))
 			}
 		}
 	}
 	leader := r.leaders()[0]
-	r.silent[leader] = true
-	never("a leader is lost")
-	r.silent[leader] = false
-	never("it is back")
+	r.down[leader] = true
+	checkNoOvercount("a leader is lost")
+	r.down[leader] = false
+	checkNoOvercount("it is back")
 	r.hosts = all[:60] // another number of groups
-	never("ten hosts are off the list")
+	checkNoOvercount("ten hosts are off the list")
 	r.hosts = all[:8]
-	never("few are left")
+	checkNoOvercount("few are left")
 	r.hosts = all
-	never("all are back")
-	r.wantKnown(t, "at the end")
+	checkNoOvercount("all are back")
+	r.checkPeerRequests(t, "at the end")
 }
 
-// TestDataCentresApartKnowThemselves cuts the two data centres from each other.
-func TestDataCentresApartKnowThemselves(t *testing.T) {
-	r := newRegion(60)
+// TestPartitionedDataCentresSumTheirOwnGateways cuts the two data centres from each other.
+func TestPartitionedDataCentresSumTheirOwnGateways(t *testing.T) {
+	r := newTestRegion(60)
 	centre := map[string]string{}
 	for _, h := range r.hosts {
 		r.loads[h.Peer] = 1
 		centre[h.Peer] = h.DataCentre
 	}
-	r.cut = func(from, to string) bool { return centre[from] != centre[to] }
-	r.pass(time.Second)
+	r.dropped = func(from, to string) bool { return centre[from] != centre[to] }
+	r.advance(time.Second)
 	for _, h := range r.hosts {
-		must.Eq(t, 29, r.known(h.Peer))
+		must.Eq(t, 29, r.peerRequests(h.Peer))
 	}
-	r.cut = func(string, string) bool { return false }
-	r.pass(time.Second)
-	r.wantKnown(t, "joined again")
+	r.dropped = func(string, string) bool { return false }
+	r.advance(time.Second)
+	r.checkPeerRequests(t, "joined again")
 }
 
-// TestAMemberThatReachesOnlyItsNextLeaderIsServed cuts one gateway off its leader.
-func TestAMemberThatReachesOnlyItsNextLeaderIsServed(t *testing.T) {
-	r := newRegion(100)
+// TestMemberWithoutItsLeaderUsesTheNextCandidate cuts one gateway off its leader.
+func TestMemberWithoutItsLeaderUsesTheNextCandidate(t *testing.T) {
+	r := newTestRegion(100)
 	for _, h := range r.hosts {
 		r.loads[h.Peer] = 1
 	}
-	r.pass(time.Second)
+	r.advance(time.Second)
 	leaders := r.leaders()
 	member := r.hosts[0].Peer
-	r.cut = func(from, to string) bool {
+	r.dropped = func(from, to string) bool {
 		return (from == member && to == leaders[0]) || (to == member && from == leaders[0])
 	}
-	r.pass(time.Second)
-	must.Greater(t, 70, r.known(member))
-	must.LessEq(t, 99, r.known(member))
+	r.advance(time.Second)
+	must.Greater(t, 70, r.peerRequests(member))
+	must.LessEq(t, 99, r.peerRequests(member))
 }
 
-// TestAnotherRegionsWordReachesAll gives it to the few who are told.
-func TestAnotherRegionsWordReachesAll(t *testing.T) {
-	r := newRegion(100)
-	r.pass(500 * time.Millisecond)
+// TestRemoteReportReachesAllGateways gives it to the few who are told.
+func TestRemoteReportReachesAllGateways(t *testing.T) {
+	r := newTestRegion(100)
+	r.advance(500 * time.Millisecond)
 	to := rollup.FarLeaders(r.hosts, "here")
 	must.SliceLen(t, 3, to)
 	centres := map[string]bool{}
@@ -235,42 +235,42 @@
 		}
 	}
 	must.MapLen(t, 2, centres, must.Sprint("the loss of a data centre leaves one of them"))
-	word := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
+	report := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
 	for _, peer := range to {
-		must.SliceLen(t, 1, r.boards[peer].Hear(word))
+		must.SliceLen(t, 1, r.aggregators[peer].Hear(report))
 	}
-	heard := map[string]int{}
+	received := map[string]int{}
 	for range 3 {
 		for _, h := range r.hosts {
-			for _, out := range r.boards[h.Peer].Tell(rollup.Report{}) {
+			for _, out := range r.aggregators[h.Peer].Tell(rollup.Report{}) {
 				for _, peer := range out.To {
-					heard[peer] += len(r.boards[peer].Hear(out.Message))
+					received[peer] += len(r.aggregators[peer].Hear(out.Message))
 				}
 			}
 		}
 		r.now = r.now.Add(rollup.Every)
 	}
 	for _, h := range r.hosts {
-		must.Positive(t, heard[h.Peer], must.Sprint(h.Peer))
+		must.Positive(t, received[h.Peer], must.Sprint(h.Peer))
 	}
 }
 
-// TestBytesHardlyGrow bounds what each gateway sends and receives in a second with
+// TestBytesGrowSublinearly bounds what each gateway sends and receives in a second with
 // reports of eight engines of 72.
-func TestBytesHardlyGrow(t *testing.T) {
-	most := func(n int) int {
-		r := newRegion(n)
-		r.engines = 8
-		r.pass(time.Second)
+func TestBytesGrowSublinearly(t *testing.T) {
+	maxBytes := func(n int) int {
+		r := newTestRegion(n)
+		r.extraEngines = 8
+		r.advance(time.Second)
 		clear(r.bytes)
-		r.pass(time.Second)
+		r.advance(time.Second)
 		highest := 0
 		for _, bytes := range r.bytes {
 			highest = max(highest, bytes)
 		}
 		return highest
 	}
-	must.Less(t, 3*most(30), most(200), must.Sprint("200 gateways, against 30"))
+	must.Less(t, 3*maxBytes(30), maxBytes(200), must.Sprint("200 gateways, against 30"))
 }
 
 // BenchmarkBytes gives what the busiest and the usual gateway send and receive in a
@@ -281,13 +281,13 @@
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := newRegion(n)
-			r.engines = 8
-			r.pass(time.Second)
+			r := newTestRegion(n)
+			r.extraEngines = 8
+			r.advance(time.Second)
 			clear(r.bytes)
 			b.ResetTimer()
 			for range b.N {
-				r.pass(time.Second)
+				r.advance(time.Second)
 			}
 			highest, sum := 0, 0
 			for _, bytes := range r.bytes {
