--- a/rollup/board.go
+++ b/rollup/board.go
@@ -14,9 +14,9 @@
 	// Every is how often gateways tell. Three steps lie between what a gateway does
 	// and what any other knows, so that all is known 0.3 s old or less.
 	Every = 100 * time.Millisecond
-	// Life is how long what was heard is believed: it comes six times within it, and
+	// ReportTTL is how long what was heard is believed: it comes six times within it, and
 	// datagrams are lost now and then.
-	Life = 600 * time.Millisecond
+	ReportTTL = 600 * time.Millisecond
 	// leaderTimeout is how long ago a leader must have been heard for nobody else to be
 	// told: with one message lost and one late it still is.
 	leaderTimeout = 280 * time.Millisecond
@@ -24,7 +24,7 @@
 	// groups takes 80 us. A leader that is gone is replaced sooner.
 	topologyInterval = 500 * time.Millisecond
 	// reportHistory is how many of its own reports a gateway remembers, to take them out
-	// of sums that hold them: a report is in sums that are believed for up to Life
+	// of sums that hold them: a report is in sums that are believed for up to ReportTTL
 	// after it was told up to 0.2 s before.
 	reportHistory = 10
 )
@@ -57,7 +57,7 @@
 }
 
 func (m receivedMessage) isFresh(now time.Time) bool { return now.Sub(m.receivedAt) <= leaderTimeout }
-func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= Life }
+func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= ReportTTL }
 
 type remoteReport struct {
 	receivedAt time.Time
@@ -97,7 +97,7 @@
 	a.sentReports[a.lastNumber%reportHistory] = own
 	self := Message{
 		From: a.Self.Name, Group: singletonGroup(a.Self), Report: own,
-		Members: []Member{{Hash: hashOf(a.Self.Name), Number: a.lastNumber}},
+		Members: []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}},
 	}
 	if a.topology.fullMesh {
 		return []Outgoing{{a.otherLeaderAddresses(now), self}}
@@ -134,7 +134,7 @@
 	groupSum := newSum()
 	groupSum.add(own, 1)
 	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Far: a.remoteReports(true, now)}
-	message.Members = []Member{{Hash: hashOf(a.Self.Name), Number: a.lastNumber}}
+	message.Members = []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}}
 	for _, m := range a.memberReports {
 		groupSum.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
 		message.Members = append(message.Members, m.Members...)
@@ -145,7 +145,7 @@
 	total.Far = a.remoteReports(false, now)
 	for _, s := range a.groupSums {
 		groupSum.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
-		total.Others += len(s.Members)
+		total.OtherGateways += len(s.Members)
 	}
 	total.Report = groupSum.report()
 	var memberAddresses []string
@@ -205,7 +205,7 @@
 	case m.Total:
 		a.leaderSeen[m.From] = now
 		a.receiveTotal(msg, now)
-	case m.Group.Alone() && a.topology.ownGroup.contains(m.Group):
+	case m.Group.IsSingleton() && a.topology.ownGroup.contains(m.Group):
 		a.memberReports[m.Group.Low] = msg
 	case a.topology.ownGroup.overlaps(m.Group):
 		a.leaderSeen[m.From] = now // another one sums this group
@@ -283,12 +283,12 @@
 		}
 	}
 	for region, entry := range a.remote {
-		if now.Sub(entry.receivedAt) > Life {
+		if now.Sub(entry.receivedAt) > ReportTTL {
 			delete(a.remote, region)
 		}
 	}
 	for name, seen := range a.leaderSeen {
-		if now.Sub(seen) > Life {
+		if now.Sub(seen) > ReportTTL {
 			delete(a.leaderSeen, name)
 		}
 	}
@@ -336,12 +336,12 @@
 // totalWithoutSelf takes this gateway's own report out of the total.
 func (a *Board) totalWithoutSelf(s *sum) (*sum, int) {
 	s.add(a.regionTotal.Report.additiveFields(), 1)
-	gateways := a.regionTotal.Others + len(a.regionTotal.Members)
+	gateways := a.regionTotal.OtherGateways + len(a.regionTotal.Members)
 	self := hashOf(a.Self.Name)
-	ownIndex := slices.IndexFunc(a.regionTotal.Members, func(m Member) bool { return m.Hash == self })
+	ownIndex := slices.IndexFunc(a.regionTotal.Members, func(m Member) bool { return m.NameHash == self })
 	if ownIndex >= 0 {
 		gateways--
-		if number := a.regionTotal.Members[ownIndex].Number; a.lastNumber-number < reportHistory {
+		if number := a.regionTotal.Members[ownIndex].ReportNumber; a.lastNumber-number < reportHistory {
 			s.add(a.sentReports[number%reportHistory].additiveFields(), -1)
 		}
 	}
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -45,8 +45,8 @@
 	return g.DataCentre == other.DataCentre && g.Low <= other.High && other.Low <= g.High
 }
 
-// Alone tells whether the group can have one member only.
-func (g Group) Alone() bool { return g.Low == g.High }
+// IsSingleton tells whether the group can have one member only.
+func (g Group) IsSingleton() bool { return g.Low == g.High }
 
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -67,9 +67,9 @@
 
 // Member says which report of a gateway is in a sum.
 type Member struct {
-	_      struct{} `cbor:",toarray"`
-	Hash   uint32   // of its name
-	Number uint32   // of its report
+	_            struct{} `cbor:",toarray"`
+	NameHash     uint32   // of its name
+	ReportNumber uint32   // of its report
 }
 
 // FarWord is what another region tells of itself, as it is passed on.
@@ -87,13 +87,13 @@
 // region to the members of a group; or, where From is a gateway of another region, just
 // its word.
 type Message struct {
-	From    string    `cbor:"1,keyasint"`
-	Group   Group     `cbor:"2,keyasint"`
-	Members []Member  `cbor:"3,keyasint,omitempty"` // of the group that the report holds
-	Total   bool      `cbor:"4,keyasint,omitempty"` // the report is of the whole region
-	Others  int       `cbor:"5,keyasint,omitempty"` // gateways of other groups that a total holds
-	Report  Report    `cbor:"6,keyasint,omitempty"`
-	Far     []FarWord `cbor:"7,keyasint,omitempty"`
+	From          string    `cbor:"1,keyasint"`
+	Group         Group     `cbor:"2,keyasint"`
+	Members       []Member  `cbor:"3,keyasint,omitempty"` // of the group that the report holds
+	Total         bool      `cbor:"4,keyasint,omitempty"` // the report is of the whole region
+	OtherGateways int       `cbor:"5,keyasint,omitempty"` // gateways of other groups that a total holds
+	Report        Report    `cbor:"6,keyasint,omitempty"`
+	Far           []FarWord `cbor:"7,keyasint,omitempty"`
 }
 
 // additiveFields gives what adds up: the rest is news of its moment.
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -146,7 +146,7 @@
 		leaders := r.leaders()
 		must.Positive(t, len(leaders))
 		r.down[leaders[0]] = true
-		r.advance(rollup.Life + 300*time.Millisecond)
+		r.advance(rollup.ReportTTL + 300*time.Millisecond)
 		r.checkPeerRequests(t, "without its leader")
 		r.down[leaders[0]] = false
 		r.advance(time.Second)
