--- a/rollup/board.go
+++ b/rollup/board.go
@@ -1,4 +1,4 @@
-// This file defines what one gateway has heard, and what it tells.
+// This file defines the state that one gateway has received, and the messages that it sends.
 
 package rollup
 
@@ -9,48 +9,50 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// Timing of the telling.
+// Intervals and timeouts of the exchange.
 const (
-	// Every is how often gateways tell. Three steps lie between what a gateway does
-	// and what any other knows, so that all is known 0.3 s old or less.
+	// Every is the interval at which gateways send reports. A report takes up to three
+	// hops, one interval each, so that no gateway's data is older than 0.3 s.
 	Every = 100 * time.Millisecond
-	// ReportTTL is how long what was heard is believed: it comes six times within it, and
-	// datagrams are lost now and then.
+	// ReportTTL is how long a received report counts. Six reports arrive within it, so
+	// that the loss of single datagrams does no harm.
 	ReportTTL = 600 * time.Millisecond
-	// leaderTimeout is how long ago a leader must have been heard for nobody else to be
-	// told: with one message lost and one late it still is.
+	// leaderTimeout is how long after the last message from a leader the next candidate
+	// is sent reports too. One lost and one late message don't exceed it.
 	leaderTimeout = 280 * time.Millisecond
-	// topologyInterval is how often the list of gateways is looked at: to sort 300 into
-	// groups takes 80 us. A leader that is gone is replaced sooner.
+	// topologyInterval is how often the groups are computed from the list of gateways;
+	// sorting 300 gateways into groups takes 80 us. The replacement of a lost leader
+	// doesn't wait for it.
 	topologyInterval = 500 * time.Millisecond
-	// reportHistory is how many of its own reports a gateway remembers, to take them out
-	// of sums that hold them: a report is in sums that are believed for up to ReportTTL
-	// after it was told up to 0.2 s before.
+	// reportHistory is how many of its own reports a gateway retains, to subtract them
+	// from sums that include them. A report reaches a sum up to 0.2 s after it was sent,
+	// and the sum counts for up to ReportTTL: eight intervals.
 	reportHistory = 10
 )
 
-// Deps are what a Board needs.
+// Deps are the dependencies of a Board.
 type Deps struct {
 	Self  roster.Host          // name, region, data centre and address of this gateway
-	Hosts func() []roster.Host // the gateways that are in touch, of all regions
+	Hosts func() []roster.Host // gateways of all regions that have a live heartbeat
 	Clock func() time.Time
 }
 
-// Board holds what was heard. It isn't safe for concurrent use. New makes one.
+// Board holds the reports that one gateway has received and computes the messages that
+// it sends. It isn't safe for concurrent use. New makes one.
 type Board struct {
 	Deps
 	topology      topology
 	topologyAt    time.Time
 	lastNumber    uint32
-	sentReports   [reportHistory]Report      // by number
-	memberReports map[uint32]receivedMessage // of the own group, by their hashes
+	sentReports   [reportHistory]Report      // own reports, by number modulo reportHistory
+	memberReports map[uint32]receivedMessage // of the own group, by the hash of the sender's name
 	groupSums     map[Group]receivedMessage  // of other groups
 	regionTotal   receivedMessage
-	leaderSeen    map[string]time.Time    // when each leader was last heard
+	leaderSeen    map[string]time.Time    // time of the last message from each leader, by name
 	remote        map[string]remoteReport // by region
 }
 
-// receivedMessage is a message and when it came.
+// receivedMessage is a message with its time of arrival.
 type receivedMessage struct {
 	receivedAt time.Time
 	Message
@@ -59,19 +61,20 @@
 func (m receivedMessage) isFresh(now time.Time) bool { return now.Sub(m.receivedAt) <= leaderTimeout }
 func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= ReportTTL }
 
+// remoteReport is the latest report of another region.
 type remoteReport struct {
-	receivedAt time.Time
-	direct     bool // heard from that region itself
+	receivedAt time.Time // when it reached this region
+	direct     bool      // received from that region itself, not through another gateway here
 	report     FarWord
 }
 
-// Outgoing is a message and the addresses that it goes to.
+// Outgoing is a message with the peer addresses of its recipients.
 type Outgoing struct {
 	To      []string
 	Message Message
 }
 
-// New makes a board that has heard nothing.
+// New makes a Board that has received nothing yet.
 func New(deps Deps) *Board {
 	return &Board{
 		Deps: deps, memberReports: make(map[uint32]receivedMessage), groupSums: make(map[Group]receivedMessage),
@@ -79,14 +82,14 @@
 	}
 }
 
-// refreshTopology takes over the list of gateways.
+// refreshTopology recomputes the groups from the current list of gateways.
 func (a *Board) refreshTopology() {
 	a.topologyAt = a.Clock()
 	a.topology = newTopology(a.Self, a.Hosts(), a.Self.Region)
 }
 
-// Tell gives the messages that are due, with this gateway's own report. It is called
-// each Every.
+// Tell returns the messages that are due, including this gateway's own report. The owner
+// calls it once every Every.
 func (a *Board) Tell(own Report) []Outgoing {
 	now := a.Clock()
 	if now.Sub(a.topologyAt) >= topologyInterval {
@@ -112,8 +115,9 @@
 	return out
 }
 
-// isLeader tells whether this gateway sums its group: it has been told reports, or
-// nobody before it in rank has been heard to lead.
+// isLeader reports whether this gateway sums its group: it has received reports of
+// members, or it is a candidate and none of higher rank has sent a sum within
+// leaderTimeout.
 func (a *Board) isLeader(now time.Time) bool {
 	if a.topology.fullMesh || len(a.memberReports) > 0 {
 		return !a.topology.fullMesh
@@ -129,7 +133,8 @@
 	return false
 }
 
-// leaderMessages gives the messages of a leader.
+// leaderMessages returns the messages that a leader sends: the sum of its group to the
+// other leaders, and the sum of the region to its members.
 func (a *Board) leaderMessages(own Report, now time.Time) []Outgoing {
 	groupSum := newSum()
 	groupSum.add(own, 1)
@@ -157,7 +162,7 @@
 	return []Outgoing{{a.otherLeaderAddresses(now), message}, {memberAddresses, total}}
 }
 
-// otherLeaderAddresses gives the addresses of those who lead the other groups.
+// otherLeaderAddresses returns the addresses of the leaders of the other groups.
 func (a *Board) otherLeaderAddresses(now time.Time) []string {
 	var out []string
 	for _, g := range a.topology.otherGroups {
@@ -166,13 +171,13 @@
 	return out
 }
 
-// leaderAddresses gives the addresses of the first in rank, and of the next as long as those
-// before have not been heard to lead.
+// leaderAddresses returns the address of the group's highest-ranked candidate, and those
+// of the next ones up to the first that has sent a message as leader within leaderTimeout.
 func (a *Board) leaderAddresses(ranked []roster.Host, now time.Time) []string {
 	var out []string
 	for _, h := range ranked[:min(len(ranked), leaderCandidates)] {
 		if h.Name == a.Self.Name {
-			break // this one leads, if none before does
+			break // this gateway leads if no candidate before it does
 		}
 		out = append(out, h.Peer)
 		if now.Sub(a.leaderSeen[h.Name]) <= leaderTimeout {
@@ -182,8 +187,8 @@
 	return out
 }
 
-// Hear takes a message. It gives the words of other regions that are newer than what
-// was known.
+// Hear applies a received message. It returns the reports of other regions that are newer than
+// those received before.
 func (a *Board) Hear(m Message) (newer []FarWord) {
 	now := a.Clock()
 	for _, report := range m.Far {
@@ -195,7 +200,7 @@
 	return newer
 }
 
-// receiveReport takes the report of a message.
+// receiveReport applies the report of a message.
 func (a *Board) receiveReport(msg receivedMessage, now time.Time) {
 	m := msg.Message
 	if m.From == a.Self.Name || len(m.Members) == 0 {
@@ -208,15 +213,15 @@
 	case m.Group.IsSingleton() && a.topology.ownGroup.contains(m.Group):
 		a.memberReports[m.Group.Low] = msg
 	case a.topology.ownGroup.overlaps(m.Group):
-		a.leaderSeen[m.From] = now // another one sums this group
+		a.leaderSeen[m.From] = now // another gateway sums this group too
 	default:
 		a.leaderSeen[m.From] = now
 		a.receiveGroupSum(msg, now)
 	}
 }
 
-// receiveTotal takes the sum of the region. Of two leaders, the one that more gateways
-// tell counts.
+// receiveTotal applies the sum of the region. If two leaders send one, the one that
+// covers more members of the group wins.
 func (a *Board) receiveTotal(msg receivedMessage, now time.Time) {
 	if !msg.Group.contains(singletonGroup(a.Self)) {
 		return
@@ -226,8 +231,8 @@
 	}
 }
 
-// receiveGroupSum takes the sum of another group, in place of all that it overlaps. Of two
-// leaders, the one that more gateways tell counts.
+// receiveGroupSum applies the sum of another group and replaces every sum that it
+// overlaps. If two leaders send one, the one that covers more members wins.
 func (a *Board) receiveGroupSum(msg receivedMessage, now time.Time) {
 	for group, known := range a.groupSums {
 		if group.overlaps(msg.Group) && known.From != msg.From && known.isFresh(now) && len(known.Members) >= len(msg.Members) {
@@ -242,21 +247,22 @@
 	a.groupSums[msg.Group] = msg
 }
 
-// receiveRemote takes another region's word, and tells whether it isn't older than what was
-// known.
+// receiveRemote applies another region's report and reports whether it was accepted: it
+// must not be older than the last one.
 func (a *Board) receiveRemote(report FarWord, direct bool, now time.Time) bool {
 	receivedAt := now.Add(-report.Age)
 	known, ok := a.remote[report.Region]
 	if report.Region == a.Self.Region || (ok && receivedAt.Before(known.receivedAt)) {
 		return false
 	}
-	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < Every // it came by way of another leader as well
+	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < Every // forwarded by another leader as well
 	a.remote[report.Region] = remoteReport{receivedAt, direct || sameReport, report}
 	return true
 }
 
-// remoteReports gives the words of other regions, to be passed on: to other leaders only those
-// that were heard from there, since whoever else has one was told by such a leader.
+// remoteReports returns the reports of other regions to forward. Other leaders get only
+// those that came directly from that region: a report that came through another leader
+// has been sent to them by that one.
 func (a *Board) remoteReports(directOnly bool, now time.Time) []FarWord {
 	var out []FarWord
 	for _, entry := range a.remote {
@@ -270,7 +276,7 @@
 	return out
 }
 
-// expire drops what is too old to be believed.
+// expire drops reports and leaders that were last heard from too long ago.
 func (a *Board) expire(now time.Time) {
 	for hash, msg := range a.memberReports {
 		if !msg.isValid(now) || !a.topology.ownGroup.contains(msg.Group) {
@@ -294,21 +300,21 @@
 	}
 }
 
-// Others is what the other gateways of a region do.
+// Others is the sum of what the other gateways of the region do.
 type Others struct {
 	Loads    map[uint64]EngineLoad // by the hash of the engine's incarnation
 	Accounts map[uint32]AccountUse // by the hash of the account's name
-	Gateways int                   // that are in it
-	Alive    int                   // that there are, as far as the list of gateways tells
+	Gateways int                   // gateways whose reports are included
+	Alive    int                   // other gateways in the list of gateways
 }
 
-// Others gives what the other gateways of the region do.
+// Others returns the sum of what the other gateways of the region do.
 func (a *Board) Others() Others {
 	s, gateways := a.sumOthers()
 	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: a.topology.size() - 1}
 }
 
-// sumOthers sums the newest words up, and counts whose they are.
+// sumOthers sums the latest valid reports, and counts the gateways that they cover.
 func (a *Board) sumOthers() (s *sum, gateways int) {
 	now := a.Clock()
 	s = newSum()
@@ -324,7 +330,8 @@
 	return s, gateways
 }
 
-// addValid adds what is still believed, and gives how many gateways it is of.
+// addValid adds a message's report unless it has expired, and returns the number of
+// gateways that it covers.
 func (a *Board) addValid(s *sum, msg receivedMessage, now time.Time) int {
 	if !msg.isValid(now) {
 		return 0
@@ -333,7 +340,7 @@
 	return len(msg.Members)
 }
 
-// totalWithoutSelf takes this gateway's own report out of the total.
+// totalWithoutSelf adds the region's total to s, without this gateway's own report.
 func (a *Board) totalWithoutSelf(s *sum) (*sum, int) {
 	s.add(a.regionTotal.Report.additiveFields(), 1)
 	gateways := a.regionTotal.OtherGateways + len(a.regionTotal.Members)
@@ -348,8 +355,10 @@
 	return s, gateways
 }
 
-// Leads tells whether this gateway sums its group, and how many others it sums.
+// Leads reports whether this gateway sums its group, and how many other members' reports
+// it has.
 func (a *Board) Leads() (leads bool, members int) { return a.isLeader(a.Clock()), len(a.memberReports) }
 
-// Few tells whether the gateways are so few that each tells all others.
+// Few reports whether the region has so few gateways that each sends its reports to all
+// others directly.
 func (a *Board) Few() bool { return a.topology.fullMesh }
--- a/rollup/doc.go
+++ b/rollup/doc.go
@@ -1,16 +1,19 @@
-// Package rollup lets every gateway of a region know the sum of what all of them do,
-// soon and at a cost that hardly grows with their number.
+// Package rollup aggregates reports among the gateways of a region, so that every
+// gateway has a recent sum of what all of them do. The cost per gateway grows slowly
+// with their number.
 //
 // The gateways of a data centre form groups of up to sixteen by the hash of their
-// names, and every group has a leader, the gateway that all rank first. Ten times a
-// second each gateway tells its leader its own Report; a leader tells the leaders of
-// the region's other groups the sum of its group, and its members the sum of all. So
-// what a gateway does is known everywhere within 0.3 s, a member sends and receives
-// ten messages a second, and a leader some forty for each ten groups and members. If
-// each told all others, as few gateways do, each of 100 would send and receive 1,000.
+// names. Every group has a leader: the gateway with the highest rank, which all gateways
+// compute alike. Ten times a second each gateway sends its own Report to its leader. A
+// leader sends the sum of its group to the leaders of the region's other groups, and the
+// sum of the region to the members of its group. A change thus reaches every gateway
+// within 0.3 s. A member sends and receives ten messages a second, a leader about forty
+// for each ten groups and members. Up to nine gateways send their reports to each other
+// directly; if 100 gateways did that, each would send and receive 1,000 messages a second.
 //
-// Nobody is elected. Whoever is told reports sums them, and those who hear nothing from
-// the first in rank tell the next as well, so that a leader that is killed, frozen or
-// cut off is replaced within 0.4 s. Nothing counts twice meanwhile: a sum says which
-// range of hashes it is of, and of sums whose ranges overlap only one is held.
+// There is no election. A gateway that receives reports sums them, and a gateway that
+// receives nothing from its highest-ranked leader sends its report to the next candidate
+// too. A leader that is killed, paused or partitioned is therefore replaced within 0.4 s.
+// No report is counted twice meanwhile: a sum names the range of hashes that it covers,
+// and of sums with overlapping ranges only one is retained.
 package rollup
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -1,5 +1,5 @@
-// This file defines which gateways tell each other what: a pure function of the list
-// of gateways.
+// This file computes the groups and their leaders: a pure function of the list of
+// gateways.
 
 package rollup
 
@@ -14,29 +14,29 @@
 )
 
 const (
-	// maxFullMeshPeers is up to how many other gateways of the region each tells all of
-	// them: with more, leaders cost less.
+	// maxFullMeshPeers is up to how many peer gateways each gateway sends its reports to
+	// all of them directly. With more, leaders cost less.
 	maxFullMeshPeers = 8
-	// maxGroupSize is how many gateways form a group at most, but for the unevenness
-	// of hashes. With 100 gateways of a region it makes eight groups of twelve, near
-	// the square root, where a leader has the least to tell.
+	// maxGroupSize is the size of a group above which a data centre gets twice as many
+	// groups; uneven hashes may exceed it. 100 gateways of a region form eight groups of
+	// about twelve, near the square root, where a leader sends the fewest messages.
 	maxGroupSize = 16
-	// leaderCandidates is how many gateways of a group may lead it, one after the other.
+	// leaderCandidates is how many gateways of a group may lead it, in order of rank.
 	leaderCandidates = 3
-	// maxRemoteLeaders is how many leaders of another region are told of this one; they tell
-	// the rest there.
+	// maxRemoteLeaders is how many leaders of another region are sent this region's
+	// report; they forward it to the others there.
 	maxRemoteLeaders = 3
 )
 
-// Group is the gateways of a data centre whose hashed names lie in a range, both ends
-// included.
+// Group is the set of gateways of a data centre whose hashed names lie in a range. Both
+// bounds are inclusive.
 type Group struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
 	Low, High  uint32
 }
 
-// contains tells whether all of another group belong to this one.
+// contains reports whether every gateway of the other group belongs to this one.
 func (g Group) contains(other Group) bool {
 	return g.DataCentre == other.DataCentre && g.Low <= other.Low && other.High <= g.High
 }
@@ -45,20 +45,19 @@
 	return g.DataCentre == other.DataCentre && g.Low <= other.High && other.Low <= g.High
 }
 
-// IsSingleton tells whether the group can have one member only.
+// IsSingleton reports whether the group can have one member only.
 func (g Group) IsSingleton() bool { return g.Low == g.High }
 
 func hashOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// singletonGroup is the group of one gateway alone.
+// singletonGroup returns the group that holds one gateway only.
 func singletonGroup(h roster.Host) Group {
 	hash := hashOf(h.Name)
 	return Group{DataCentre: h.DataCentre, Low: hash, High: hash}
 }
 
-// groupOf gives a gateway's group where so many stand in its data centre. The number of
-// groups is a power of two, so that the ranges of different numbers lie within each
-// other.
+// groupOf returns a gateway's group in a data centre with that number of gateways. The
+// number of groups is a power of two, so that the ranges nest when it changes.
 func groupOf(h roster.Host, gateways int) Group {
 	halvings := bits.Len(uint(max(0, gateways-1) / maxGroupSize))
 	width := 32 - halvings
@@ -66,7 +65,7 @@
 	return Group{DataCentre: h.DataCentre, Low: low, High: low + uint32(1<<width-1)}
 }
 
-// rank orders the gateways of a group; the highest leads.
+// rank orders the gateways of a group; the one with the highest rank leads.
 func (g Group) rank(name string) uint64 {
 	x := uint64(hashOf(name))<<32 | uint64(g.Low)
 	x ^= x >> 30
@@ -75,21 +74,21 @@
 	return x * 0x94d049bb133111eb
 }
 
-// rankedGroup is a group and its gateways, the first in rank first.
+// rankedGroup is a group with its gateways, the highest rank first.
 type rankedGroup struct {
 	group Group
 	hosts []roster.Host
 }
 
-// topology is a region's gateways as one of them sees them.
+// topology is the grouping of a region's gateways as one gateway computes it.
 type topology struct {
-	fullMesh    bool          // each tells all others
-	ownGroup    Group         // of the one who sees
-	ranked      []roster.Host // of the own group
-	otherGroups []rankedGroup // the region's other groups, in the order of their ranges
+	fullMesh    bool          // each gateway sends its reports to all others directly
+	ownGroup    Group         // of the computing gateway
+	ranked      []roster.Host // members of ownGroup, the highest rank first
+	otherGroups []rankedGroup // the region's other groups, by data centre and range
 }
 
-// size counts the region's gateways, the one who sees among them.
+// size counts the region's gateways, including the computing one.
 func (t topology) size() int {
 	n := len(t.ranked)
 	for _, g := range t.otherGroups {
@@ -98,7 +97,8 @@
 	return n
 }
 
-// newTopology makes the view of self on the gateways of a region, self among them or not.
+// newTopology computes the groups of a region's gateways. If self belongs to the region it
+// is included even where hosts doesn't list it.
 func newTopology(self roster.Host, hosts []roster.Host, region string) topology {
 	local := []roster.Host{}
 	perDataCentre := map[string]int{}
@@ -139,8 +139,9 @@
 	return t
 }
 
-// FarLeaders gives the addresses of those gateways of another region that tell the
-// others there. They are spread over its groups, and so over its data centres.
+// FarLeaders returns the peer addresses of those gateways of another region that forward
+// reports to the others there. They are spread over the region's groups, and so over its
+// data centres.
 func FarLeaders(hosts []roster.Host, region string) []string {
 	t := newTopology(roster.Host{}, hosts, region)
 	count := min(len(t.otherGroups), maxRemoteLeaders)
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -1,4 +1,4 @@
-// This file defines what is told.
+// This file defines the messages and the sums of reports.
 
 package rollup
 
@@ -10,124 +10,131 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// Report is what one gateway does, or the sum of several. It stands for all that there
-// is at its time: engines that are not in it have nothing.
+// Report is what one gateway does, or the sum over several. It is a full snapshot, not a
+// change: an engine that is missing has no load.
 type Report struct {
 	Engines []EngineLoad `cbor:"1,keyasint,omitempty"`
-	Parts   []SentPart   `cbor:"2,keyasint,omitempty"` // that were sent lately
-	Dead    []uint64     `cbor:"3,keyasint,omitempty"` // hashes of engines that couldn't be reached lately
-	Gone    []uint64     `cbor:"4,keyasint,omitempty"` // hashes of engines whose addresses others were found at
-	// Accounts are those whose callers ask for anything.
+	// Parts are the prompt blocks that were recently sent to engines.
+	Parts []SentPart `cbor:"2,keyasint,omitempty"`
+	// Dead are hashes of engines that recently couldn't be reached.
+	Dead []uint64 `cbor:"3,keyasint,omitempty"`
+	// Gone are hashes of engines at whose addresses another engine answered.
+	Gone []uint64 `cbor:"4,keyasint,omitempty"`
+	// Accounts are the client accounts whose callers currently send requests.
 	Accounts []AccountUse `cbor:"5,keyasint,omitempty"`
-	// Crashes are what is new of requests under which engines crashed.
+	// Crashes are recent changes of the crash records of requests.
 	Crashes []quarantine.Note `cbor:"6,keyasint,omitempty"`
-	// Limits are what is new of limits that engines name, and in turn the others.
+	// Limits are recent changes of the rate limits that engines announce, and a few of
+	// the unchanged ones in rotation.
 	Limits []ratelimit.Note `cbor:"7,keyasint,omitempty"`
-	// Leaving are hashes of engines whose answers said lately that they leave.
+	// Leaving are hashes of engines that recently announced in an answer that they drain.
 	Leaving []uint64 `cbor:"8,keyasint,omitempty"`
-	// Resting are engines that have asked gateways for rest, as long as it lasts.
+	// Resting are engines in backoff: they have asked gateways to send nothing for a
+	// while, and that time isn't over.
 	Resting []Resting `cbor:"9,keyasint,omitempty"`
 }
 
-// Resting is an engine that has asked so many gateways for rest.
+// Resting is an engine that asks for backoff, with the number of gateways that it asked.
 type Resting struct {
 	_        struct{} `cbor:",toarray"`
 	Engine   uint64   // hash of its incarnation
 	Gateways int
 }
 
-// AccountUse is what the callers of one client account do, in hundredths of a unit a
-// second but for Window.
+// AccountUse is what the callers of one client account do. All but Window are in
+// hundredths of a unit per second.
 type AccountUse struct {
 	_        struct{} `cbor:",toarray"`
 	Account  uint32   // hash of its name
 	Admitted int      // over the last 0.2 s
-	Steady   int      // admitted over the last 0.5 s
-	Asked    int
-	Window   int // whole units admitted within the last window
+	Steady   int      // admitted, averaged over the last 0.5 s
+	Asked    int      // requested, whether admitted or not
+	Window   int      // whole units admitted within the last window of the allowance
 }
 
 // EngineLoad is the load of one engine.
 type EngineLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Engine   uint64   // hash of its incarnation
-	Requests int
-	Unread   int
-	Held     int
-	Reading  int
+	Requests int      // in flight
+	Unread   int      // prompt tokens of requests that have produced no event yet
+	Held     int      // tokens of memory: prompts, and what their answers may grow to
+	Reading  int      // prompt tokens per second, recently
 }
 
-// SentPart is a shared part of a prompt that an engine has been sent, both by
-// their hashes.
+// SentPart is a shared prompt block that was sent to an engine.
 type SentPart struct {
 	_      struct{} `cbor:",toarray"`
-	Part   uint32
-	Engine uint64
+	Part   uint32   // hash of the block
+	Engine uint64   // hash of the engine's incarnation
 }
 
-// Member says which report of a gateway is in a sum.
+// Member identifies the report of one gateway that a sum includes.
 type Member struct {
 	_            struct{} `cbor:",toarray"`
-	NameHash     uint32   // of its name
-	ReportNumber uint32   // of its report
+	NameHash     uint32   // of the gateway
+	ReportNumber uint32   // counts the gateway's reports
 }
 
-// FarWord is what another region tells of itself, as it is passed on.
+// FarWord is the report that a region sends to the gateways of other regions, which
+// forward it among themselves.
 type FarWord struct {
 	Region string        `cbor:"1,keyasint"`
-	Age    time.Duration `cbor:"2,keyasint,omitempty"` // since it was heard in this region
-	Body   []byte        `cbor:"3,keyasint"`
-	// Accounts is what its callers do.
+	Age    time.Duration `cbor:"2,keyasint,omitempty"` // since it reached the receiving region
+	Body   []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Board
+	// Accounts is what the region's callers do.
 	Accounts []AccountUse `cbor:"4,keyasint,omitempty"`
-	// Crashes are what its gateways know of requests under which engines crashed.
+	// Crashes are the crash records of requests that the region's gateways report.
 	Crashes []quarantine.Note `cbor:"5,keyasint,omitempty"`
 }
 
-// Message is what travels: the Report of a group to leaders, or that of the whole
-// region to the members of a group; or, where From is a gateway of another region, just
-// its word.
+// Message is what gateways send to each other: the Report of a group, to other leaders;
+// the Report of the whole region, to the members of a group; or just a region's report
+// in Far, where From is a gateway of another region.
 type Message struct {
 	From          string    `cbor:"1,keyasint"`
 	Group         Group     `cbor:"2,keyasint"`
-	Members       []Member  `cbor:"3,keyasint,omitempty"` // of the group that the report holds
-	Total         bool      `cbor:"4,keyasint,omitempty"` // the report is of the whole region
-	OtherGateways int       `cbor:"5,keyasint,omitempty"` // gateways of other groups that a total holds
+	Members       []Member  `cbor:"3,keyasint,omitempty"` // gateways of the group that the report includes
+	Total         bool      `cbor:"4,keyasint,omitempty"` // the report covers the whole region
+	OtherGateways int       `cbor:"5,keyasint,omitempty"` // number of gateways of other groups in a total
 	Report        Report    `cbor:"6,keyasint,omitempty"`
 	Far           []FarWord `cbor:"7,keyasint,omitempty"`
 }
 
-// additiveFields gives what adds up: the rest is news of its moment.
+// additiveFields returns the report with only those fields that can be summed and
+// subtracted; the others are events.
 func (r Report) additiveFields() Report { return Report{Engines: r.Engines, Accounts: r.Accounts} }
 
-// sum adds reports up.
+// sum accumulates reports.
 type sum struct {
 	loads       map[uint64]EngineLoad
 	blocks      map[SentPart]bool
 	unreachable map[uint64]bool
 	replaced    map[uint64]bool
-	draining    map[uint64]bool // engines that leave
-	backingOff  map[uint64]int  // by engine: gateways that it asked for rest
+	draining    map[uint64]bool
+	backingOff  map[uint64]int // number of gateways that the engine asked for backoff
 	uses        map[uint32]AccountUse
-	// crashes are by request and engine, each as old as the one who knows it best tells.
+	// crashes keeps the greatest age reported for each crash: a report that is forwarded
+	// appears younger than it is.
 	crashes map[crashKey]quarantine.Note
-	limits  map[uint64]ratelimit.Note // by engine, the newest
+	limits  map[uint64]ratelimit.Note // by engine, the youngest report
 }
 
-// maxCrashes bounds the notes of one sum, to some 4 KB: those of twelve engines that end
-// at once with twenty requests each. What is left out is told with one of the next.
+// maxCrashes bounds the crash reports in one sum to about 4 KB, those of twelve engines
+// that crash at once with twenty requests each. The rest goes out with later messages.
 const maxCrashes = 256
 
-// maxLimits bounds the notes of limits in one sum, to some 4 KB. What is left out is told
-// with one of the next.
+// maxLimits bounds the limit reports in one sum to about 4 KB. The rest goes out with
+// later messages.
 const maxLimits = 256
 
-// aged gives a report that was heard so long ago, as it is told on.
+// aged returns a report that was received that long ago, ready to be forwarded.
 func (r Report) aged(by time.Duration) Report {
 	r.Limits = ratelimit.Older(r.Limits, by)
 	return r
 }
 
-// crashKey names one crash under a request.
+// crashKey identifies one crash of an engine during a request.
 type crashKey struct {
 	request quarantine.Fingerprint
 	engine  uint32
@@ -137,7 +144,7 @@
 	return &sum{make(map[uint64]EngineLoad), make(map[SentPart]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUse), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.Note)}
 }
 
-// add adds a report times so many: -1 takes it away.
+// add adds the report factor times; -1 subtracts it.
 func (s *sum) add(r Report, factor int) {
 	for _, e := range r.Engines {
 		l := s.loads[e.Engine]
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -14,25 +14,24 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// testRegion is the gateways of one region, whose messages take one step of virtual time
-// each way.
+// testRegion runs the gateways of one region in virtual time. Messages arrive at once.
 type testRegion struct {
 	now          time.Time
 	hosts        []roster.Host
 	aggregators  map[string]*rollup.Board // by address
 	loads        map[string]int           // requests of each gateway, by address
-	down         map[string]bool          // neither tells nor hears
+	down         map[string]bool          // gateways that neither send nor receive, by address
 	dropped      func(from, to string) bool
 	bytes        map[string]int // sent and received, by address
-	extraEngines int            // that each gateway uses beside
+	extraEngines int            // engines that each gateway uses besides the common one
 }
 
 const (
 	step   = 10 * time.Millisecond
-	engine = 42 // the one that all send to
+	engine = 42 // the engine that all gateways use
 )
 
-// newTestRegion makes so many gateways in two data centres.
+// newTestRegion makes a region of that many gateways in two data centres.
 func newTestRegion(gateways int) *testRegion {
 	r := &testRegion{
 		now: time.Unix(1000, 0), aggregators: make(map[string]*rollup.Board), loads: make(map[string]int),
@@ -48,7 +47,7 @@
 	return r
 }
 
-// advance lets the gateways tell, each at its own time of the period.
+// advance runs the gateways for d. Each sends its reports at its own offset in the interval.
 func (r *testRegion) advance(d time.Duration) {
 	for until := r.now.Add(d); r.now.Before(until); r.now = r.now.Add(step) {
 		slot := int(r.now.UnixNano()/int64(step)) % int(rollup.Every/step)
@@ -85,7 +84,7 @@
 	}
 }
 
-// peerRequests gives how many requests of others a gateway knows.
+// peerRequests returns how many requests of other gateways a gateway counts.
 func (r *testRegion) peerRequests(gateway string) int {
 	return r.aggregators[gateway].Others().Loads[engine].Requests
 }
@@ -101,7 +100,7 @@
 	return out
 }
 
-// checkPeerRequests checks that every gateway that isn't silent knows what the others do.
+// checkPeerRequests checks that every gateway that is up has the exact sum of the others.
 func (r *testRegion) checkPeerRequests(t *testing.T, note string) {
 	t.Helper()
 	for _, h := range r.hosts {
@@ -112,13 +111,14 @@
 			}
 		}
 		if !r.down[h.Peer] {
-			must.Eq(t, want, r.peerRequests(h.Peer), must.Sprintf("%s: known at %s", note, h.Peer))
+			must.Eq(t, want, r.peerRequests(h.Peer), must.Sprintf("%s: requests of others at %s", note, h.Peer))
 		}
 	}
 }
 
-// TestLoadReachesAllGatewaysWithin300ms changes one gateway's load at any number of
-// gateways: 0.3 s and the way later all know it, and nothing twice.
+// TestLoadReachesAllGatewaysWithin300ms changes the load of one gateway in regions of
+// different sizes. After 0.3 s all others must have the new sum, with no report lost or
+// counted twice.
 func TestLoadReachesAllGatewaysWithin300ms(t *testing.T) {
 	for _, n := range []int{2, 9, 10, 17, 50, 100, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -126,7 +126,7 @@
 			r.loads[r.hosts[n/2].Peer] = 3
 			r.loads[r.hosts[0].Peer] = 2
 			r.advance(time.Second)
-			r.checkPeerRequests(t, "at rest")
+			r.checkPeerRequests(t, "steady state")
 			r.loads[r.hosts[n/2].Peer] = 8
 			r.advance(300 * time.Millisecond)
 			r.checkPeerRequests(t, "after a change")
@@ -134,8 +134,9 @@
 	}
 }
 
-// TestALostLeaderIsReplaced kills, freezes or cuts off a leader whom the list of
-// gateways still names: 0.4 s later what others do is counted again, once.
+// TestALostLeaderIsReplaced takes down a leader that stays in the list of gateways, as a
+// killed, paused or partitioned one does at first. The others must get exact sums again
+// without it, and after its return.
 func TestALostLeaderIsReplaced(t *testing.T) {
 	for _, n := range []int{20, 100, 200} {
 		r := newTestRegion(n)
@@ -150,14 +151,14 @@
 		r.checkPeerRequests(t, "without its leader")
 		r.down[leaders[0]] = false
 		r.advance(time.Second)
-		r.checkPeerRequests(t, "when the leader is back")
+		r.checkPeerRequests(t, "after the leader's return")
 		must.Eq(t, leaders, r.leaders())
 	}
 }
 
-// TestNoReportIsCountedTwice kills a leader, lets it come back, and changes the list of
-// gateways so that groups are halved and joined: at no time does anybody count more
-// than there is.
+// TestNoReportIsCountedTwice guards against sums that overlap: while a leader is down,
+// after its return, and while groups split and merge because the list of gateways changes.
+// No gateway may ever count more than there is.
 func TestNoReportIsCountedTwice(t *testing.T) {
 	r := newTestRegion(70)
 	all := r.hosts
@@ -175,19 +176,20 @@
 	}
 	leader := r.leaders()[0]
 	r.down[leader] = true
-	checkNoOvercount("a leader is lost")
+	checkNoOvercount("a leader is down")
 	r.down[leader] = false
-	checkNoOvercount("it is back")
+	checkNoOvercount("the leader is back")
 	r.hosts = all[:60] // another number of groups
-	checkNoOvercount("ten hosts are off the list")
+	checkNoOvercount("ten gateways left the list")
 	r.hosts = all[:8]
-	checkNoOvercount("few are left")
+	checkNoOvercount("few gateways are left")
 	r.hosts = all
-	checkNoOvercount("all are back")
+	checkNoOvercount("all gateways are back")
 	r.checkPeerRequests(t, "at the end")
 }
 
-// TestPartitionedDataCentresSumTheirOwnGateways cuts the two data centres from each other.
+// TestPartitionedDataCentresSumTheirOwnGateways partitions the two data centres. Each must
+// have the exact sum of its own gateways, and of all after the partition ends.
 func TestPartitionedDataCentresSumTheirOwnGateways(t *testing.T) {
 	r := newTestRegion(60)
 	centre := map[string]string{}
@@ -202,10 +204,11 @@
 	}
 	r.dropped = func(string, string) bool { return false }
 	r.advance(time.Second)
-	r.checkPeerRequests(t, "joined again")
+	r.checkPeerRequests(t, "after the partition")
 }
 
-// TestMemberWithoutItsLeaderUsesTheNextCandidate cuts one gateway off its leader.
+// TestMemberWithoutItsLeaderUsesTheNextCandidate partitions one gateway from the leader of
+// its group. It must still get most of the region's reports, and none twice.
 func TestMemberWithoutItsLeaderUsesTheNextCandidate(t *testing.T) {
 	r := newTestRegion(100)
 	for _, h := range r.hosts {
@@ -222,7 +225,8 @@
 	must.LessEq(t, 99, r.peerRequests(member))
 }
 
-// TestRemoteReportReachesAllGateways gives it to the few who are told.
+// TestRemoteReportReachesAllGateways delivers another region's report to the gateways that
+// FarLeaders names. They must forward it to every other gateway.
 func TestRemoteReportReachesAllGateways(t *testing.T) {
 	r := newTestRegion(100)
 	r.advance(500 * time.Millisecond)
@@ -234,7 +238,7 @@
 			centres[h.DataCentre] = true
 		}
 	}
-	must.MapLen(t, 2, centres, must.Sprint("the loss of a data centre leaves one of them"))
+	must.MapLen(t, 2, centres, must.Sprint("the recipients must survive the loss of a data centre"))
 	report := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
 	for _, peer := range to {
 		must.SliceLen(t, 1, r.aggregators[peer].Hear(report))
@@ -255,8 +259,8 @@
 	}
 }
 
-// TestBytesGrowSublinearly bounds what each gateway sends and receives in a second with
-// reports of eight engines of 72.
+// TestBytesGrowSublinearly bounds the traffic of the busiest gateway. Each gateway reports
+// eight of 72 engines.
 func TestBytesGrowSublinearly(t *testing.T) {
 	maxBytes := func(n int) int {
 		r := newTestRegion(n)
@@ -270,14 +274,14 @@
 		}
 		return highest
 	}
-	must.Less(t, 3*maxBytes(30), maxBytes(200), must.Sprint("200 gateways, against 30"))
+	must.Less(t, 3*maxBytes(30), maxBytes(200), must.Sprint("bytes with 200 gateways against 30"))
 }
 
-// BenchmarkBytes gives what the busiest and the usual gateway send and receive in a
-// second, each with eight of 72 engines in use. When every gateway told all others by
-// itself, that was 16, 26, 27 and 28 KB at 10, 30, 100 and 200 gateways, and what was
-// known 0.2, 0.4, 1.3 and 2.5 s old; now leaders have 78, 245, 444 and 550 KB, the mean is
-// 28, 32, 44 and 56 KB, and all is known 0.3 s old or less.
+// BenchmarkBytes measures what the busiest and the average gateway send and receive per
+// second; each uses eight of 72 engines. At 10, 30, 100 and 200 gateways, leaders have 78,
+// 245, 444 and 550 KB and the mean is 28, 32, 44 and 56 KB, with data no older than 0.3 s.
+// When every gateway sent its report to all others itself, the traffic was 16, 26, 27 and
+// 28 KB, and data were 0.2, 0.4, 1.3 and 2.5 s old.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
