--- a/follow/brief_test.go
+++ b/follow/brief_test.go
@@ -19,71 +19,71 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// teller is a control host that tells where it stands, whom it hears, and one engine.
-type teller struct {
+// fakeControlHost is a control host with one gateway in its roster.
+type fakeControlHost struct {
 	self roster.Host
 
-	mu    sync.Mutex
-	hears []string
-	brief bool // it was last asked briefly
-	asked int
-	knows bool // the caller
-	told  int  // how often the caller told of itself
+	mu            sync.Mutex
+	connectedTo   []string
+	lastBrief     bool // whether the last Sync was brief
+	syncs         int
+	knowsCaller   bool // it has the caller's description
+	introductions int  // how often the caller has sent its description
 }
 
-// Sync answers after a moment.
-func (s *teller) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
-	s.mu.Lock()
-	s.brief = args.Brief
-	s.asked++
-	if args.Known && !s.knows {
+// Sync implements the method of follow.Service. It answers after a short wait.
+func (c *fakeControlHost) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
+	c.mu.Lock()
+	c.lastBrief = args.Brief
+	c.syncs++
+	if args.Known && !c.knowsCaller {
 		*reply = follow.SyncReply{Stranger: true}
-		s.mu.Unlock()
+		c.mu.Unlock()
 		return nil
 	}
 	if !args.Known {
-		s.told++
-		s.knows = true
+		c.introductions++
+		c.knowsCaller = true
 	}
-	*reply = follow.SyncReply{Life: s.self.Name, Self: s.self, Hears: s.hears}
+	*reply = follow.SyncReply{Life: c.self.Name, Self: c.self, Hears: c.connectedTo}
 	if !args.Brief {
 		reply.Number, reply.Roster = 1, 1
-		reply.Hosts = []roster.Host{{Name: "g-" + s.self.Name, Role: roster.RoleGateway, Region: s.self.Region, Peer: "10.0.0.1:1"}}
+		reply.Hosts = []roster.Host{{Name: "g-" + c.self.Name, Role: roster.RoleGateway, Region: c.self.Region, Peer: "10.0.0.1:1"}}
 	}
-	s.mu.Unlock()
+	c.mu.Unlock()
 	time.Sleep(min(args.Wait, 50*time.Millisecond))
 	return nil
 }
 
-func (s *teller) set(hears ...string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.hears = hears
+func (c *fakeControlHost) setConnectedTo(names ...string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.connectedTo = names
 }
 
-// TestOneControlHostTellsOfHostsAndEngines follows a control host of the own data centre,
-// one of the other data centre of the region, and a far one. Only the first is asked for
-// all, as long as it hears the second; what a control host told before it was asked
-// briefly is forgotten.
-func TestOneControlHostTellsOfHostsAndEngines(t *testing.T) {
+// TestOnlyOneControlHostIsAskedForHostsAndEngines guards against control hosts that all send
+// the same hosts and engines. The one of the own data centre is polled in full, the other
+// one of the region only while the first isn't connected to it, and the remote one only
+// while neither answers. Hosts received before a link became brief must not be used.
+func TestOnlyOneControlHostIsAskedForHostsAndEngines(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	defer group.Wait()
 	defer cancel()
-	tellers := make(map[string]*teller)
+	controls := make(map[string]*fakeControlHost)
 	stops := make(map[string]context.CancelFunc)
 	var seeds []string
 	for name, place := range map[string][2]string{"own": {"here", "a"}, "other": {"here", "b"}, "far": {"there", "c"}} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
-		s := &teller{self: roster.Host{Name: name, Role: roster.RoleControl, Region: place[0], DataCentre: place[1], Peer: listener.Addr().String()}}
-		tellers[name] = s
+		c := &fakeControlHost{self: roster.Host{Name: name, Role: roster.RoleControl, Region: place[0], DataCentre: place[1], Peer: listener.Addr().String()}}
+		controls[name] = c
 		seeds = append(seeds, listener.Addr().String())
 		server := wire.NewServer()
-		must.NoError(t, server.Register(follow.Service, s))
-		bound, stop := context.WithCancel(ctx)
+		must.NoError(t, server.Register(follow.Service, c))
+		serverCtx, stop := context.WithCancel(ctx)
 		stops[name] = stop
-		group.Go(func() { _ = server.Serve(bound, listener) })
+		group.Go(func() { _ = server.Serve(serverCtx, listener) })
 	}
 	follower := follow.New(follow.Deps{
 		Self: func() roster.Host {
@@ -93,17 +93,17 @@
 		Took: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
-	want := func(note string, brief map[string]bool) {
+	waitForBrief := func(note string, brief map[string]bool) {
 		t.Helper()
 		for name, wanted := range brief {
-			s := tellers[name]
-			s.mu.Lock()
-			from := s.asked
-			s.mu.Unlock()
+			c := controls[name]
+			c.mu.Lock()
+			before := c.syncs
+			c.mu.Unlock()
 			for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-				s.mu.Lock()
-				done := s.asked > from+2 && s.brief == wanted
-				s.mu.Unlock()
+				c.mu.Lock()
+				done := c.syncs > before+2 && c.lastBrief == wanted
+				c.mu.Unlock()
 				if done {
 					break
 				}
@@ -111,32 +111,32 @@
 			}
 		}
 	}
-	want("the own one hears nobody", map[string]bool{"own": false, "other": false, "far": true})
-	tellers["own"].set("other")
-	want("it hears the other", map[string]bool{"own": false, "other": true, "far": true})
+	waitForBrief("own is connected to no other", map[string]bool{"own": false, "other": false, "far": true})
+	controls["own"].setConnectedTo("other")
+	waitForBrief("own is connected to other", map[string]bool{"own": false, "other": true, "far": true})
 	for until := time.Now().Add(20 * time.Second); len(follower.Gateways()) != 1; time.Sleep(10 * time.Millisecond) {
 		must.True(t, time.Now().Before(until))
 	}
 	must.Eq(t, "g-own", follower.Gateways()[0].Name)
-	tellers["own"].set()
-	want("it has lost the other", map[string]bool{"own": false, "other": false, "far": true})
+	controls["own"].setConnectedTo()
+	waitForBrief("own has lost other", map[string]bool{"own": false, "other": false, "far": true})
 	stops["own"]()
-	want("it is lost", map[string]bool{"other": false, "far": true})
+	waitForBrief("own has stopped", map[string]bool{"other": false, "far": true})
 	stops["other"]()
-	want("the region's are lost", map[string]bool{"far": false})
+	waitForBrief("own and other have stopped", map[string]bool{"far": false})
 }
 
-// TestAHostTellsOfItselfOnce counts how often a control host is told who asks: once, and
-// again when it has forgotten.
-func TestAHostTellsOfItselfOnce(t *testing.T) {
+// TestHostSendsItsDescriptionOnce guards against a full description in every poll. It is
+// sent once, and again after the control host has lost it.
+func TestHostSendsItsDescriptionOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	defer group.Wait()
 	defer cancel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	s, server := &teller{self: roster.Host{Name: "own"}}, wire.NewServer()
-	must.NoError(t, server.Register(follow.Service, s))
+	c, server := &fakeControlHost{self: roster.Host{Name: "own"}}, wire.NewServer()
+	must.NoError(t, server.Register(follow.Service, c))
 	group.Go(func() { _ = server.Serve(ctx, listener) })
 	follower := follow.New(follow.Deps{
 		Self:  func() roster.Host { return roster.Host{Name: "g", Life: "1", Role: roster.RoleGateway} },
@@ -144,21 +144,21 @@
 		Took: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
-	want := func(told int) {
+	waitForIntroductions := func(count int) {
 		t.Helper()
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			s.mu.Lock()
-			done := s.asked > 5 && s.told == told
-			s.mu.Unlock()
+			c.mu.Lock()
+			done := c.syncs > 5 && c.introductions == count
+			c.mu.Unlock()
 			if done {
 				return
 			}
-			must.True(t, time.Now().Before(until), must.Sprintf("told %d times", told))
+			must.True(t, time.Now().Before(until), must.Sprintf("the description must be sent %d times", count))
 		}
 	}
-	want(1)
-	s.mu.Lock()
-	s.knows, s.asked = false, 0
-	s.mu.Unlock()
-	want(2)
+	waitForIntroductions(1)
+	c.mu.Lock()
+	c.knowsCaller, c.syncs = false, 0
+	c.mu.Unlock()
+	waitForIntroductions(2)
 }
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -1,15 +1,16 @@
-// Package follow keeps a host in touch with the control hosts.
+// Package follow connects a host to the control hosts and maintains its view of the
+// engines, the other hosts and the ledger.
 //
-// A Follower holds one standing question to each control host that it knows
-// of: the control host answers when something has changed, or after half a
-// second, and is asked again at once. The question tells of the asking host,
-// so that it is also its heartbeat. What comes back is merged: engines into a
-// registry.Table, where the newest word of each holds, and the ledger's state by
-// its index, which never goes back. No control host is more right than another;
-// one that is cut off, slow or gone just brings nothing new.
+// A Follower keeps one long poll, Sync, open to each control host that it has found. The
+// control host answers when something has changed, or after half a second, and the
+// Follower polls it again at once. The request describes the polling host, so that it is
+// the host's heartbeat too. Answers are merged: engines into a registry.Table, where the
+// latest report of each engine wins, and the ledger's state by its index, which never
+// goes back. All control hosts are equal; one that is partitioned, slow or stopped just
+// contributes nothing new.
 //
-// Control hosts are found through the seeds of the settings, and through the
-// rosters of those that answer. They follow each other in the same way.
+// Control hosts are found through the seeds in the settings, and through the rosters of
+// the control hosts that answer. Control hosts follow each other in the same way.
 package follow
 
 import (
@@ -29,50 +30,51 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Timing of the following.
+// Intervals and timeouts of the polling.
 const (
-	// SyncWait is how long a control host may hold a question. It bounds the
-	// age of a host's heartbeat, and with it how fast a lost host is noticed.
+	// SyncWait is how long a control host may delay its answer to a Sync. It bounds the
+	// age of a host's heartbeat, and thus how fast a lost host is noticed.
 	SyncWait = 500 * time.Millisecond
-	// FarWait is the same for a control host that is asked briefly, because a nearer one
-	// answers: news comes as soon, and before 300 gateways of three regions each control
-	// host answers 270 questions a second instead of 600.
+	// FarWait replaces SyncWait for a control host that is polled briefly, because a
+	// closer one sends hosts and engines. Changes still arrive at once. With 300 gateways
+	// in three regions, each control host answers 270 polls per second instead of 600.
 	FarWait = 1500 * time.Millisecond
-	// syncSlack is how much longer an answer may take before the connection
-	// counts as dead: a round trip between regions, and a slow processor.
+	// syncSlack is how much longer than the requested wait an answer may take before
+	// the call fails: it covers a round trip between regions and a slow processor.
 	syncSlack = 900 * time.Millisecond
-	// retryPause is the wait after a question that was not answered. After a
-	// loss of power, hosts come back within some tenths of a second of each other.
-	retryPause = 40 * time.Millisecond
-	// fetchTime bounds the fetching of a state.
-	fetchTime = 1500 * time.Millisecond
-	// farPatience is how long a far control host that is ahead is passed over
-	// in favour of a near one, because bytes between regions cost money.
-	farPatience = 300 * time.Millisecond
-	// forgetTime is how long a control host that no seed and no roster names
-	// is still asked.
-	forgetTime = 15 * time.Second
-	// tidyEvery is how often the known control hosts are looked over.
-	tidyEvery = 200 * time.Millisecond
+	// retryInterval is the pause after a failed poll. It is short because hosts come back
+	// within some tenths of a second of each other after a loss of power.
+	retryInterval = 40 * time.Millisecond
+	// fetchTimeout bounds one transfer of the ledger's state.
+	fetchTimeout = 1500 * time.Millisecond
+	// remoteFetchDelay is how long a newer state is not fetched from a remote region
+	// while a control host of this region answers: traffic between regions costs money.
+	remoteFetchDelay = 300 * time.Millisecond
+	// linkTTL is how long a control host is still polled after it last answered and
+	// after a seed or a roster last named it.
+	linkTTL = 15 * time.Second
+	// updateLinksInterval is how often the set of polled control hosts is updated.
+	updateLinksInterval = 200 * time.Millisecond
 )
 
-// Deps are what a Follower needs.
+// Deps are the dependencies of a Follower.
 type Deps struct {
-	Self    func() roster.Host // what to tell of this host
+	Self    func() roster.Host // description of this host, sent to control hosts
 	Seeds   func() []string    // peer addresses of control hosts, from the settings
 	Calls   *wire.Client
 	Engines *registry.Table
-	// Took is called with each newer state of the ledger; nil on a control
-	// host, which has its own.
+	// Took is called with each newer state of the ledger. It is nil on a control host,
+	// which has its own replica of the ledger.
 	Took  func(ledger.State)
 	Log   *zap.Logger
 	Clock func() time.Time
-	// Steady is the clock by which the age of what is known is measured: it goes on
-	// while the host is frozen.
+	// Steady is the clock that measures how up to date the ledger's state is. It goes on
+	// while the host is suspended.
 	Steady func() time.Duration
 }
 
-// Follower is safe for concurrent use. New makes one; Run runs it.
+// Follower polls the control hosts. It is safe for concurrent use. New makes one; Run
+// runs it.
 type Follower struct {
 	Deps
 
@@ -80,58 +82,59 @@
 	links map[string]*link // by peer address
 	state ledger.State
 
-	gateways []roster.Host     // as of listed
-	regions  map[string]string // by the IP number of a host, as of listed
-	listed   time.Time
-	listedOf []teller
+	gateways    []roster.Host     // as of listsAt
+	regions     map[string]string // by the IP address of a host, as of listsAt
+	listsAt     time.Time
+	listSources []listSource
 }
 
-// New makes a follower.
+// New makes a Follower that polls nobody until Run is called.
 func New(deps Deps) *Follower {
 	return &Follower{Deps: deps, links: make(map[string]*link)}
 }
 
-// Run follows until ctx ends.
+// Run polls the control hosts until ctx ends, and returns when all polls have ended.
 func (f *Follower) Run(ctx context.Context) error {
 	group := pool.New()
 	defer group.Wait()
-	f.tidy(ctx, group)
-	duty.Every(ctx, tidyEvery, func() { f.tidy(ctx, group) })
+	f.updateLinks(ctx, group)
+	duty.Every(ctx, updateLinksInterval, func() { f.updateLinks(ctx, group) })
 	return nil
 }
 
-// tidy starts a duty for each control host that is newly known, and ends those
+// updateLinks starts polling control hosts that are newly named, and stops polling those
 // that nothing names any more.
-func (f *Follower) tidy(ctx context.Context, group *pool.Pool) {
+func (f *Follower) updateLinks(ctx context.Context, group *pool.Pool) {
 	self := f.Self()
 	now := f.Clock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	named := f.named()
+	named := f.namedControlHosts()
 	delete(named, self.Peer)
-	for address, host := range named {
+	for address, h := range named {
 		l, ok := f.links[address]
 		if !ok {
-			bound, cancel := context.WithCancel(ctx)
-			l = &link{address: address, cancel: cancel, answered: now}
+			linkCtx, cancel := context.WithCancel(ctx)
+			l = &link{address: address, cancel: cancel, answeredAt: now}
 			f.links[address] = l
-			group.Go(func() { f.follow(bound, l) })
+			group.Go(func() { f.pollLink(linkCtx, l) })
 		}
-		l.named = now
-		if host.Name != "" {
-			l.host = host
+		l.namedAt = now
+		if h.Name != "" {
+			l.host = h
 		}
 	}
 	for address, l := range f.links {
-		if now.Sub(l.named) > forgetTime && now.Sub(l.answered) > forgetTime {
+		if now.Sub(l.namedAt) > linkTTL && now.Sub(l.answeredAt) > linkTTL {
 			l.cancel()
 			delete(f.links, address)
 		}
 	}
 }
 
-// named gives the control hosts that the seeds and the rosters name.
-func (f *Follower) named() map[string]roster.Host {
+// namedControlHosts returns the control hosts that the seeds and the rosters name, by
+// peer address. Those that only a seed names have no description yet.
+func (f *Follower) namedControlHosts() map[string]roster.Host {
 	out := make(map[string]roster.Host)
 	for _, seed := range f.Seeds() {
 		out[seed] = roster.Host{}
@@ -144,69 +147,70 @@
 	return out
 }
 
-// follow is the duty that asks one control host again and again.
-func (f *Follower) follow(ctx context.Context, l *link) {
+// pollLink polls one control host until ctx ends.
+func (f *Follower) pollLink(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
-		args := f.ask(l)
-		asked := f.Steady()
+		args := f.newSyncArgs(l)
+		sentAt := f.Steady()
 		var reply SyncReply
 		err := f.Calls.WithTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
 		if err != nil {
-			f.lost(l, err)
-			duty.Pause(ctx, retryPause)
+			f.noteFailure(l, err)
+			duty.Pause(ctx, retryInterval)
 			continue
 		}
-		if f.meet(l, reply) {
+		if f.noteKnownSelf(l, reply) {
 			continue
 		}
-		if f.take(l, args, reply, asked) {
-			f.fetch(ctx, l)
+		if f.applyReply(l, args, reply, sentAt) {
+			f.fetchState(ctx, l)
 		}
 	}
 }
 
-func (f *Follower) ask(l *link) SyncArgs {
+// newSyncArgs returns the arguments of the next poll, and records what it sends.
+func (f *Follower) newSyncArgs(l *link) SyncArgs {
 	self := f.Self()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	brief := f.brief(l, self)
+	brief := f.shouldSyncBriefly(l, self)
 	l.wait = SyncWait
 	if brief {
 		l.wait = FarWait
 	}
-	args := SyncArgs{Self: self, Life: l.life, Engines: l.number, Index: f.state.Index, Roster: l.roster, Wait: l.wait, Brief: brief, Sure: len(l.sure) > 0}
-	if l.life == "" || !l.ahead.IsZero() || (!brief && l.hosts == nil) {
+	args := SyncArgs{Self: self, Life: l.incarnation, Engines: l.engineCursor, Index: f.state.Index, Roster: l.rosterCursor, Wait: l.wait, Brief: brief, Sure: len(l.freshness) > 0}
+	if l.incarnation == "" || !l.aheadSince.IsZero() || (!brief && l.hosts == nil) {
 		args.Wait = 0
 	}
 	if f.Took == nil {
-		args.Index = math.MaxUint64 // no state is news to a host that has its own
+		args.Index = math.MaxUint64 // a control host needs no state, so none counts as newer
 	}
-	if self == l.told {
+	if self == l.knownSelf {
 		args.Self, args.Known = roster.Host{Name: self.Name, Life: self.Life}, true
 	}
-	l.telling = self
+	l.sentSelf = self
 	return args
 }
 
-// lost notes that a control host did not answer.
-func (f *Follower) lost(l *link, cause error) {
+// noteFailure records a failed poll and logs the loss of the control host once.
+func (f *Follower) noteFailure(l *link, err error) {
 	f.mu.Lock()
-	age := f.Clock().Sub(l.answered)
-	first := !l.down && age > l.silence()
-	l.down = l.down || first
+	age := f.Clock().Sub(l.answeredAt)
+	first := !l.lost && age > l.timeout()
+	l.lost = l.lost || first
 	f.mu.Unlock()
 	if first {
-		f.Log.Warn("control host lost", zap.String("address", l.address), zap.Duration("silent_for", age), telemetry.Cause(cause))
+		f.Log.Warn("control host lost", zap.String("address", l.address), zap.Duration("silent_for", age), telemetry.Cause(err))
 	}
 }
 
-// take merges an answer. It tells whether a newer state should be fetched from
-// there.
-func (f *Follower) take(l *link, args SyncArgs, reply SyncReply, asked time.Duration) bool {
+// applyReply merges an answer. It reports whether to fetch the ledger's state from that
+// control host.
+func (f *Follower) applyReply(l *link, args SyncArgs, reply SyncReply, sentAt time.Duration) bool {
 	now := f.Clock()
 	engines := make([]registry.Engine, len(reply.Engines))
-	for i, n := range reply.Engines {
-		engines[i] = n.Local(now)
+	for i, update := range reply.Engines {
+		engines[i] = update.Local(now)
 		if engines[i].Source == "" {
 			engines[i].Source = reply.Life
 		}
@@ -216,36 +220,36 @@
 	region := f.Self().Region
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l.down || l.life == "" {
-		f.Log.Info("control host in touch", zap.String("address", l.address), zap.String("life", reply.Life), zap.Uint64("index", reply.Index))
+	if l.lost || l.incarnation == "" {
+		f.Log.Info("control host connected", zap.String("address", l.address), zap.String("life", reply.Life), zap.Uint64("index", reply.Index))
 	}
-	l.down, l.answered, l.life = false, now, reply.Life
+	l.lost, l.answeredAt, l.incarnation = false, now, reply.Life
 	if reply.Self.Name != "" {
 		l.host = reply.Self
 	}
-	l.takeSurety(reply.Sure, asked)
-	l.hears = reply.Hears
+	l.recordFreshness(reply.Sure, sentAt)
+	l.connectedTo = reply.Hears
 	if args.Brief {
-		l.forgetNews()
+		l.resetCursors()
 	} else {
-		l.number = reply.Number
-		l.takeHosts(reply, reply.Life != args.Life)
+		l.engineCursor = reply.Number
+		l.applyHosts(reply, reply.Life != args.Life)
 	}
-	return f.worthFetching(l, region, reply.Index, now)
+	return f.shouldFetchState(l, region, reply.Index, now)
 }
 
-// worthFetching tells whether to fetch the state from a control host that has a
-// newer one: at once from one of this region, from a far one only where no near
-// one brings it.
-func (f *Follower) worthFetching(l *link, region string, index uint64, now time.Time) bool {
+// shouldFetchState reports whether to fetch the state from a control host that has a newer
+// one: at once from a control host of this region; from one of a remote region only if
+// none of this region is connected, or none has provided it within remoteFetchDelay.
+func (f *Follower) shouldFetchState(l *link, region string, index uint64, now time.Time) bool {
 	if f.Took == nil || index <= f.state.Index {
-		l.ahead = time.Time{}
+		l.aheadSince = time.Time{}
 		return false
 	}
-	if l.ahead.IsZero() {
-		l.ahead = now
+	if l.aheadSince.IsZero() {
+		l.aheadSince = now
 	}
-	if l.host.Region == region || now.Sub(l.ahead) > farPatience {
+	if l.host.Region == region || now.Sub(l.aheadSince) > remoteFetchDelay {
 		return true
 	}
 	for _, other := range f.links {
@@ -256,16 +260,16 @@
 	return true
 }
 
-// fetch takes the ledger's state from a control host.
-func (f *Follower) fetch(ctx context.Context, l *link) {
+// fetchState fetches the ledger's state from a control host and applies it if it is newer.
+func (f *Follower) fetchState(ctx context.Context, l *link) {
 	var reply StateReply
-	if err := f.Calls.WithTimeout(ctx, fetchTime, l.address, Service+".State", StateArgs{}, &reply); err != nil {
-		f.Log.Warn("state not fetched", zap.String("address", l.address), telemetry.Cause(err))
+	if err := f.Calls.WithTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
+		f.Log.Warn("ledger state not fetched, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
 		return
 	}
 	var state ledger.State
 	if err := ledger.Unpack(reply.State, &state); err != nil {
-		f.Log.Error("state can't be read", zap.String("address", l.address), telemetry.Cause(err))
+		f.Log.Error("ledger state can't be decoded, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
 		return
 	}
 	f.mu.Lock()
@@ -273,29 +277,29 @@
 	if newer {
 		f.state = state
 	}
-	l.ahead = time.Time{}
+	l.aheadSince = time.Time{}
 	f.mu.Unlock()
 	if newer {
-		f.Log.Info("state taken", zap.String("from", l.address), zap.Uint64("index", state.Index),
+		f.Log.Info("ledger state applied", zap.String("from", l.address), zap.Uint64("index", state.Index),
 			zap.Int64("version", state.Catalog.Version), zap.Strings("evacuated", state.Evacuated))
 		f.Took(state)
 	}
 }
 
-// State gives the newest state of the ledger that has been fetched.
+// State returns the latest state of the ledger that has been fetched.
 func (f *Follower) State() ledger.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
 }
 
-// InTouch counts the control hosts that have answered lately.
+// InTouch counts the control hosts that have answered and aren't lost.
 func (f *Follower) InTouch() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, l := range f.links {
-		if !l.down && l.life != "" {
+		if !l.lost && l.incarnation != "" {
 			n++
 		}
 	}
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -19,18 +19,18 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// control is a control host with a ledger, on which nothing changes.
-type control struct {
-	asked atomic.Int64
-	wait  atomic.Int64  // that was last asked for
-	hosts []roster.Host // that it names
+// ledgerHost is a control host whose ledger and roster never change.
+type ledgerHost struct {
+	syncs    atomic.Int64
+	lastWait atomic.Int64  // Wait of the last Sync
+	hosts    []roster.Host // its roster
 }
 
-// Sync answers at once where the asking host lacks the newest state, and holds the
-// question otherwise.
-func (c *control) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
-	c.asked.Add(1)
-	c.wait.Store(int64(args.Wait))
+// Sync implements the method of follow.Service. It answers at once if the caller lacks
+// something, and after the requested wait otherwise.
+func (c *ledgerHost) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
+	c.syncs.Add(1)
+	c.lastWait.Store(int64(args.Wait))
 	*reply = follow.SyncReply{Life: "1", Index: 5, Hosts: c.hosts, Roster: 1}
 	if !reply.News(args) {
 		time.Sleep(args.Wait)
@@ -38,29 +38,30 @@
 	return nil
 }
 
-// State gives an empty state.
-func (c *control) State(_ follow.StateArgs, reply *follow.StateReply) error {
+// State implements the method of follow.Service. The state is empty.
+func (c *ledgerHost) State(_ follow.StateArgs, reply *follow.StateReply) error {
 	data, err := ledger.Pack(ledger.State{Index: 5})
 	*reply = follow.StateReply{Index: 5, State: data}
 	return err
 }
 
-// TestFarControlHostsAreAskedSeldom follows a control host of the own region and one of
-// another: the far one holds questions for longer, until the near one is lost.
-func TestFarControlHostsAreAskedSeldom(t *testing.T) {
+// TestRemoteControlHostsAreSyncedLessOften checks that the control host of a remote region
+// is polled with a longer wait while one of the own region answers, and with the usual wait
+// afterwards.
+func TestRemoteControlHostsAreSyncedLessOften(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	defer group.Wait()
 	defer cancel()
-	near, stopNear := context.WithCancel(ctx)
+	localCtx, stopLocal := context.WithCancel(ctx)
 	var hosts []roster.Host
 	var seeds []string
-	controls := make([]*control, 2)
+	controls := make([]*ledgerHost, 2)
 	listeners := make([]net.Listener, 2)
 	for i, region := range []string{"here", "there"} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
-		listeners[i], controls[i] = listener, &control{}
+		listeners[i], controls[i] = listener, &ledgerHost{}
 		hosts = append(hosts, roster.Host{Name: region, Role: roster.RoleControl, Region: region, Peer: listener.Addr().String()})
 		seeds = append(seeds, listener.Addr().String())
 	}
@@ -68,8 +69,8 @@
 		c.hosts = hosts
 		server := wire.NewServer()
 		must.NoError(t, server.Register(follow.Service, c))
-		bound := []context.Context{near, ctx}[i]
-		group.Go(func() { _ = server.Serve(bound, listeners[i]) })
+		serverCtx := []context.Context{localCtx, ctx}[i]
+		group.Go(func() { _ = server.Serve(serverCtx, listeners[i]) })
 	}
 	follower := follow.New(follow.Deps{
 		Self:  func() roster.Host { return roster.Host{Name: "g", Role: roster.RoleGateway, Region: "here"} },
@@ -79,24 +80,24 @@
 	group.Go(func() { _ = follower.Run(ctx) })
 	wantWait := func(want time.Duration) {
 		t.Helper()
-		for until := time.Now().Add(20 * time.Second); controls[1].wait.Load() != int64(want); time.Sleep(10 * time.Millisecond) {
-			must.True(t, time.Now().Before(until), must.Sprintf("the far one is asked to wait for %v", want))
+		for until := time.Now().Add(20 * time.Second); controls[1].lastWait.Load() != int64(want); time.Sleep(10 * time.Millisecond) {
+			must.True(t, time.Now().Before(until), must.Sprintf("the remote control host must be polled with a wait of %v", want))
 		}
 	}
 	wantWait(follow.FarWait)
-	stopNear()
+	stopLocal()
 	wantWait(follow.SyncWait)
 }
 
-// TestAControlHostAsksNoOtherForTheLedger follows a control host as another does,
-// which has a replica of the ledger itself: its questions must stand, and not come
-// back at once because the other has a ledger too.
-func TestAControlHostAsksNoOtherForTheLedger(t *testing.T) {
+// TestControlHostFetchesNoLedgerFromOthers guards against a busy loop between control hosts:
+// a Sync that asks for the other's ledger state would return at once every time, because a
+// control host never fetches that state.
+func TestControlHostFetchesNoLedgerFromOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	defer group.Wait()
 	defer cancel()
-	c, server := &control{}, wire.NewServer()
+	c, server := &ledgerHost{}, wire.NewServer()
 	must.NoError(t, server.Register(follow.Service, c))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -109,5 +110,5 @@
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
 	time.Sleep(time.Second)
-	must.Between(t, 1, c.asked.Load(), 5, must.Sprint("two questions a second, and the first ones"))
+	must.Between(t, 1, c.syncs.Load(), 5, must.Sprint("two polls a second, and the first ones"))
 }
--- a/follow/link.go
+++ b/follow/link.go
@@ -1,4 +1,4 @@
-// This file defines what is known of one control host, and how it is asked.
+// This file defines the state of the connection to one control host.
 
 package follow
 
@@ -10,52 +10,53 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// link is what is known of one control host.
+// link is the state of polling one control host.
 type link struct {
-	address  string
-	cancel   context.CancelFunc
-	named    time.Time // when a seed or a roster last named it
-	answered time.Time
-	wait     time.Duration // for which it holds questions
-	host     roster.Host   // as rosters tell, zero while unknown
-	life     string
-	number   uint64
-	roster   uint64
-	rosters  int                    // changes of hosts so far
-	hosts    map[string]roster.Host // by name
-	controls []roster.Host          // of those, the control hosts
-	ahead    time.Time              // since when it has had a newer state
-	down     bool                   // its loss has been logged
-	sure     []sure                 // of which states it was sure, the newest last
-	told     roster.Host            // what it knows of this host
-	telling  roster.Host            // what it is being told
-	hears    []string               // control hosts of this host's region, by name
+	address       string
+	cancel        context.CancelFunc
+	namedAt       time.Time              // when a seed or a roster last named it
+	answeredAt    time.Time              // time of the last answer, or of the link's start
+	wait          time.Duration          // how long the current poll allows it to delay its answer
+	host          roster.Host            // its description, zero while unknown
+	incarnation   string                 // as of the last answer, "" before the first
+	engineCursor  uint64                 // change number up to which its engine updates were received
+	rosterCursor  uint64                 // the same for its hosts
+	rosterChanges int                    // how often hosts has changed
+	hosts         map[string]roster.Host // by name; nil while it is polled briefly
+	controls      []roster.Host          // the control hosts among hosts
+	aheadSince    time.Time              // since when it has had a newer state than this host
+	lost          bool                   // it has not answered within timeout, which was logged
+	freshness     []freshnessPoint       // the latest last
+	knownSelf     roster.Host            // description of this host that it has
+	sentSelf      roster.Host            // description of this host in the current poll
+	connectedTo   []string               // control hosts of this host's region that it is connected to, by name
 }
 
-// brief tells whether a control host is asked for no hosts and engines, because another
-// tells them: for one of this region, a control host of this data centre that hears it;
-// for one of another region, any of this region. Told by all, what hundreds of gateways hear of
-// thousands of engines would cost more than they earn. The lock is held.
-func (f *Follower) brief(l *link, self roster.Host) bool {
+// shouldSyncBriefly reports whether to poll a control host without requesting hosts and
+// engines, because another one sends them: for a control host of this region, one of this
+// data centre that is connected to it; for one of a remote region, any of this region. If
+// all control hosts sent them, updates about thousands of engines to hundreds of gateways
+// would cost more than they are worth. The caller holds the lock.
+func (f *Follower) shouldSyncBriefly(l *link, self roster.Host) bool {
 	if f.Took == nil || l.host.DataCentre == self.DataCentre && l.host.DataCentre != "" {
 		return false
 	}
 	if l.host.Region == "" {
-		return l.life == "" // its answer tells where it stands
+		return l.incarnation == "" // its first answer says where it is
 	}
 	now := f.Clock()
-	for _, near := range f.links {
-		if near == l || near.host.Region != self.Region || !near.inTouch(now) || near.hosts == nil {
+	for _, other := range f.links {
+		if other == l || other.host.Region != self.Region || !other.inTouch(now) || other.hosts == nil {
 			continue
 		}
-		if l.host.Region != self.Region || (near.host.DataCentre == self.DataCentre && slices.Contains(near.hears, l.host.Name)) {
+		if l.host.Region != self.Region || (other.host.DataCentre == self.DataCentre && slices.Contains(other.connectedTo, l.host.Name)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Hears gives the names of the control hosts of a region that are in touch.
+// Hears returns the names of the control hosts of a region that are connected, sorted.
 func (f *Follower) Hears(region string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,40 +71,40 @@
 	return out
 }
 
-// silence gives how old the last answer of a control host that is in touch may be.
-func (l *link) silence() time.Duration { return max(l.wait, SyncWait) + syncSlack }
+// timeout returns how old the last answer of a connected control host may be.
+func (l *link) timeout() time.Duration { return max(l.wait, SyncWait) + syncSlack }
 
-// inTouch tells whether the control host has answered lately.
+// inTouch reports whether the control host has answered within its timeout.
 func (l *link) inTouch(now time.Time) bool {
-	return l.life != "" && now.Sub(l.answered) <= l.silence()
+	return l.incarnation != "" && now.Sub(l.answeredAt) <= l.timeout()
 }
 
-// meet notes what the control host knows of this host. It tells whether that is nothing,
-// so that the answer holds nothing either.
-func (f *Follower) meet(l *link, reply SyncReply) (stranger bool) {
+// noteKnownSelf records which description of this host the control host has. It reports
+// whether the control host has none, in which case the answer contains nothing else.
+func (f *Follower) noteKnownSelf(l *link, reply SyncReply) (unknown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l.told = l.telling
+	l.knownSelf = l.sentSelf
 	if reply.Stranger {
-		l.told = roster.Host{}
+		l.knownSelf = roster.Host{}
 	}
 	return reply.Stranger
 }
 
-// forgetNews forgets what a control host told before it was asked briefly: it would
-// be out of date when it is asked for it again.
-func (l *link) forgetNews() {
-	l.number, l.roster, l.hosts, l.controls = 0, 0, nil, nil
+// resetCursors drops the hosts and cursors that a control host has sent before it is polled
+// briefly: they would be outdated when it is asked for hosts and engines again.
+func (l *link) resetCursors() {
+	l.engineCursor, l.rosterCursor, l.hosts, l.controls = 0, 0, nil, nil
 }
 
-// takeHosts takes over which hosts the control host hears. A control host that
-// has started anew tells all of them.
-func (l *link) takeHosts(reply SyncReply, anew bool) {
-	if !anew && l.hosts != nil && reply.Roster == l.roster {
+// applyHosts applies the hosts in an answer. A control host that has restarted sends all
+// of its hosts instead of the changes.
+func (l *link) applyHosts(reply SyncReply, restarted bool) {
+	if !restarted && l.hosts != nil && reply.Roster == l.rosterCursor {
 		return
 	}
-	l.rosters++
-	if anew || l.hosts == nil {
+	l.rosterChanges++
+	if restarted || l.hosts == nil {
 		l.hosts = make(map[string]roster.Host)
 	}
 	for _, h := range reply.Hosts {
@@ -112,7 +113,7 @@
 	for _, name := range reply.Gone {
 		delete(l.hosts, name)
 	}
-	l.roster = reply.Roster
+	l.rosterCursor = reply.Roster
 	l.controls = l.controls[:0]
 	for _, h := range l.hosts {
 		if h.Role == roster.RoleControl {
--- a/follow/lists.go
+++ b/follow/lists.go
@@ -1,4 +1,4 @@
-// This file defines the lists of hosts that are made of what control hosts tell.
+// This file builds the lists of hosts from the answers of control hosts.
 
 package follow
 
@@ -12,32 +12,32 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// listsLife is how long the lists of hosts are used before they are made anew:
-// each request asks for them.
-const listsLife = 100 * time.Millisecond
+// listsTTL is how long the lists of hosts are used before they are rebuilt. Every request
+// reads them.
+const listsTTL = 100 * time.Millisecond
 
-// Gateways gives the gateways that the control hosts in touch name, each once, in
-// the order of their names; where none is in touch, those that were named last.
-// Where two control hosts tell different things of one, the one that answered
-// last counts. The list must not be changed.
+// Gateways returns the gateways that connected control hosts name, each once, sorted by
+// name. If no control host is connected it returns the last list. If control hosts
+// describe a gateway differently, the one that answered last wins. The caller must not
+// change the list.
 func (f *Follower) Gateways() []roster.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list()
+	f.refreshLists()
 	return f.gateways
 }
 
-// RegionOf gives the region of the host at an address; false where no control
-// host in touch has named it.
+// RegionOf returns the region of the host with that address, and false if no connected
+// control host has named one.
 func (f *Follower) RegionOf(address string) (region string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list()
+	f.refreshLists()
 	region, ok = f.regions[ipOf(address)]
 	return region, ok
 }
 
-// ipOf gives the IP number of an address with a port.
+// ipOf returns the IP address of a host and port.
 func ipOf(address string) string {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -46,55 +46,56 @@
 	return ip
 }
 
-// list makes the lists of hosts anew where something has changed since they were made:
-// to join what six control hosts tell of 300 takes 0.5 ms of a processor. The lock is
-// held.
-func (f *Follower) list() {
+// refreshLists rebuilds the lists of hosts if their sources have changed: merging the
+// lists of 300 hosts from six control hosts takes 0.5 ms of processor time. The caller
+// holds the lock.
+func (f *Follower) refreshLists() {
 	now := f.Clock()
-	if now.Sub(f.listed) < listsLife {
+	if now.Sub(f.listsAt) < listsTTL {
 		return
 	}
-	f.listed = now
-	telling := f.telling(now)
-	if slices.Equal(telling, f.listedOf) {
+	f.listsAt = now
+	sources := f.connectedLinks(now)
+	if slices.Equal(sources, f.listSources) {
 		return
 	}
-	f.listedOf = telling
-	newest := make(map[string]roster.Host)
+	f.listSources = sources
+	latest := make(map[string]roster.Host)
 	regions := make(map[string]string)
-	for _, t := range telling {
-		for name, h := range t.link.hosts {
+	for _, source := range sources {
+		for name, h := range source.link.hosts {
 			regions[ipOf(h.Peer)] = h.Region
 			if h.Role != roster.RoleGateway {
 				continue
 			}
-			h.Heard = t.link.answered
-			if known, ok := newest[name]; !ok || h.Heard.After(known.Heard) {
-				newest[name] = h
+			h.Heard = source.link.answeredAt
+			if previous, ok := latest[name]; !ok || h.Heard.After(previous.Heard) {
+				latest[name] = h
 			}
 		}
 	}
-	if len(telling) > 0 {
+	if len(sources) > 0 {
 		f.regions = regions
-		f.gateways = slices.SortedFunc(maps.Values(newest), func(a, b roster.Host) int { return strings.Compare(a.Name, b.Name) })
+		f.gateways = slices.SortedFunc(maps.Values(latest), func(a, b roster.Host) int { return strings.Compare(a.Name, b.Name) })
 	}
 }
 
-// teller is a control host in touch, and how often the hosts that it names had changed.
-type teller struct {
-	link    *link
-	rosters int
+// listSource is a connected control host with the version of its list of hosts.
+type listSource struct {
+	link          *link
+	rosterChanges int
 }
 
-// telling gives the control hosts in touch, in the order of their addresses. One that
-// is gone would name for ever the gateways that went after it. The lock is held.
-func (f *Follower) telling(now time.Time) []teller {
-	var out []teller
+// connectedLinks returns the connected control hosts that send hosts, sorted by address. A
+// lost control host is left out: its last list would retain gateways that stop after its
+// loss. The caller holds the lock.
+func (f *Follower) connectedLinks(now time.Time) []listSource {
+	var out []listSource
 	for _, l := range f.links {
 		if l.inTouch(now) && l.hosts != nil {
-			out = append(out, teller{l, l.rosters})
+			out = append(out, listSource{l, l.rosterChanges})
 		}
 	}
-	slices.SortFunc(out, func(a, b teller) int { return strings.Compare(a.link.address, b.link.address) })
+	slices.SortFunc(out, func(a, b listSource) int { return strings.Compare(a.link.address, b.link.address) })
 	return out
 }
--- a/follow/messages.go
+++ b/follow/messages.go
@@ -1,4 +1,4 @@
-// This file defines what hosts ask of control hosts, over net/rpc.
+// This file defines the arguments and replies of the net/rpc calls to control hosts.
 
 package follow
 
@@ -12,124 +12,125 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// ErrNoLeader says that no control host leads, as far as is known here.
+// ErrNoLeader is returned while no control host is known to lead the ledger.
 var ErrNoLeader = errors.New("no leader of the ledger is known")
 
-// Service is the name under which a control host answers.
+// Service is the net/rpc name of the service that control hosts register.
 const Service = "Control"
 
-// SyncArgs tells a control host of the caller, and asks for what is new.
+// SyncArgs describes the caller to a control host and asks for changes.
 type SyncArgs struct {
 	Self roster.Host
-	// Known says that Self is as it was told before, and holds just its name and life: to
-	// tell all of it with every question was most of what gateways sent to other regions.
+	// Known says that Self has not changed since the last call, and contains just the name
+	// and the incarnation. A full description in every call was most of what gateways
+	// sent to other regions.
 	Known   bool
-	Life    string        // of the control host that Engines counts for
-	Engines uint64        // number up to which the caller knows its engines
+	Life    string        // incarnation of the control host that Engines and Roster refer to
+	Engines uint64        // change number up to which the caller has the engines
 	Index   uint64        // of the ledger's state that the caller has
-	Roster  uint64        // number up to which the caller knows the hosts
-	Wait    time.Duration // how long to wait for something new
-	// Brief asks for no engines and no hosts: a nearer control host tells the caller of
-	// them.
+	Roster  uint64        // change number up to which the caller has the hosts
+	Wait    time.Duration // how long to wait for a change
+	// Brief asks for no engines and no hosts: a closer control host sends them to the
+	// caller.
 	Brief bool
-	// Sure tells that the caller knows up to when its state holds; one that doesn't is
-	// answered as soon as the control host does.
+	// Sure says that the caller has a Freshness from this control host. A caller that has
+	// none is answered as soon as the control host has one.
 	Sure bool
 }
 
-// SyncReply is what a control host knows and the caller doesn't.
+// SyncReply contains the changes that the caller doesn't have yet.
 type SyncReply struct {
-	Life     string
+	Life     string // incarnation of the control host
 	Index    uint64 // of the ledger's state that can be fetched
 	Engines  []EngineNews
-	Number   uint64        // up to which Engines reaches
-	Hosts    []roster.Host // that came or changed, without times
-	Gone     []string      // names of hosts that went
-	Roster   uint64        // up to which Hosts and Gone reach
-	Stranger bool          // the control host doesn't know the caller, who must tell of itself
+	Number   uint64        // change number up to which Engines reaches
+	Hosts    []roster.Host // new or changed hosts, without times
+	Gone     []string      // names of removed hosts
+	Roster   uint64        // change number up to which Hosts and Gone reach
+	Stranger bool          // the control host doesn't have the caller's description, which must be sent again
 	Sure     Surety
 	Self     roster.Host // the control host
-	Hears    []string    // names of other control hosts of the caller's region that it is in touch with
+	Hears    []string    // names of control hosts of the caller's region that it is connected to
 }
 
-// Surety says up to when a control host is sure of the ledger's state.
+// Surety says up to when a control host's state of the ledger is complete.
 type Surety struct {
-	Known bool
+	Known bool          // false if the control host can't tell
 	Index uint64        // of the state, or of a later one
-	Age   time.Duration // everything that was accepted so long before the answer is in it
-	Held  time.Duration // from the question until the answer
+	Age   time.Duration // the state contains everything accepted until this long before the answer
+	Held  time.Duration // time between the request's arrival and the answer
 }
 
-// News tells whether the reply holds anything that the caller didn't know.
+// News reports whether the reply contains anything that the caller doesn't have.
 func (r SyncReply) News(args SyncArgs) bool {
 	return r.Urgent(args) || len(r.Engines) > 0 || (!args.Brief && r.Roster != args.Roster)
 }
 
-// Urgent tells whether the caller should know at once: the control host is
-// another than it was, or has a newer state of the ledger.
+// Urgent reports whether the caller should be answered at once: the control host has
+// restarted, has a newer state of the ledger, or has the first Freshness.
 func (r SyncReply) Urgent(args SyncArgs) bool {
 	return r.Life != args.Life || r.Index > args.Index || (r.Sure.Known && !args.Sure)
 }
 
-// EngineNews is an engine whose source is empty where that is the teller itself, and whose times are told as durations, because two hosts'
-// clocks show different times.
+// EngineNews is the state of an engine as it is sent to another host. Its times are
+// durations, because the clocks of hosts differ.
 type EngineNews struct {
-	Engine   registry.Engine // without times
+	Engine   registry.Engine // without times; Source is empty if it is the sender
 	ColdFor  time.Duration
-	GoneIn   time.Duration // 0 where not known
+	GoneIn   time.Duration // 0 if not known
 	HeardAgo time.Duration
 }
 
-// TellArgs has a control host tell its gateways of an engine that drains or has left.
+// TellArgs asks a control host to inform its gateways of an engine that drains or has left.
 type TellArgs struct {
 	Engine EngineNews
 }
 
-// StateArgs asks for the ledger's state.
+// StateArgs are the arguments of the call that fetches the ledger's state.
 type StateArgs struct{}
 
-// StateReply is the ledger's state, packed, without the operator's source.
+// StateReply is the ledger's state, encoded, without the source text of its configuration.
 type StateReply struct {
 	Index uint64
 	State []byte
 }
 
-// ProposeArgs carries a command of the ledger to the leader.
+// ProposeArgs forwards a command of the ledger to the leader.
 type ProposeArgs struct {
 	Command []byte
 }
 
-// ReadReply is the index that a confirmed read must have applied.
+// ReadReply is the index that a host must have applied for a linearizable read.
 type ReadReply struct {
 	Index uint64
 }
 
-// Nothing stands where a call has no arguments or no answer.
+// Nothing is the type of arguments and replies without content.
 type Nothing struct{}
 
 // Deliveries are messages between replicas of the ledger.
 type Deliveries []raft.Envelope
 
-// newsOf tells of an engine in terms that hold on any host.
-func newsOf(e registry.Engine, now time.Time) EngineNews {
-	n := EngineNews{Engine: e, ColdFor: max(0, e.ColdUntil.Sub(now)), HeardAgo: now.Sub(e.Heard)}
+// newEngineUpdate converts an engine's times to durations.
+func newEngineUpdate(e registry.Engine, now time.Time) EngineNews {
+	update := EngineNews{Engine: e, ColdFor: max(0, e.ColdUntil.Sub(now)), HeardAgo: now.Sub(e.Heard)}
 	if !e.GoneAt.IsZero() {
-		n.GoneIn = max(1, e.GoneAt.Sub(now))
+		update.GoneIn = max(1, e.GoneAt.Sub(now))
 	}
-	n.Engine.ColdUntil, n.Engine.GoneAt, n.Engine.Heard, n.Engine.Began = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	return n
+	update.Engine.ColdUntil, update.Engine.GoneAt, update.Engine.Heard, update.Engine.Began = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	return update
 }
 
-// NewsOf tells of engines in terms that hold on any host.
+// NewsOf converts engines to the form that is sent to other hosts.
 func NewsOf(engines []registry.Engine, now time.Time) []EngineNews {
 	out := make([]EngineNews, len(engines))
 	for i, e := range engines {
-		out[i] = newsOf(e, now)
+		out[i] = newEngineUpdate(e, now)
 	}
 	return out
 }
 
-// Local gives the engine in the terms of this process's clock.
+// Local converts the update to an engine with times of this process's clock.
 func (n EngineNews) Local(now time.Time) registry.Engine {
 	e := n.Engine
 	e.Heard = now.Add(-n.HeardAgo)
--- a/follow/surety.go
+++ b/follow/surety.go
@@ -1,46 +1,47 @@
-// This file defines how a host knows up to when its state of the ledger holds.
+// This file tracks up to when this host's state of the ledger is complete.
 
 package follow
 
 import "time"
 
-// sure says that a state, or a later one, held everything that had been accepted by a
-// time of this host's steady clock.
-type sure struct {
+// freshnessPoint says that the state with an index, or a later one, contains everything
+// accepted until a time of this host's steady clock.
+type freshnessPoint struct {
 	index uint64
 	at    time.Duration
 }
 
-// sureties is of how many states a control host's word is remembered: while a newer one
-// is fetched, the one before still counts, also where changes come in quick succession.
-const sureties = 8
+// maxFreshnessPoints is how many states of one control host are tracked. The points of
+// earlier states still count while a newer state is being fetched, also when changes
+// follow each other quickly.
+const maxFreshnessPoints = 8
 
-// takeSurety takes over what a control host is sure of. It answered Held after the
-// question came in, which was after it was asked; so the time is rather too early than
-// too late, however long the answer or either host took.
-func (l *link) takeSurety(s Surety, asked time.Duration) {
+// recordFreshness records a control host's Freshness. The answer was sent at sentAt+Held at
+// the earliest, so the resulting time may be too early, but never too late, however long
+// the call or either host took.
+func (l *link) recordFreshness(s Surety, sentAt time.Duration) {
 	if !s.Known {
 		return
 	}
-	newest := sure{s.Index, asked + s.Held - s.Age}
-	if last := len(l.sure) - 1; last >= 0 && l.sure[last].index == s.Index {
-		l.sure[last] = newest
+	point := freshnessPoint{s.Index, sentAt + s.Held - s.Age}
+	if last := len(l.freshness) - 1; last >= 0 && l.freshness[last].index == s.Index {
+		l.freshness[last] = point
 		return
 	}
-	l.sure = append(l.sure, newest)
-	l.sure = l.sure[max(0, len(l.sure)-sureties):]
+	l.freshness = append(l.freshness, point)
+	l.freshness = l.freshness[max(0, len(l.freshness)-maxFreshnessPoints):]
 }
 
-// SureUntil gives the time of the steady clock up to which everything that was accepted
-// is in the state of that index, as far as any control host has told; false where none
-// has.
+// SureUntil returns the time of the steady clock until which every accepted command is
+// contained in the state with that index, according to any control host. It returns
+// false if no control host has reported one.
 func (f *Follower) SureUntil(index uint64) (at time.Duration, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.links {
-		for _, s := range l.sure {
-			if s.index <= index && (!known || s.at > at) {
-				at, known = s.at, true
+		for _, point := range l.freshness {
+			if point.index <= index && (!known || point.at > at) {
+				at, known = point.at, true
 			}
 		}
 	}
