--- a/follow/brief_test.go
+++ b/follow/brief_test.go
@@ -73,7 +73,7 @@
 	controls := make(map[string]*fakeControlHost)
 	stops := make(map[string]context.CancelFunc)
 	var seeds []string
-	for name, place := range map[string][2]string{"own": {"here", "a"}, "other": {"here", "b"}, "far": {"there", "c"}} {
+	for name, place := range map[string][2]string{"own": {"here", "a"}, "other": {"here", "b"}, "remote": {"there", "c"}} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		c := &fakeControlHost{self: roster.Host{Name: name, Role: roster.RoleControl, Region: place[0], DataCentre: place[1], Peer: listener.Addr().String()}}
@@ -111,19 +111,19 @@
 			}
 		}
 	}
-	waitForBrief("own is connected to no other", map[string]bool{"own": false, "other": false, "far": true})
+	waitForBrief("own is connected to no other", map[string]bool{"own": false, "other": false, "remote": true})
 	controls["own"].setConnectedTo("other")
-	waitForBrief("own is connected to other", map[string]bool{"own": false, "other": true, "far": true})
+	waitForBrief("own is connected to other", map[string]bool{"own": false, "other": true, "remote": true})
 	for until := time.Now().Add(20 * time.Second); len(follower.Gateways()) != 1; time.Sleep(10 * time.Millisecond) {
 		must.True(t, time.Now().Before(until))
 	}
 	must.Eq(t, "g-own", follower.Gateways()[0].Name)
 	controls["own"].setConnectedTo()
-	waitForBrief("own has lost other", map[string]bool{"own": false, "other": false, "far": true})
+	waitForBrief("own has lost other", map[string]bool{"own": false, "other": false, "remote": true})
 	stops["own"]()
-	waitForBrief("own has stopped", map[string]bool{"other": false, "far": true})
+	waitForBrief("own has stopped", map[string]bool{"other": false, "remote": true})
 	stops["other"]()
-	waitForBrief("own and other have stopped", map[string]bool{"far": false})
+	waitForBrief("own and other have stopped", map[string]bool{"remote": false})
 }
 
 // TestHostSendsItsDescriptionOnce guards against a full description in every poll. It is
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -6,8 +6,8 @@
 // Follower polls it again at once. The request describes the polling host, so that it is
 // the host's heartbeat too. Answers are merged: engines into a registry.Table, where the
 // latest report of each engine wins, and the ledger's state by its index, which never
-// goes back. All control hosts are equal; one that is partitioned, slow or stopped just
-// contributes nothing new.
+// goes back. No control host takes precedence over another; one that is partitioned, slow
+// or stopped just contributes nothing new.
 //
 // Control hosts are found through the seeds in the settings, and through the rosters of
 // the control hosts that answer. Control hosts follow each other in the same way.
@@ -63,8 +63,8 @@
 	Seeds   func() []string    // peer addresses of control hosts, from the settings
 	Calls   *wire.Client
 	Engines *registry.Table
-	// Took is called with each newer state of the ledger. It is nil on a control host,
-	// which has its own replica of the ledger.
+	// Called with each newer state of the ledger. It is nil on a control host, which has
+	// its own replica of the ledger.
 	Took  func(ledger.State)
 	Log   *zap.Logger
 	Clock func() time.Time
@@ -253,7 +253,7 @@
 		return true
 	}
 	for _, other := range f.links {
-		if other.host.Region == region && other.inTouch(now) {
+		if other.host.Region == region && other.isConnected(now) {
 			return false
 		}
 	}
--- a/follow/link.go
+++ b/follow/link.go
@@ -46,7 +46,7 @@
 	}
 	now := f.Clock()
 	for _, other := range f.links {
-		if other == l || other.host.Region != self.Region || !other.inTouch(now) || other.hosts == nil {
+		if other == l || other.host.Region != self.Region || !other.isConnected(now) || other.hosts == nil {
 			continue
 		}
 		if l.host.Region != self.Region || (other.host.DataCentre == self.DataCentre && slices.Contains(other.connectedTo, l.host.Name)) {
@@ -63,7 +63,7 @@
 	now := f.Clock()
 	var out []string
 	for _, l := range f.links {
-		if l.host.Region == region && l.inTouch(now) {
+		if l.host.Region == region && l.isConnected(now) {
 			out = append(out, l.host.Name)
 		}
 	}
@@ -74,8 +74,8 @@
 // timeout returns how old the last answer of a connected control host may be.
 func (l *link) timeout() time.Duration { return max(l.wait, SyncWait) + syncSlack }
 
-// inTouch reports whether the control host has answered within its timeout.
-func (l *link) inTouch(now time.Time) bool {
+// isConnected reports whether the control host has answered within its timeout.
+func (l *link) isConnected(now time.Time) bool {
 	return l.incarnation != "" && now.Sub(l.answeredAt) <= l.timeout()
 }
 
--- a/follow/lists.go
+++ b/follow/lists.go
@@ -92,7 +92,7 @@
 func (f *Follower) connectedLinks(now time.Time) []listSource {
 	var out []listSource
 	for _, l := range f.links {
-		if l.inTouch(now) && l.hosts != nil {
+		if l.isConnected(now) && l.hosts != nil {
 			out = append(out, listSource{l, l.rosterChanges})
 		}
 	}
--- a/follow/messages.go
+++ b/follow/messages.go
@@ -131,14 +131,14 @@
 }
 
 // Local converts the update to an engine with times of this process's clock.
-func (n EngineNews) Local(now time.Time) registry.Engine {
-	e := n.Engine
-	e.Heard = now.Add(-n.HeardAgo)
-	if n.ColdFor > 0 {
-		e.ColdUntil = now.Add(n.ColdFor)
+func (u EngineNews) Local(now time.Time) registry.Engine {
+	e := u.Engine
+	e.Heard = now.Add(-u.HeardAgo)
+	if u.ColdFor > 0 {
+		e.ColdUntil = now.Add(u.ColdFor)
 	}
-	if n.GoneIn > 0 {
-		e.GoneAt = now.Add(n.GoneIn)
+	if u.GoneIn > 0 {
+		e.GoneAt = now.Add(u.GoneIn)
 	}
 	return e
 }
--- a/registry/lives_test.go
+++ b/registry/lives_test.go
@@ -50,8 +50,8 @@
 	e, _ := table.Get("i-1")
 	must.Eq(t, int64(200), e.Born)
 	must.NotEq(t, heartbeatOf(100, 1).Incarnation(), heartbeatOf(200, 1).Incarnation())
-	news, _ := table.Since(0, anyEngine)
-	must.SliceLen(t, 1, news)
+	changes, _ := table.Since(0, anyEngine)
+	must.SliceLen(t, 1, changes)
 }
 
 // TestNewIncarnationIsAChange checks that a new incarnation is announced even if nothing
@@ -61,6 +61,6 @@
 	table.Beat(heartbeatOf(100, 5))
 	number := table.Number()
 	must.True(t, table.Beat(heartbeatOf(200, 5)))
-	news, _ := table.Since(number, anyEngine)
-	must.SliceLen(t, 1, news)
+	changes, _ := table.Since(number, anyEngine)
+	must.SliceLen(t, 1, changes)
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -3,8 +3,8 @@
 // Engines are soft state: each sends a heartbeat to one control host about every second,
 // and a Table isn't persisted. Control hosts and gateways each have a Table. A control
 // host fills its own from heartbeats with Beat and Leave, and every host merges the
-// updates of the control hosts that it follows. Only changes are sent: Since returns what
-// has changed after a cursor.
+// updates of the control hosts that it follows. Only changes are sent: the receiver's
+// cursor, the number of the last change that it has, selects them.
 //
 // Every start of an engine is a new incarnation. It has an ID of its own, or the ID of
 // the previous incarnation and a later start time. Its heartbeats have increasing
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -84,9 +84,9 @@
 	_, number := receiver.Since(0, anyEngine) // the other host has these already
 	for sequence := int64(6); sequence < 15; sequence++ {
 		receiver.Beat(heartbeat("i-1", sequence))
-		var news []registry.Engine
-		news, number = receiver.Since(number, anyEngine)
-		other.Merge(news)
+		var changes []registry.Engine
+		changes, number = receiver.Since(number, anyEngine)
+		other.Merge(changes)
 		c.advance(time.Second)
 		otherClock.advance(time.Second)
 		must.SliceEmpty(t, receiver.Expire())
@@ -99,21 +99,21 @@
 	receiver, c := newTable("x")
 	receiver.Beat(heartbeat("i-1", 1))
 	other := registry.New("y", time.Second, c.time)
-	news, _ := receiver.Since(0, anyEngine)
-	other.Merge(news)
+	changes, _ := receiver.Since(0, anyEngine)
+	other.Merge(changes)
 	c.advance(3 * time.Second)
 	must.SliceEmpty(t, receiver.Expire())
 	c.advance(time.Second)
 	must.SliceLen(t, 1, receiver.Expire())
 	must.SliceEmpty(t, other.Expire())
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
-	news, _ = receiver.Since(0, anyEngine)
-	other.Merge(news)
+	changes, _ = receiver.Since(0, anyEngine)
+	other.Merge(changes)
 	must.Eq(t, registry.Silent, phaseOf(t, other, "i-1"))
 	// Meanwhile it sends its heartbeats to another host.
 	must.True(t, other.Beat(heartbeat("i-1", 2)))
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
-	other.Merge(news)
+	other.Merge(changes)
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
 }
 
@@ -167,12 +167,12 @@
 func TestSinceReturnsOnlyChanges(t *testing.T) {
 	table, c := newTable("x")
 	table.Beat(heartbeat("i-1", 1))
-	news, number := table.Since(0, anyEngine)
-	must.SliceLen(t, 1, news)
+	changes, number := table.Since(0, anyEngine)
+	must.SliceLen(t, 1, changes)
 	c.advance(time.Second)
 	table.Beat(heartbeat("i-1", 2))
-	news, number = table.Since(number, anyEngine)
-	must.SliceEmpty(t, news, must.Sprint("a heartbeat without changes"))
+	changes, number = table.Since(number, anyEngine)
+	must.SliceEmpty(t, changes, must.Sprint("a heartbeat without changes"))
 	changed := table.Changed()
 	cold := heartbeat("i-1", 3)
 	cold.ColdUntil = c.now.Add(3 * time.Second)
@@ -182,25 +182,25 @@
 	default:
 		t.Fatal("a change must close the channel")
 	}
-	news, number = table.Since(number, anyEngine)
-	must.SliceLen(t, 1, news)
+	changes, number = table.Since(number, anyEngine)
+	must.SliceLen(t, 1, changes)
 	// The end of the cold period draws nearer, which isn't a change.
 	c.advance(time.Second)
 	nearer := heartbeat("i-1", 4)
 	nearer.ColdUntil = c.now.Add(2*time.Second + 10*time.Millisecond)
 	table.Beat(nearer)
-	news, _ = table.Since(number, anyEngine)
-	must.SliceEmpty(t, news)
-	news, _ = table.Since(0, func(e registry.Engine) bool { return e.DataCentre == "b" })
-	must.SliceEmpty(t, news)
+	changes, _ = table.Since(number, anyEngine)
+	must.SliceEmpty(t, changes)
+	changes, _ = table.Since(0, func(e registry.Engine) bool { return e.DataCentre == "b" })
+	must.SliceEmpty(t, changes)
 }
 
 func TestConfirmedEnginesAreRetained(t *testing.T) {
 	receiver, c := newTable("x")
 	receiver.Beat(heartbeat("i-1", 1))
-	news, _ := receiver.Since(0, anyEngine)
+	changes, _ := receiver.Since(0, anyEngine)
 	follower := registry.New("f", time.Second, c.time)
-	follower.Merge(news)
+	follower.Merge(changes)
 	c.advance(50 * time.Second)
 	follower.Confirm("x")
 	c.advance(50 * time.Second)
--- a/rollup/board.go
+++ b/rollup/board.go
@@ -30,7 +30,7 @@
 	reportHistory = 10
 )
 
-// Deps are the dependencies of a Board.
+// Deps are the dependencies of New.
 type Deps struct {
 	Self  roster.Host          // name, region, data centre and address of this gateway
 	Hosts func() []roster.Host // gateways of all regions that have a live heartbeat
@@ -74,7 +74,7 @@
 	Message Message
 }
 
-// New makes a Board that has received nothing yet.
+// New makes an empty Board, which has received nothing yet.
 func New(deps Deps) *Board {
 	return &Board{
 		Deps: deps, memberReports: make(map[uint32]receivedMessage), groupSums: make(map[Group]receivedMessage),
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -14,23 +14,22 @@
 // change: an engine that is missing has no load.
 type Report struct {
 	Engines []EngineLoad `cbor:"1,keyasint,omitempty"`
-	// Parts are the prompt blocks that were recently sent to engines.
+	// Prompt blocks that were recently sent to engines.
 	Parts []SentPart `cbor:"2,keyasint,omitempty"`
-	// Dead are hashes of engines that recently couldn't be reached.
+	// Hashes of engines that recently couldn't be reached.
 	Dead []uint64 `cbor:"3,keyasint,omitempty"`
-	// Gone are hashes of engines at whose addresses another engine answered.
+	// Hashes of engines at whose addresses another engine answered.
 	Gone []uint64 `cbor:"4,keyasint,omitempty"`
-	// Accounts are the client accounts whose callers currently send requests.
+	// The client accounts whose callers currently send requests.
 	Accounts []AccountUse `cbor:"5,keyasint,omitempty"`
-	// Crashes are recent changes of the crash records of requests.
+	// Recent changes of the crash records of requests.
 	Crashes []quarantine.Note `cbor:"6,keyasint,omitempty"`
-	// Limits are recent changes of the rate limits that engines announce, and a few of
-	// the unchanged ones in rotation.
+	// Recent changes of the rate limits that engines announce, and a few of the unchanged
+	// ones in rotation.
 	Limits []ratelimit.Note `cbor:"7,keyasint,omitempty"`
-	// Leaving are hashes of engines that recently announced in an answer that they drain.
+	// Hashes of engines that recently announced in an answer that they drain.
 	Leaving []uint64 `cbor:"8,keyasint,omitempty"`
-	// Resting are engines in backoff: they have asked gateways to send nothing for a
-	// while, and that time isn't over.
+	// Engines that have asked gateways to back off, until that time is over.
 	Resting []Resting `cbor:"9,keyasint,omitempty"`
 }
 
@@ -82,9 +81,9 @@
 	Region string        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint,omitempty"` // since it reached the receiving region
 	Body   []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Board
-	// Accounts is what the region's callers do.
+	// What the region's callers do.
 	Accounts []AccountUse `cbor:"4,keyasint,omitempty"`
-	// Crashes are the crash records of requests that the region's gateways report.
+	// The crash records of requests that the region's gateways report.
 	Crashes []quarantine.Note `cbor:"5,keyasint,omitempty"`
 }
 
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -239,7 +239,7 @@
 		}
 	}
 	must.MapLen(t, 2, centres, must.Sprint("the recipients must survive the loss of a data centre"))
-	report := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
+	report := rollup.Message{From: "remote", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
 	for _, peer := range to {
 		must.SliceLen(t, 1, r.aggregators[peer].Hear(report))
 	}
