--- a/follow/brief_test.go
+++ b/follow/brief_test.go
@@ -61,8 +61,8 @@
 	c.connectedTo = names
 }
 
-// TestOnlyOneControlHostIsAskedForHostsAndEngines guards against control hosts that all send
-// the same hosts and engines. The one of the own data centre is polled in full, the other
+// TestOnlyOneControlHostIsAskedForHostsAndEngines guards against control hosts that all
+// send the same hosts and engines. The one of the own data centre is polled in full, the other
 // one of the region only while the first isn't connected to it, and the remote one only
 // while neither answers. Hosts received before a link became brief must not be used.
 func TestOnlyOneControlHostIsAskedForHostsAndEngines(t *testing.T) {
@@ -73,7 +73,7 @@
 	controls := make(map[string]*fakeControlHost)
 	stops := make(map[string]context.CancelFunc)
 	var seeds []string
-	for name, place := range map[string][2]string{"own": {"here", "a"}, "other": {"here", "b"}, "remote": {"there", "c"}} {
+	for name, place := range map[string][2]string{"own": {"here", "a"}, "other": {"here", "b"}, "far": {"there", "c"}} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		c := &fakeControlHost{self: roster.Host{Name: name, Role: roster.RoleControl, Region: place[0], DataCentre: place[1], Peer: listener.Addr().String()}}
@@ -111,19 +111,19 @@
 			}
 		}
 	}
-	waitForBrief("own is connected to no other", map[string]bool{"own": false, "other": false, "remote": true})
+	waitForBrief("own is connected to no other", map[string]bool{"own": false, "other": false, "far": true})
 	controls["own"].setConnectedTo("other")
-	waitForBrief("own is connected to other", map[string]bool{"own": false, "other": true, "remote": true})
+	waitForBrief("own is connected to other", map[string]bool{"own": false, "other": true, "far": true})
 	for until := time.Now().Add(20 * time.Second); len(follower.Gateways()) != 1; time.Sleep(10 * time.Millisecond) {
 		must.True(t, time.Now().Before(until))
 	}
 	must.Eq(t, "g-own", follower.Gateways()[0].Name)
 	controls["own"].setConnectedTo()
-	waitForBrief("own has lost other", map[string]bool{"own": false, "other": false, "remote": true})
+	waitForBrief("own has lost other", map[string]bool{"own": false, "other": false, "far": true})
 	stops["own"]()
-	waitForBrief("own has stopped", map[string]bool{"other": false, "remote": true})
+	waitForBrief("own has stopped", map[string]bool{"other": false, "far": true})
 	stops["other"]()
-	waitForBrief("own and other have stopped", map[string]bool{"remote": false})
+	waitForBrief("own and other have stopped", map[string]bool{"far": false})
 }
 
 // TestHostSendsItsDescriptionOnce guards against a full description in every poll. It is
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -89,9 +89,9 @@
 	wantWait(follow.SyncWait)
 }
 
-// TestControlHostFetchesNoLedgerFromOthers guards against a busy loop between control hosts:
-// a Sync that asks for the other's ledger state would return at once every time, because a
-// control host never fetches that state.
+// TestControlHostFetchesNoLedgerFromOthers guards against a busy loop between control
+// hosts: a Sync that asks for the other's ledger state would return at once every time,
+// because a control host never fetches that state.
 func TestControlHostFetchesNoLedgerFromOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -141,7 +141,8 @@
 }
 
 // mayClaimAddress reports whether an engine that sent a heartbeat may have its address: no
-// other engine owns it, the owner's heartbeats have stopped, or the engine has just started.
+// other engine owns it, the owner's heartbeats have stopped, or the engine has just
+// started.
 func (t *Table) mayClaimAddress(e Engine) bool {
 	previous, known := t.engines[e.ID]
 	newIncarnation := !known || e.Born > previous.Born
@@ -160,8 +161,8 @@
 
 // Leave records that an engine has deregistered with this host. A delayed call of an
 // earlier incarnation changes nothing. An engine without any heartbeat so far is recorded
-// too, so that its delayed heartbeats have no effect. born is 0 if the engine doesn't report
-// a start time.
+// too, so that its delayed heartbeats have no effect. born is 0 if the engine reports no
+// start time.
 func (t *Table) Leave(id string, born int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -55,9 +55,9 @@
 	must.Eq(t, registry.Left, phaseOf(t, table, "i-1"))
 }
 
-// TestRestoredEnginesNeedHeartbeats restores a ready engine and an earlier, silent one at
-// the same address. Without heartbeats the ready one must become silent too, and a newer
-// heartbeat must bring it back.
+// TestRestoredEnginesNeedHeartbeats restores a ready engine and an earlier, unresponsive
+// one at the same address. Without heartbeats the ready one must become unresponsive too,
+// and a newer heartbeat must bring it back.
 func TestRestoredEnginesNeedHeartbeats(t *testing.T) {
 	table, c := newTable("x")
 	ended := heartbeat("i-9", 40)
@@ -74,7 +74,7 @@
 }
 
 // TestRestoredEngineNeedsHeartbeatsToOneHostOnly restores an engine on two hosts, of which
-// only one receives its heartbeats. The other must not mark it silent.
+// only one receives its heartbeats. The other must not mark it unresponsive.
 func TestRestoredEngineNeedsHeartbeatsToOneHostOnly(t *testing.T) {
 	receiver, c := newTable("x")
 	other, otherClock := newTable("y")
--- a/rollup/board.go
+++ b/rollup/board.go
@@ -1,4 +1,4 @@
-// This file defines the state that one gateway has received, and the messages that it sends.
+// This file defines the reports that one gateway has received and the messages it sends.
 
 package rollup
 
@@ -136,23 +136,23 @@
 // leaderMessages returns the messages that a leader sends: the sum of its group to the
 // other leaders, and the sum of the region to its members.
 func (a *Board) leaderMessages(own Report, now time.Time) []Outgoing {
-	groupSum := newSum()
-	groupSum.add(own, 1)
+	acc := newSum()
+	acc.add(own, 1)
 	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Far: a.remoteReports(true, now)}
 	message.Members = []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}}
 	for _, m := range a.memberReports {
-		groupSum.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
+		acc.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
 		message.Members = append(message.Members, m.Members...)
 	}
-	message.Report = groupSum.report()
+	message.Report = acc.report()
 	total := message
 	total.Total = true
 	total.Far = a.remoteReports(false, now)
 	for _, s := range a.groupSums {
-		groupSum.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
+		acc.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
 		total.OtherGateways += len(s.Members)
 	}
-	total.Report = groupSum.report()
+	total.Report = acc.report()
 	var memberAddresses []string
 	for _, h := range a.topology.ranked {
 		if h.Name != a.Self.Name {
@@ -187,8 +187,8 @@
 	return out
 }
 
-// Hear applies a received message. It returns the reports of other regions that are newer than
-// those received before.
+// Hear applies a received message. It returns the reports of other regions that are newer
+// than those received before.
 func (a *Board) Hear(m Message) (newer []FarWord) {
 	now := a.Clock()
 	for _, report := range m.Far {
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxFullMeshPeers is up to how many peer gateways each gateway sends its reports to
-	// all of them directly. With more, leaders cost less.
+	// maxFullMeshPeers is the number of peer gateways up to which each gateway sends its
+	// reports to all of them directly. With more, leaders cost less.
 	maxFullMeshPeers = 8
-	// maxGroupSize is the size of a group above which a data centre gets twice as many
-	// groups; uneven hashes may exceed it. 100 gateways of a region form eight groups of
-	// about twelve, near the square root, where a leader sends the fewest messages.
+	// maxGroupSize bounds the mean size of a data centre's groups; as hashes are uneven,
+	// a group may be larger. 100 gateways in two data centres form eight groups of about
+	// twelve, near the square root, where a leader sends the fewest messages.
 	maxGroupSize = 16
 	// leaderCandidates is how many gateways of a group may lead it, in order of rank.
 	leaderCandidates = 3
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -47,7 +47,7 @@
 	return r
 }
 
-// advance runs the gateways for d. Each sends its reports at its own offset in the interval.
+// advance runs the gateways for d. Each sends at its own offset in the interval.
 func (r *testRegion) advance(d time.Duration) {
 	for until := r.now.Add(d); r.now.Before(until); r.now = r.now.Add(step) {
 		slot := int(r.now.UnixNano()/int64(step)) % int(rollup.Every/step)
@@ -239,7 +239,7 @@
 		}
 	}
 	must.MapLen(t, 2, centres, must.Sprint("the recipients must survive the loss of a data centre"))
-	report := rollup.Message{From: "remote", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
+	report := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
 	for _, peer := range to {
 		must.SliceLen(t, 1, r.aggregators[peer].Hear(report))
 	}
