--- a/rollup/board.go
+++ b/rollup/board.go
@@ -1,4 +1,4 @@
-// This file defines what one gateway has heard, and what it tells.
+// This file defines the reports that one gateway has received and the messages it sends.
 
 package rollup
 
@@ -9,347 +9,356 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// Timing of the telling.
+// Intervals and timeouts of the exchange.
 const (
-	// Every is how often gateways tell. Three steps lie between what a gateway does
-	// and what any other knows, so that all is known 0.3 s old or less.
+	// Every is the interval at which gateways send reports. A report takes up to three
+	// hops, one interval each, so that no gateway's data is older than 0.3 s.
 	Every = 100 * time.Millisecond
-	// Life is how long what was heard is believed: it comes six times within it, and
-	// datagrams are lost now and then.
-	Life = 600 * time.Millisecond
-	// freshTime is how long ago a leader must have been heard for nobody else to be
-	// told: with one message lost and one late it still is.
-	freshTime = 280 * time.Millisecond
-	// lookEvery is how often the list of gateways is looked at: to sort 300 into
-	// groups takes 80 us. A leader that is gone is replaced sooner.
-	lookEvery = 500 * time.Millisecond
-	// remembered is how many of its own reports a gateway remembers, to take them out
-	// of sums that hold them: a report is in sums that are believed for up to Life
-	// after it was told up to 0.2 s before.
-	remembered = 10
+	// ReportTTL is how long a received report counts. Six reports arrive within it, so
+	// that the loss of single datagrams does no harm.
+	ReportTTL = 600 * time.Millisecond
+	// leaderTimeout is how long after the last message from a leader the next candidate
+	// is sent reports too. One lost and one late message don't exceed it.
+	leaderTimeout = 280 * time.Millisecond
+	// topologyInterval is how often the groups are computed from the list of gateways;
+	// sorting 300 gateways into groups takes 80 us. The replacement of a lost leader
+	// doesn't wait for it.
+	topologyInterval = 500 * time.Millisecond
+	// reportHistory is how many of its own reports a gateway retains, to subtract them
+	// from sums that include them. A report reaches a sum up to 0.2 s after it was sent,
+	// and the sum counts for up to ReportTTL: eight intervals.
+	reportHistory = 10
 )
 
-// Deps are what a Board needs.
+// Deps are the dependencies of New.
 type Deps struct {
 	Self  roster.Host          // name, region, data centre and address of this gateway
-	Hosts func() []roster.Host // the gateways that are in touch, of all regions
+	Hosts func() []roster.Host // gateways of all regions that have a live heartbeat
 	Clock func() time.Time
 }
 
-// Board holds what was heard. It isn't safe for concurrent use. New makes one.
+// Board holds the reports that one gateway has received and computes the messages that
+// it sends. It isn't safe for concurrent use. New makes one.
 type Board struct {
 	Deps
-	view    view
-	looked  time.Time
-	number  uint32
-	told    [remembered]Report // by number
-	members map[uint32]heard   // of the own group, by their hashes
-	sums    map[Group]heard    // of other groups
-	total   heard
-	leaders map[string]time.Time // when each leader was last heard
-	far     map[string]farHeard  // by region
+	topology      topology
+	topologyAt    time.Time
+	lastNumber    uint32
+	sentReports   [reportHistory]Report      // own reports, by number modulo reportHistory
+	memberReports map[uint32]receivedMessage // of the own group, by the hash of the sender's name
+	groupSums     map[Group]receivedMessage  // of other groups
+	regionTotal   receivedMessage
+	leaderSeen    map[string]time.Time    // time of the last message from each leader, by name
+	remote        map[string]remoteReport // by region
 }
 
-// heard is a message and when it came.
-type heard struct {
-	at time.Time
+// receivedMessage is a message with its time of arrival.
+type receivedMessage struct {
+	receivedAt time.Time
 	Message
 }
 
-func (h heard) fresh(now time.Time) bool { return now.Sub(h.at) <= freshTime }
-func (h heard) valid(now time.Time) bool { return now.Sub(h.at) <= Life }
+func (m receivedMessage) isFresh(now time.Time) bool { return now.Sub(m.receivedAt) <= leaderTimeout }
+func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= ReportTTL }
 
-type farHeard struct {
-	at     time.Time
-	direct bool // heard from that region itself
-	word   FarWord
+// remoteReport is the latest report of another region.
+type remoteReport struct {
+	receivedAt time.Time // when it reached this region
+	direct     bool      // received from that region itself, not through another gateway here
+	report     FarWord
 }
 
-// Outgoing is a message and the addresses that it goes to.
+// Outgoing is a message with the peer addresses of its recipients.
 type Outgoing struct {
 	To      []string
 	Message Message
 }
 
-// New makes a board that has heard nothing.
+// New makes an empty Board, which has received nothing yet.
 func New(deps Deps) *Board {
 	return &Board{
-		Deps: deps, members: make(map[uint32]heard), sums: make(map[Group]heard),
-		leaders: make(map[string]time.Time), far: make(map[string]farHeard),
+		Deps: deps, memberReports: make(map[uint32]receivedMessage), groupSums: make(map[Group]receivedMessage),
+		leaderSeen: make(map[string]time.Time), remote: make(map[string]remoteReport),
 	}
 }
 
-// look takes over the list of gateways.
-func (b *Board) look() {
-	b.looked = b.Clock()
-	b.view = newView(b.Self, b.Hosts(), b.Self.Region)
+// refreshTopology recomputes the groups from the current list of gateways.
+func (a *Board) refreshTopology() {
+	a.topologyAt = a.Clock()
+	a.topology = newTopology(a.Self, a.Hosts(), a.Self.Region)
 }
 
-// Tell gives the messages that are due, with this gateway's own report. It is called
-// each Every.
-func (b *Board) Tell(own Report) []Outgoing {
-	now := b.Clock()
-	if now.Sub(b.looked) >= lookEvery {
-		b.look()
+// Tell returns the messages that are due, including this gateway's own report. The owner
+// calls it once every Every.
+func (a *Board) Tell(own Report) []Outgoing {
+	now := a.Clock()
+	if now.Sub(a.topologyAt) >= topologyInterval {
+		a.refreshTopology()
 	}
-	b.forget(now)
-	b.number++
-	b.told[b.number%remembered] = own
+	a.expire(now)
+	a.lastNumber++
+	a.sentReports[a.lastNumber%reportHistory] = own
 	self := Message{
-		From: b.Self.Name, Group: loneGroup(b.Self), Report: own,
-		Members: []Member{{Hash: hashOf(b.Self.Name), Number: b.number}},
+		From: a.Self.Name, Group: singletonGroup(a.Self), Report: own,
+		Members: []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}},
 	}
-	if b.view.few {
-		return []Outgoing{{b.heads(now), self}}
+	if a.topology.fullMesh {
+		return []Outgoing{{a.otherLeaderAddresses(now), self}}
 	}
 	var out []Outgoing
-	if b.leads(now) {
-		out = b.lead(own, now)
+	if a.isLeader(now) {
+		out = a.leaderMessages(own, now)
 	}
-	if first := b.view.ranked[0]; first.Name != b.Self.Name {
-		out = append(out, Outgoing{b.until(b.view.ranked, now), self})
+	if first := a.topology.ranked[0]; first.Name != a.Self.Name {
+		out = append(out, Outgoing{a.leaderAddresses(a.topology.ranked, now), self})
 	}
 	return out
 }
 
-// leads tells whether this gateway sums its group: it has been told reports, or
-// nobody before it in rank has been heard to lead.
-func (b *Board) leads(now time.Time) bool {
-	if b.view.few || len(b.members) > 0 {
-		return !b.view.few
+// isLeader reports whether this gateway sums its group: it has received reports of
+// members, or it is a candidate and none of higher rank has sent a sum within
+// leaderTimeout.
+func (a *Board) isLeader(now time.Time) bool {
+	if a.topology.fullMesh || len(a.memberReports) > 0 {
+		return !a.topology.fullMesh
 	}
-	for _, h := range b.view.ranked[:min(len(b.view.ranked), candidates)] {
-		if h.Name == b.Self.Name {
+	for _, h := range a.topology.ranked[:min(len(a.topology.ranked), leaderCandidates)] {
+		if h.Name == a.Self.Name {
 			return true
 		}
-		if now.Sub(b.leaders[h.Name]) <= freshTime {
+		if now.Sub(a.leaderSeen[h.Name]) <= leaderTimeout {
 			return false
 		}
 	}
 	return false
 }
 
-// lead gives the messages of a leader.
-func (b *Board) lead(own Report, now time.Time) []Outgoing {
-	group := newSum()
-	group.add(own, 1)
-	message := Message{From: b.Self.Name, Group: b.view.own, Far: b.farWords(true, now)}
-	message.Members = []Member{{Hash: hashOf(b.Self.Name), Number: b.number}}
-	for _, m := range b.members {
-		group.add(m.Report.aged(now.Sub(m.at)), 1)
+// leaderMessages returns the messages that a leader sends: the sum of its group to the
+// other leaders, and the sum of the region to its members.
+func (a *Board) leaderMessages(own Report, now time.Time) []Outgoing {
+	acc := newSum()
+	acc.add(own, 1)
+	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Far: a.remoteReports(true, now)}
+	message.Members = []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}}
+	for _, m := range a.memberReports {
+		acc.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
 		message.Members = append(message.Members, m.Members...)
 	}
-	message.Report = group.report()
+	message.Report = acc.report()
 	total := message
 	total.Total = true
-	total.Far = b.farWords(false, now)
-	for _, s := range b.sums {
-		group.add(s.Report.aged(now.Sub(s.at)), 1)
-		total.Others += len(s.Members)
+	total.Far = a.remoteReports(false, now)
+	for _, s := range a.groupSums {
+		acc.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
+		total.OtherGateways += len(s.Members)
 	}
-	total.Report = group.report()
-	var members []string
-	for _, h := range b.view.ranked {
-		if h.Name != b.Self.Name {
-			members = append(members, h.Peer)
+	total.Report = acc.report()
+	var memberAddresses []string
+	for _, h := range a.topology.ranked {
+		if h.Name != a.Self.Name {
+			memberAddresses = append(memberAddresses, h.Peer)
 		}
 	}
-	return []Outgoing{{b.heads(now), message}, {members, total}}
+	return []Outgoing{{a.otherLeaderAddresses(now), message}, {memberAddresses, total}}
 }
 
-// heads gives the addresses of those who lead the other groups.
-func (b *Board) heads(now time.Time) []string {
+// otherLeaderAddresses returns the addresses of the leaders of the other groups.
+func (a *Board) otherLeaderAddresses(now time.Time) []string {
 	var out []string
-	for _, p := range b.view.others {
-		out = append(out, b.until(p.hosts, now)...)
+	for _, g := range a.topology.otherGroups {
+		out = append(out, a.leaderAddresses(g.hosts, now)...)
 	}
 	return out
 }
 
-// until gives the addresses of the first in rank, and of the next as long as those
-// before have not been heard to lead.
-func (b *Board) until(ranked []roster.Host, now time.Time) []string {
+// leaderAddresses returns the address of the group's highest-ranked candidate, and those
+// of the next ones up to the first that has sent a message as leader within leaderTimeout.
+func (a *Board) leaderAddresses(ranked []roster.Host, now time.Time) []string {
 	var out []string
-	for _, h := range ranked[:min(len(ranked), candidates)] {
-		if h.Name == b.Self.Name {
-			break // this one leads, if none before does
+	for _, h := range ranked[:min(len(ranked), leaderCandidates)] {
+		if h.Name == a.Self.Name {
+			break // this gateway leads if no candidate before it does
 		}
 		out = append(out, h.Peer)
-		if now.Sub(b.leaders[h.Name]) <= freshTime {
+		if now.Sub(a.leaderSeen[h.Name]) <= leaderTimeout {
 			break
 		}
 	}
 	return out
 }
 
-// Hear takes a message. It gives the words of other regions that are newer than what
-// was known.
-func (b *Board) Hear(m Message) (far []FarWord) {
-	now := b.Clock()
-	for _, w := range m.Far {
-		if b.hearFar(w, len(m.Members) == 0, now) {
-			far = append(far, w)
+// Hear applies a received message. It returns the reports of other regions that are newer
+// than those received before.
+func (a *Board) Hear(m Message) (newer []FarWord) {
+	now := a.Clock()
+	for _, report := range m.Far {
+		if a.receiveRemote(report, len(m.Members) == 0, now) {
+			newer = append(newer, report)
 		}
 	}
-	b.hearReport(heard{now, m}, now)
-	return far
+	a.receiveReport(receivedMessage{now, m}, now)
+	return newer
 }
 
-// hearReport takes the report of a message.
-func (b *Board) hearReport(h heard, now time.Time) {
-	m := h.Message
-	if m.From == b.Self.Name || len(m.Members) == 0 {
+// receiveReport applies the report of a message.
+func (a *Board) receiveReport(msg receivedMessage, now time.Time) {
+	m := msg.Message
+	if m.From == a.Self.Name || len(m.Members) == 0 {
 		return
 	}
 	switch {
 	case m.Total:
-		b.leaders[m.From] = now
-		b.hearTotal(h, now)
-	case m.Group.Alone() && b.view.own.contains(m.Group):
-		b.members[m.Group.Low] = h
-	case b.view.own.overlaps(m.Group):
-		b.leaders[m.From] = now // another one sums this group
+		a.leaderSeen[m.From] = now
+		a.receiveTotal(msg, now)
+	case m.Group.IsSingleton() && a.topology.ownGroup.contains(m.Group):
+		a.memberReports[m.Group.Low] = msg
+	case a.topology.ownGroup.overlaps(m.Group):
+		a.leaderSeen[m.From] = now // another gateway sums this group too
 	default:
-		b.leaders[m.From] = now
-		b.hearSum(h, now)
+		a.leaderSeen[m.From] = now
+		a.receiveGroupSum(msg, now)
 	}
 }
 
-// hearTotal takes the sum of the region. Of two leaders, the one that more gateways
-// tell counts.
-func (b *Board) hearTotal(h heard, now time.Time) {
-	if !h.Group.contains(loneGroup(b.Self)) {
+// receiveTotal applies the sum of the region. If two leaders send one, the one that
+// covers more members of the group wins.
+func (a *Board) receiveTotal(msg receivedMessage, now time.Time) {
+	if !msg.Group.contains(singletonGroup(a.Self)) {
 		return
 	}
-	if h.From == b.total.From || !b.total.fresh(now) || len(h.Members) > len(b.total.Members) {
-		b.total = h
+	if msg.From == a.regionTotal.From || !a.regionTotal.isFresh(now) || len(msg.Members) > len(a.regionTotal.Members) {
+		a.regionTotal = msg
 	}
 }
 
-// hearSum takes the sum of another group, in place of all that it overlaps. Of two
-// leaders, the one that more gateways tell counts.
-func (b *Board) hearSum(h heard, now time.Time) {
-	for group, held := range b.sums {
-		if group.overlaps(h.Group) && held.From != h.From && held.fresh(now) && len(held.Members) >= len(h.Members) {
+// receiveGroupSum applies the sum of another group and replaces every sum that it
+// overlaps. If two leaders send one, the one that covers more members wins.
+func (a *Board) receiveGroupSum(msg receivedMessage, now time.Time) {
+	for group, known := range a.groupSums {
+		if group.overlaps(msg.Group) && known.From != msg.From && known.isFresh(now) && len(known.Members) >= len(msg.Members) {
 			return
 		}
 	}
-	for group := range b.sums {
-		if group.overlaps(h.Group) {
-			delete(b.sums, group)
+	for group := range a.groupSums {
+		if group.overlaps(msg.Group) {
+			delete(a.groupSums, group)
 		}
 	}
-	b.sums[h.Group] = h
+	a.groupSums[msg.Group] = msg
 }
 
-// hearFar takes another region's word, and tells whether it isn't older than what was
-// known.
-func (b *Board) hearFar(w FarWord, direct bool, now time.Time) bool {
-	at := now.Add(-w.Age)
-	known, ok := b.far[w.Region]
-	if w.Region == b.Self.Region || (ok && at.Before(known.at)) {
+// receiveRemote applies another region's report and reports whether it was accepted: it
+// must not be older than the last one.
+func (a *Board) receiveRemote(report FarWord, direct bool, now time.Time) bool {
+	receivedAt := now.Add(-report.Age)
+	known, ok := a.remote[report.Region]
+	if report.Region == a.Self.Region || (ok && receivedAt.Before(known.receivedAt)) {
 		return false
 	}
-	same := known.direct && at.Sub(known.at) < Every // it came by way of another leader as well
-	b.far[w.Region] = farHeard{at, direct || same, w}
+	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < Every // forwarded by another leader as well
+	a.remote[report.Region] = remoteReport{receivedAt, direct || sameReport, report}
 	return true
 }
 
-// farWords gives the words of other regions, to be passed on: to other leaders only those
-// that were heard from there, since whoever else has one was told by such a leader.
-func (b *Board) farWords(direct bool, now time.Time) []FarWord {
+// remoteReports returns the reports of other regions to forward. Other leaders get only
+// those that came directly from that region: a report that came through another leader
+// has been sent to them by that one.
+func (a *Board) remoteReports(directOnly bool, now time.Time) []FarWord {
 	var out []FarWord
-	for _, f := range b.far {
-		if direct && !f.direct {
+	for _, entry := range a.remote {
+		if directOnly && !entry.direct {
 			continue
 		}
-		word := f.word
-		word.Age = now.Sub(f.at)
-		out = append(out, word)
+		report := entry.report
+		report.Age = now.Sub(entry.receivedAt)
+		out = append(out, report)
 	}
 	return out
 }
 
-// forget drops what is too old to be believed.
-func (b *Board) forget(now time.Time) {
-	for hash, h := range b.members {
-		if !h.valid(now) || !b.view.own.contains(h.Group) {
-			delete(b.members, hash)
+// expire drops reports and leaders that were last heard from too long ago.
+func (a *Board) expire(now time.Time) {
+	for hash, msg := range a.memberReports {
+		if !msg.isValid(now) || !a.topology.ownGroup.contains(msg.Group) {
+			delete(a.memberReports, hash)
 		}
 	}
-	for group, h := range b.sums {
-		if !h.valid(now) || b.view.own.overlaps(group) {
-			delete(b.sums, group)
+	for group, msg := range a.groupSums {
+		if !msg.isValid(now) || a.topology.ownGroup.overlaps(group) {
+			delete(a.groupSums, group)
 		}
 	}
-	for region, f := range b.far {
-		if now.Sub(f.at) > Life {
-			delete(b.far, region)
+	for region, entry := range a.remote {
+		if now.Sub(entry.receivedAt) > ReportTTL {
+			delete(a.remote, region)
 		}
 	}
-	for name, at := range b.leaders {
-		if now.Sub(at) > Life {
-			delete(b.leaders, name)
+	for name, seen := range a.leaderSeen {
+		if now.Sub(seen) > ReportTTL {
+			delete(a.leaderSeen, name)
 		}
 	}
 }
 
-// Others is what the other gateways of a region do.
+// Others is the sum of what the other gateways of the region do.
 type Others struct {
 	Loads    map[uint64]EngineLoad // by the hash of the engine's incarnation
 	Accounts map[uint32]AccountUse // by the hash of the account's name
-	Gateways int                   // that are in it
-	Alive    int                   // that there are, as far as the list of gateways tells
+	Gateways int                   // gateways whose reports are included
+	Alive    int                   // other gateways in the list of gateways
 }
 
-// Others gives what the other gateways of the region do.
-func (b *Board) Others() Others {
-	s, gateways := b.others()
-	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: b.view.size() - 1}
+// Others returns the sum of what the other gateways of the region do.
+func (a *Board) Others() Others {
+	s, gateways := a.sumOthers()
+	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: a.topology.size() - 1}
 }
 
-// others sums the newest words up, and counts whose they are.
-func (b *Board) others() (s *sum, gateways int) {
-	now := b.Clock()
+// sumOthers sums the latest valid reports, and counts the gateways that they cover.
+func (a *Board) sumOthers() (s *sum, gateways int) {
+	now := a.Clock()
 	s = newSum()
-	if b.total.valid(now) && len(b.total.Members) > 1+len(b.members) {
-		return b.totalOfOthers(s)
+	if a.regionTotal.isValid(now) && len(a.regionTotal.Members) > 1+len(a.memberReports) {
+		return a.totalWithoutSelf(s)
 	}
-	for _, h := range b.members {
-		gateways += b.addValid(s, h, now)
+	for _, msg := range a.memberReports {
+		gateways += a.addValid(s, msg, now)
 	}
-	for _, h := range b.sums {
-		gateways += b.addValid(s, h, now)
+	for _, msg := range a.groupSums {
+		gateways += a.addValid(s, msg, now)
 	}
 	return s, gateways
 }
 
-// addValid adds what is still believed, and gives how many gateways it is of.
-func (b *Board) addValid(s *sum, h heard, now time.Time) int {
-	if !h.valid(now) {
+// addValid adds a message's report unless it has expired, and returns the number of
+// gateways that it covers.
+func (a *Board) addValid(s *sum, msg receivedMessage, now time.Time) int {
+	if !msg.isValid(now) {
 		return 0
 	}
-	s.add(h.Report.additive(), 1)
-	return len(h.Members)
+	s.add(msg.Report.additiveFields(), 1)
+	return len(msg.Members)
 }
 
-// totalOfOthers takes this gateway's own report out of the total.
-func (b *Board) totalOfOthers(s *sum) (*sum, int) {
-	s.add(b.total.Report.additive(), 1)
-	gateways := b.total.Others + len(b.total.Members)
-	self := hashOf(b.Self.Name)
-	own := slices.IndexFunc(b.total.Members, func(m Member) bool { return m.Hash == self })
-	if own >= 0 {
+// totalWithoutSelf adds the region's total to s, without this gateway's own report.
+func (a *Board) totalWithoutSelf(s *sum) (*sum, int) {
+	s.add(a.regionTotal.Report.additiveFields(), 1)
+	gateways := a.regionTotal.OtherGateways + len(a.regionTotal.Members)
+	self := hashOf(a.Self.Name)
+	ownIndex := slices.IndexFunc(a.regionTotal.Members, func(m Member) bool { return m.NameHash == self })
+	if ownIndex >= 0 {
 		gateways--
-		if number := b.total.Members[own].Number; b.number-number < remembered {
-			s.add(b.told[number%remembered].additive(), -1)
+		if number := a.regionTotal.Members[ownIndex].ReportNumber; a.lastNumber-number < reportHistory {
+			s.add(a.sentReports[number%reportHistory].additiveFields(), -1)
 		}
 	}
 	return s, gateways
 }
 
-// Leads tells whether this gateway sums its group, and how many others it sums.
-func (b *Board) Leads() (leads bool, members int) { return b.leads(b.Clock()), len(b.members) }
+// Leads reports whether this gateway sums its group, and how many other members' reports
+// it has.
+func (a *Board) Leads() (leads bool, members int) { return a.isLeader(a.Clock()), len(a.memberReports) }
 
-// Few tells whether the gateways are so few that each tells all others.
-func (b *Board) Few() bool { return b.view.few }
+// Few reports whether the region has so few gateways that each sends its reports to all
+// others directly.
+func (a *Board) Few() bool { return a.topology.fullMesh }
