--- a/allowance/account.go
+++ b/allowance/account.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// account is what a gateway knows of one client account.
+// account is the state of one client account at this gateway.
 type account struct {
-	most     float64            // units in a window
-	used     map[string]*window // by region; none where nothing was admitted
-	filled   time.Time          // up to when others' use is in it
-	admitted moving             // by this gateway's callers
-	own      *window            // the same; nil where nothing was
-	asked    average            // by them
-	refused  float64            // units so far
-	shares   map[string]float64 // of the regions, when all were last heard
-	parted   time.Time          // when those shares were last brought up to date
-	share    float64            // of the requests admitted of late, by all who decide alike
-	shared   time.Time          // when that was noted
-	jump     jump               // of what is asked for here
-	known    float64            // units a second that others have told to be asked for, of late
-	demand   *window            // what all that are heard have asked for, admitted or not
+	limit           float64            // units per window
+	used            map[string]*window // by region; no entry for a region that admitted nothing
+	updatedAt       time.Time          // when the other gateways' rates were last added
+	admitted        movingSum          // from this gateway's callers
+	ownWindow       *window            // the same over the last window; nil if nothing was admitted
+	requested       decayingAverage    // by this gateway's callers, admitted or not
+	rejected        float64            // units since this gateway started
+	regionShares    map[string]float64 // of the limit, as of the last time that all regions were reachable
+	sharesUpdatedAt time.Time          // when regionShares were last updated
+	admitRatio      float64            // recent average of the fraction of requests that each gateway admits
+	averagedAt      time.Time          // when admitRatio and othersRate were last updated
+	surge           surge              // in the requests of this gateway's callers
+	othersRate      float64            // units per second requested at other gateways, averaged
+	demand          *window            // requested at all reachable gateways, admitted or not
 }
 
-// newAccount makes an account of which nothing is known: as if all that is inside the
-// allowance had been admitted, as much in each region. length is that of its window.
-func newAccount(inside float64, length time.Duration, regions []string, now time.Time) *account {
+// newAccount returns an account of unknown usage. It assumes that the whole limit was
+// admitted within the last window, the same amount in each region.
+func newAccount(limit float64, windowLength time.Duration, regions []string, now time.Time) *account {
 	a := &account{
-		used: make(map[string]*window), filled: now, shares: make(map[string]float64), parted: now, share: 1, shared: now,
-		asked: average{over: askedOver}, demand: newWindow(length, 0, now),
+		used: make(map[string]*window), updatedAt: now, regionShares: make(map[string]float64), sharesUpdatedAt: now, admitRatio: 1, averagedAt: now,
+		requested: decayingAverage{timeConstant: requestedTimeConstant}, demand: newWindow(windowLength, 0, now),
 	}
 	for _, region := range regions {
-		part := 1 / float64(len(regions))
-		a.shares[region] = part
-		a.used[region] = newWindow(length, part*inside, now)
+		share := 1 / float64(len(regions))
+		a.regionShares[region] = share
+		a.used[region] = newWindow(windowLength, share*limit, now)
 	}
 	return a
 }
 
-// add notes what was admitted in a region, or takes it off.
-func (a *account) add(region string, n float64, length time.Duration, now time.Time) {
+// add counts units as admitted in a region; negative units are subtracted.
+func (a *account) add(region string, units float64, windowLength time.Duration, now time.Time) {
 	w, ok := a.used[region]
 	switch {
 	case ok:
-		w.add(n, now)
-	case n > 0:
-		w = newWindow(length, 0, now)
+		w.add(units, now)
+	case units > 0:
+		w = newWindow(windowLength, 0, now)
 		a.used[region] = w
-		w.add(n, now)
+		w.add(units, now)
 	}
 }
 
-// usedIn gives what was admitted in the last window in a region, by the rates that are known.
-func (a *account) usedIn(region string, now time.Time) float64 {
+// estimateIn returns the units admitted in a region within the last window, as estimated
+// from the reported rates.
+func (a *account) estimateIn(region string, now time.Time) float64 {
 	w, ok := a.used[region]
 	if !ok {
 		return 0
@@ -61,94 +62,95 @@
 	return w.sum
 }
 
-// leaving gives how much of what was admitted in those regions leaves the window each second
-// now.
-func (a *account) leaving(regions []string, now time.Time) (sum float64) {
+// expiryRate returns how many of the units admitted in the regions currently leave the
+// window per second.
+func (a *account) expiryRate(regions []string, now time.Time) (sum float64) {
 	for _, region := range regions {
 		if w, ok := a.used[region]; ok {
 			w.advance(now)
-			sum += w.leaving()
+			sum += w.expiryRate()
 		}
 	}
 	return sum
 }
 
-// tidy drops the windows in which nothing is left. It tells whether that is all, and
-// nobody asks for anything here.
-func (a *account) tidy(now time.Time) (idle bool) {
+// prune drops empty windows. It reports whether the account is idle: no window is left, and
+// this gateway's callers request nothing.
+func (a *account) prune(now time.Time) (idle bool) {
 	for region, w := range a.used {
 		if w.advance(now); w.sum == 0 {
 			delete(a.used, region)
 		}
 	}
-	if len(a.used) > 0 || a.asked.perSecond(now) >= leastUse {
+	if len(a.used) > 0 || a.requested.perSecond(now) >= minReportedRate {
 		return false
 	}
-	a.own = nil
+	a.ownWindow = nil
 	return true
 }
 
-// until gives how long it takes until so much has left the windows of those regions.
-func (a *account) until(n float64, regions []string) time.Duration {
+// timeToExpire returns how long it takes until that many units have left the windows of the
+// regions, if each region contributes an equal part.
+func (a *account) timeToExpire(units float64, regions []string) time.Duration {
 	longest := time.Duration(0)
 	for _, region := range regions {
 		if w, ok := a.used[region]; ok {
-			longest = max(longest, w.until(n/float64(len(regions))))
+			longest = max(longest, w.timeToExpire(units/float64(len(regions))))
 		}
 	}
 	return longest
 }
 
-// noteShare notes which share of the requests is admitted from now on, and what others ask
-// for.
-func (a *account) noteShare(share, others float64, now time.Time) {
-	passed := float64(now.Sub(a.shared))
-	a.share += (1 - math.Exp(-passed/float64(lag/2))) * (share - a.share)
-	a.known += (1 - math.Exp(-passed/float64(knownOver))) * (others - a.known)
-	a.shared = now
+// updateAverages adds the current admit ratio and the rate requested at other gateways to
+// their averages.
+func (a *account) updateAverages(ratio, othersRate float64, now time.Time) {
+	elapsed := float64(now.Sub(a.averagedAt))
+	a.admitRatio += (1 - math.Exp(-elapsed/float64(reportLag/2))) * (ratio - a.admitRatio)
+	a.othersRate += (1 - math.Exp(-elapsed/float64(inUseTimeConstant))) * (othersRate - a.othersRate)
+	a.averagedAt = now
 }
 
-// addOwn notes what this gateway has admitted, or takes it off.
-func (a *account) addOwn(n float64, length time.Duration, now time.Time) {
+// addOwn counts units as admitted by this gateway; negative units are subtracted.
+func (a *account) addOwn(units float64, windowLength time.Duration, now time.Time) {
 	switch {
-	case a.own != nil:
-		a.own.add(n, now)
-	case n > 0:
-		a.own = newWindow(length, 0, now)
-		a.own.add(n, now)
+	case a.ownWindow != nil:
+		a.ownWindow.add(units, now)
+	case units > 0:
+		a.ownWindow = newWindow(windowLength, 0, now)
+		a.ownWindow.add(units, now)
 	}
 }
 
-// ownWindow gives what this gateway has admitted within the last window.
-func (a *account) ownWindow(now time.Time) float64 {
-	if a.own == nil {
+// ownSum returns the units that this gateway admitted within the last window.
+func (a *account) ownSum(now time.Time) float64 {
+	if a.ownWindow == nil {
 		return 0
 	}
-	a.own.advance(now)
-	return a.own.sum
+	a.ownWindow.advance(now)
+	return a.ownWindow.sum
 }
 
-// use gives what this gateway's callers do.
-func (a *account) use(now time.Time) Use {
+// ownUsage returns the usage by this gateway's callers.
+func (a *account) ownUsage(now time.Time) Use {
 	return Use{
-		Admitted: a.admitted.perSecond(now, nearHeld), Steady: a.admitted.perSecond(now, farHeld),
-		Asked: a.asked.perSecond(now), Window: a.ownWindow(now),
+		Admitted: a.admitted.perSecond(now, localRatePeriod), Steady: a.admitted.perSecond(now, remoteRatePeriod),
+		Asked: a.requested.perSecond(now), Window: a.ownSum(now),
 	}
 }
 
-// average is of the last moments, whose weights fall with time.
-type average struct {
-	over   time.Duration
-	weight float64
-	at     time.Time
+// decayingAverage is a rate average whose weights decay exponentially with age.
+type decayingAverage struct {
+	timeConstant time.Duration
+	sum          float64
+	updatedAt    time.Time
 }
 
-func (a *average) add(n float64, now time.Time) { a.weight, a.at = a.decayed(now)+n, now }
+func (a *decayingAverage) add(n float64, now time.Time) { a.sum, a.updatedAt = a.decayed(now)+n, now }
 
-func (a *average) decayed(now time.Time) float64 {
-	return a.weight * math.Exp(-float64(now.Sub(a.at))/float64(a.over))
+func (a *decayingAverage) decayed(now time.Time) float64 {
+	return a.sum * math.Exp(-float64(now.Sub(a.updatedAt))/float64(a.timeConstant))
 }
 
-func (a *average) perSecond(now time.Time) float64 {
-	return max(0, a.decayed(now)/a.over.Seconds())
+func (a *decayingAverage) perSecond(now time.Time) float64 {
+	return max(0, a.decayed(now)/a.timeConstant.Seconds())
 }
--- a/allowance/jump.go
+++ b/allowance/jump.go
@@ -6,70 +6,73 @@
 )
 
 const (
-	// blindTime is how long it takes until what callers begin to ask for everywhere at once
-	// is known of all gateways: words of other regions are 0.4 s old and come four times a
-	// second.
-	blindTime = 600 * time.Millisecond
-	// toldTime is how long after a jump another gateway's word must have been told to hold
-	// what began there.
-	toldTime = 200 * time.Millisecond
-	// jumpOver is over which time requests are counted to see a jump, and usualOver over
-	// which their usual rate is taken.
-	jumpOver  = 500 * time.Millisecond
-	usualOver = 5 * time.Second
-	// knownShare is the share of an account's rate from which on it counts as in use, by what
-	// others have reported over knownOver. Reports of the jump itself, which come 0.1 s after it
-	// began, must not count.
-	knownShare = 0.25
-	knownOver  = 3 * time.Second
-	// jumpErrors and jumpLeast say what isn't chance: more than the usual number by four
-	// times its standard deviation, and three requests besides. Of an account that has one
-	// request a second at a gateway, seven must come within half a second, which happens by
-	// chance once in six days.
-	jumpErrors = 4
-	jumpLeast  = 3
+	// propagationTime is how long it takes until every gateway has received what callers
+	// began to request everywhere at once: reports from other regions are 0.4 s old and
+	// arrive four times a second.
+	propagationTime = 600 * time.Millisecond
+	// surgeReportDelay is how long after the start of a surge another gateway's report must
+	// have been sent to include what began there.
+	surgeReportDelay = 200 * time.Millisecond
+	// surgePeriod is the period over which requests are counted to detect a surge, and
+	// usualTimeConstant that of the average which gives their usual rate.
+	surgePeriod       = 500 * time.Millisecond
+	usualTimeConstant = 5 * time.Second
+	// inUseShare is the fraction of an account's rate from which on the account counts as in
+	// use, by the rates that others reported, averaged over inUseTimeConstant. That must be
+	// long enough to exclude the reports of the surge itself, which arrive 0.1 s after it
+	// began.
+	inUseShare        = 0.25
+	inUseTimeConstant = 3 * time.Second
+	// surgeDeviations and minSurgeRequests exclude chance: a surge exceeds the usual number
+	// of requests by four standard deviations and three requests. For an account with one
+	// request per second at a gateway, seven must arrive within half a second, which happens
+	// by chance once in six days.
+	surgeDeviations  = 4
+	minSurgeRequests = 3
 )
 
-// jump notices that a gateway's callers suddenly ask for much more of an account than they
-// did. Whoever is behind it may do the same at all gateways, none of which knows of the
-// others for blindTime; until then each admits no more than its part of what is left
-// (TestASuddenStartIsHeld). One gateway that begins alone to be asked for as much as the
-// account may refuses nothing (TestOneCallerMayBeginAtOnce). The zero value has seen nothing.
-type jump struct {
-	recent   moving // requests
-	usual    average
-	high     bool      // more come than usual
-	since    time.Time // when that began
-	admitted float64   // units since, and in jumpOver before
-	most     float64   // units that may be
-	inUse    bool      // the account was in use at other gateways before
+// surge detects that a gateway's callers suddenly request much more of an account than
+// before. The same may happen at all gateways, and none receives the others' reports of it
+// for propagationTime; until then each admits at most its share of what is left
+// (TestASuddenStartIsHeld). If the whole limit is suddenly requested at one gateway alone,
+// nothing is rejected (TestSurgeAtOneGatewayIsAdmitted). The zero value has counted nothing.
+type surge struct {
+	recent   movingSum // requests
+	usual    decayingAverage
+	active   bool      // requests still exceed the usual rate
+	start    time.Time // when the surge began
+	admitted float64   // units since start and in surgePeriod before it
+	limit    float64   // units that this gateway may admit until others' reports arrive
+	inUse    bool      // other gateways used the account before the surge
 }
 
-// note counts a request, and tells whether a jump begins with it.
-func (j *jump) note(now time.Time) (begins bool) {
-	j.recent.add(1, now)
-	j.usual.over = usualOver
-	j.usual.add(1, now)
-	usual := j.usual.perSecond(now) * jumpOver.Seconds()
-	beyond := j.recent.within(now, jumpOver) - usual
-	begins = !j.high && beyond >= jumpErrors*math.Sqrt(usual)+jumpLeast
-	// It is over once the requests are as usual again, lest one jump be taken for many.
-	j.high = begins || (j.high && beyond > math.Sqrt(usual))
-	return begins
+// observe counts a request, and reports whether a surge starts with it.
+func (s *surge) observe(now time.Time) (starts bool) {
+	s.recent.add(1, now)
+	s.usual.timeConstant = usualTimeConstant
+	s.usual.add(1, now)
+	usual := s.usual.perSecond(now) * surgePeriod.Seconds()
+	excess := s.recent.sumOver(now, surgePeriod) - usual
+	starts = !s.active && excess >= surgeDeviations*math.Sqrt(usual)+minSurgeRequests
+	// The surge ends only when requests are back to the usual rate, so that one surge isn't
+	// counted as several.
+	s.active = starts || (s.active && excess > math.Sqrt(usual))
+	return starts
 }
 
-// begin notes a jump: what was admitted just before, and what may be until others can have
-// told of theirs.
-func (j *jump) begin(admitted, most float64, inUse bool, now time.Time) {
-	j.since, j.admitted, j.most, j.inUse = now, admitted, most, inUse
+// begin records the start of a surge. admitted is what was admitted just before, limit what
+// may be admitted until the reports of other gateways can include the surge.
+func (s *surge) begin(admitted, limit float64, inUse bool, now time.Time) {
+	s.start, s.admitted, s.limit, s.inUse = now, admitted, limit, inUse
 }
 
-// admits reports whether a request may be admitted beside what was since the jump. asked is in
-// units a second; blind says that others can't have reported theirs. The reports on an account in use
-// bound a moderate jump: one that still fits if all gateways are asked for as much.
-func (j *jump) admits(cost, asked float64, blind bool) bool {
-	if !blind || j.admitted+cost <= j.most {
+// admits reports whether a request may be admitted in addition to what was since the surge
+// began. requestedRate is in units per second; awaitsReports means that the reports of other
+// gateways may not include the surge yet. If the account was in use elsewhere, reports bound
+// a moderate surge well enough: one that fits within the limit even if every gateway has it.
+func (s *surge) admits(cost, requestedRate float64, awaitsReports bool) bool {
+	if !awaitsReports || s.admitted+cost <= s.limit {
 		return true
 	}
-	return j.inUse && asked*blindTime.Seconds() <= j.most
+	return s.inUse && requestedRate*propagationTime.Seconds() <= s.limit
 }
--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -11,144 +11,148 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Policy says how far beyond the allowances the sum of all gateways may go: within any
-// Window, rate x Window + burst, times 1 + Overage, and Slack.
+// Policy is how far all gateways together may exceed an allowance: within any Window, they
+// may admit (rate x Window + burst) x (1 + Overage) + Slack.
 type Policy struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64 // units
 }
 
-// Use is what an account does, in units a second but for Window.
+// Use is the usage of an account, in units a second except for Window.
 type Use struct {
 	Admitted float64 // over the last 0.2 s
 	Steady   float64 // admitted over the last 0.5 s
-	Asked    float64 // admitted or not
+	Asked    float64 // requested, admitted or not
 	Window   float64 // units admitted within the last window
 }
 
-func (u Use) plus(o Use) Use {
-	return Use{u.Admitted + o.Admitted, u.Steady + o.Steady, u.Asked + o.Asked, u.Window + o.Window}
+func (u Use) plus(other Use) Use {
+	return Use{u.Admitted + other.Admitted, u.Steady + other.Steady, u.Asked + other.Asked, u.Window + other.Window}
 }
 
-// Deps are what a Meter needs.
+// Deps are the settings and dependencies of a Meter.
 type Deps struct {
 	Region  string   // of this gateway
-	Regions []string // all there are
+	Regions []string // all regions, including this one
 	Policy  Policy
-	Random  func() uint64
+	Random  func() uint64 // uniform over all values
 }
 
-// Meter is safe for concurrent use. New makes one.
+// Meter decides at one gateway which requests of the client accounts to admit. It is safe for
+// concurrent use. Create one with New.
 type Meter struct {
 	Deps
-	mu       sync.Mutex
-	accounts map[string]*account
-	active   map[string]*account // of those, the ones that somebody has used within a window
-	near     near
-	far      map[string]word // by region
-	gateways int             // in all regions, this one included
+	mu           sync.Mutex
+	accounts     map[string]*account
+	active       map[string]*account // the accounts that any gateway used within the last window
+	local        localUsage
+	remote       map[string]regionReport // the latest of each region
+	gatewayCount int                     // in all regions, including this one
 }
 
-// near is what is known of the other gateways of this region.
-type near struct {
-	uses     map[string]Use
-	coverage float64        // share of the region's gateways that the sums hold
-	all      map[string]Use // when they last held all of them
-	allAt    time.Time      // when that was
+// localUsage is the usage reported by the other gateways of this region.
+type localUsage struct {
+	usage      map[string]Use
+	coverage   float64        // fraction of the region's gateways that usage includes
+	complete   map[string]Use // usage when it last included all of them
+	completeAt time.Time      // when that was
 }
 
-// word is what another region last told.
-type word struct {
-	at   time.Time
-	uses map[string]Use
+// regionReport is the latest usage reported by another region.
+type regionReport struct {
+	at    time.Time // when it was sent
+	usage map[string]Use
 }
 
 const (
-	// wordLife is how old another region's word may be. It comes four times a second;
-	// one lost or late is borne.
-	wordLife = 900 * time.Millisecond
-	// nearHeld and farHeld are over which times what is admitted is told: twice as long as
-	// words within a region, and between regions, are held until the next one comes.
-	nearHeld = 200 * time.Millisecond
-	farHeld  = 500 * time.Millisecond
-	// askedOver is over which time what is asked for is averaged: long enough for a share to
-	// be steady where a gateway sees two requests of an account a second.
-	askedOver = 500 * time.Millisecond
-	// lag is how old what is known of other gateways is: 0.2 s within a region and 0.4 s
-	// between regions that are 80 ms apart, and the time that uses are averaged over.
-	lag = time.Second
-	// settleTime is how fast the window is brought to where it should be.
+	// reportLifetime is how old another region's report may be. Reports arrive four times a
+	// second; one may be lost or late.
+	reportLifetime = 900 * time.Millisecond
+	// localRatePeriod and remoteRatePeriod are the periods of the admitted rates reported
+	// within a region and between regions: twice as long as a report is used until the next
+	// one arrives.
+	localRatePeriod  = 200 * time.Millisecond
+	remoteRatePeriod = 500 * time.Millisecond
+	// requestedTimeConstant is that of the average of the requested rate: long enough for a
+	// gateway's share to be steady if it receives two requests of an account per second.
+	requestedTimeConstant = 500 * time.Millisecond
+	// reportLag is how far the usage of other gateways is out of date: reports are 0.2 s old
+	// within a region and 0.4 s between regions that are 80 ms apart, and the rates in them
+	// are averages.
+	reportLag = time.Second
+	// settleTime is the time within which the window is brought to its limit.
 	settleTime = 250 * time.Millisecond
-	// aimShare is how much of what may be beyond the allowance is aimed at where an account
-	// asks for too much: below the allowance, callers are refused who are inside it, and
-	// what the others admit before it is known needs the rest.
-	aimShare = 0.2
-	// aloneShare is the share of what is asked for from which on a gateway may decide as
-	// if it were alone.
-	aloneShare = 0.95
-	// demandShare is how much of a region's share follows what is asked for there; the
-	// rest is equal, so that a region that is cut off can serve an account which it
-	// hardly knew.
+	// overageShare is the fraction of the permitted excess that is added to an account's
+	// limit. Without it, requests inside the allowance would be rejected; the rest of the
+	// excess is needed for what other gateways admit before they report it.
+	overageShare = 0.2
+	// soleGatewayShare is the fraction of an account's requests from which on a gateway may
+	// decide as if it were the only one.
+	soleGatewayShare = 0.95
+	// demandShare is the fraction of a region's share that follows the demand there. The rest
+	// is equal for all regions, so that a partitioned region can serve an account that hardly
+	// used it before.
 	demandShare = 0.75
-	// sharesOver is over which time the regions' shares follow what is asked for in each. A
-	// region knows its own callers at once and the others' half a second later; followed at
-	// once, each of three that are cut off as an account turns hot has nearly all of it.
-	sharesOver = 16 * time.Second
-	// holdTime is for how long gateways that fall silent are believed to go on as they did:
-	// processes that were killed are back after a second, and until then those that are
-	// left serve their callers.
-	holdTime = 1200 * time.Millisecond
-	// leastUse is what is told at least, in units a second.
-	leastUse = 0.01
-	// leastWait and mostWait bound when to come back: a share of the requests gets
-	// through near the limit, and callers wait for some seconds at most.
-	leastWait = 200 * time.Millisecond
-	mostWait  = 4 * time.Second
+	// regionShareTimeConstant is how slowly the regions' shares follow the demand in each. A
+	// region sees its own callers at once and the others' half a second later: with immediate
+	// shares, each of three regions that are partitioned as an account turns hot would have
+	// nearly all of the limit.
+	regionShareTimeConstant = 16 * time.Second
+	// missingReportHold is how long the usage of gateways that stop reporting is assumed to
+	// continue unchanged. A process that was killed is back after a second; until then the
+	// remaining gateways serve its callers.
+	missingReportHold = 1200 * time.Millisecond
+	// minReportedRate is the lowest requested rate that is reported, in units a second.
+	minReportedRate = 0.01
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejection: near the limit a
+	// fraction of the requests gets through, and callers wait for some seconds at most.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
-// New makes a meter that knows no account.
+// New returns a Meter without accounts.
 func New(deps Deps) *Meter {
-	return &Meter{Deps: deps, accounts: make(map[string]*account), active: make(map[string]*account), near: near{coverage: 1}, far: make(map[string]word)}
+	return &Meter{Deps: deps, accounts: make(map[string]*account), active: make(map[string]*account), local: localUsage{coverage: 1}, remote: make(map[string]regionReport)}
 }
 
-// Take takes over the accounts that are declared. Of one that is new here nothing is
-// known: this gateway may have started again.
+// Take sets the accounts to the declared ones that have a limit. A new one is assumed to be
+// fully used, because this gateway may have restarted.
 func (m *Meter) Take(accounts []catalog.Account, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	named := make(map[string]bool, len(accounts))
+	names := make(map[string]bool, len(accounts))
 	for _, declared := range accounts {
-		limit := declared.Allowance
-		if !limit.Limited() {
+		declaredLimit := declared.Allowance
+		if !declaredLimit.Limited() {
 			continue
 		}
-		named[declared.Name] = true
-		inside := limit.Rate*m.Policy.Window.Seconds() + limit.Burst
+		names[declared.Name] = true
+		nominal := declaredLimit.Rate*m.Policy.Window.Seconds() + declaredLimit.Burst
 		a, ok := m.accounts[declared.Name]
 		if !ok {
-			a = newAccount(inside, m.Policy.Window, m.Regions, now)
+			a = newAccount(nominal, m.Policy.Window, m.Regions, now)
 			m.accounts[declared.Name], m.active[declared.Name] = a, a
 		}
-		a.most = inside + aimShare*(m.Policy.Overage*inside+m.Policy.Slack)
+		a.limit = nominal + overageShare*(m.Policy.Overage*nominal+m.Policy.Slack)
 	}
 	for name := range m.accounts {
-		if !named[name] {
+		if !names[name] {
 			delete(m.accounts, name)
 			delete(m.active, name)
 		}
 	}
 }
 
-// Grant is what was counted for one request.
+// Grant is the record of one admitted request.
 type Grant struct {
 	meter   *Meter
 	account *account
 	cost    float64
 }
 
-// GiveBack takes a request that was never run off what was admitted. It may be called
-// on a nil Grant, and again.
+// GiveBack subtracts a request that was never run from what was admitted. Only the first call
+// has an effect; a nil Grant is valid and does nothing.
 func (g *Grant) GiveBack(now time.Time) {
 	if g == nil || g.cost == 0 {
 		return
@@ -158,12 +162,12 @@
 	g.account.add(g.meter.Region, -g.cost, g.meter.Policy.Window, now)
 	g.account.admitted.add(-g.cost, now)
 	g.account.addOwn(-g.cost, g.meter.Policy.Window, now)
-	g.account.jump.admitted -= g.cost
+	g.account.surge.admitted -= g.cost
 	g.cost = 0
 }
 
-// Ask counts a request of an account. It gives nil where the account has no limit; the
-// error is a *request.NotRun where the request is over it.
+// Ask admits a request of an account and counts its cost, in units. It returns a nil Grant if
+// the account has no limit, and a *request.NotRun error if it rejects the request.
 func (m *Meter) Ask(name string, cost float64, now time.Time) (*Grant, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,121 +176,123 @@
 		return nil, nil
 	}
 	m.active[name] = a
-	s := m.standing(name, a, now)
-	a.asked.add(cost, now)
+	s := m.updateState(name, a, now)
+	a.requested.add(cost, now)
 	a.demand.add(cost, now)
-	if a.jump.note(now) {
-		before := a.admitted.within(now, jumpOver)
-		left := max(0, s.most-s.used) + before + s.leaving*blindTime.Seconds()
-		inUse := a.known >= knownShare*s.most/m.Policy.Window.Seconds()
-		a.jump.begin(before, left/float64(max(1, m.gateways)), inUse, now)
+	if a.surge.observe(now) {
+		recent := a.admitted.sumOver(now, surgePeriod)
+		available := max(0, s.limit-s.used) + recent + s.expiryRate*propagationTime.Seconds()
+		inUse := a.othersRate >= inUseShare*s.limit/m.Policy.Window.Seconds()
+		a.surge.begin(recent, available/float64(max(1, m.gatewayCount)), inUse, now)
 	}
-	share := s.admits(cost)
-	if !a.jump.admits(cost, a.asked.perSecond(now), m.blind(a.jump.since, now)) {
-		share = 0
+	ratio := s.admitRatio(cost)
+	if !a.surge.admits(cost, a.requested.perSecond(now), m.awaitsReports(a.surge.start, now)) {
+		ratio = 0
 	}
-	if !s.bounds(cost, a.admitted.within(now, lag), a.asked.perSecond(now)) {
-		share = 0
+	if !s.withinGatewayShare(cost, a.admitted.sumOver(now, reportLag), a.requested.perSecond(now)) {
+		ratio = 0
 	}
-	if share < 1 && float64(m.Random()>>11)/(1<<53) >= share {
-		a.refused += cost
+	if ratio < 1 && float64(m.Random()>>11)/(1<<53) >= ratio {
+		a.rejected += cost
 		return nil, &request.NotRun{
 			Reason:     request.ReasonAllowance,
-			Message:    fmt.Sprintf("the account asks for %.0f units a second; of %.0f in %v, %.0f are used", s.asked, s.most, m.Policy.Window, s.used),
-			RetryAfter: max(leastWait, min(mostWait, a.until(cost+s.used-s.most, s.regions))),
+			Message:    fmt.Sprintf("the account asks for %.0f units a second; of %.0f in %v, %.0f are used", s.requested, s.limit, m.Policy.Window, s.used),
+			RetryAfter: max(minRetryAfter, min(maxRetryAfter, a.timeToExpire(cost+s.used-s.limit, s.regions))),
 		}
 	}
 	a.add(m.Region, cost, m.Policy.Window, now)
 	a.admitted.add(cost, now)
 	a.addOwn(cost, m.Policy.Window, now)
-	a.jump.admitted += cost
+	a.surge.admitted += cost
 	return &Grant{meter: m, account: a, cost: cost}, nil
 }
 
-// blind tells whether what began at a time isn't known of the others yet: for blindTime, and
-// as long as others are believed to be heard whose last words were told before. One gateway of
-// six that is cut off from all others as an account turns hot took more than its part in 19 of
-// 40 runs with blindTime alone, at worst 1.10 of what may be, and in 5 with this, at worst 1.02
-// (TestAGatewayThatIsCutOffAloneHoldsAnAccount). The lock is held.
-func (m *Meter) blind(since, now time.Time) bool {
-	if now.Sub(since) < blindTime {
+// awaitsReports reports whether what other gateways do since start isn't known yet: for
+// propagationTime, and for as long as gateways count as reachable whose latest reports were
+// sent too early to include it. Without the second condition, a gateway of six that was
+// isolated as an account turned hot exceeded its share in 19 of 40 simulated runs, and the
+// limit for the window by 10% at worst; with it in 5 runs, and by 2%
+// (TestGatewayIsolatedAtSurgeHoldsAnAccount). The caller holds m.mu.
+func (m *Meter) awaitsReports(start, now time.Time) bool {
+	if now.Sub(start) < propagationTime {
 		return true
 	}
-	told := since.Add(toldTime)
-	if m.near.coverage >= 1 && !m.near.allAt.IsZero() && m.near.allAt.Before(told) {
+	earliest := start.Add(surgeReportDelay)
+	if m.local.coverage >= 1 && !m.local.completeAt.IsZero() && m.local.completeAt.Before(earliest) {
 		return true
 	}
 	for _, region := range m.Regions {
-		if region != m.Region && m.heard(region, now) && m.far[region].at.Before(told) {
+		if region != m.Region && m.hasFreshReport(region, now) && m.remote[region].at.Before(earliest) {
 			return true
 		}
 	}
 	return false
 }
 
-// Uses gives what this gateway's callers do, by account, of those who do anything.
+// Uses returns the usage by this gateway's callers, for the accounts that they use.
 func (m *Meter) Uses(now time.Time) map[string]Use {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]Use)
 	for name, a := range m.active {
-		if u := a.use(now); u.Asked >= leastUse || u.Window > 0 {
+		if u := a.ownUsage(now); u.Asked >= minReportedRate || u.Window > 0 {
 			out[name] = u
 		}
 	}
 	return out
 }
 
-// SetGateways takes over how many gateways there are in all regions, this one included.
+// SetGateways sets the number of gateways in all regions, including this one.
 func (m *Meter) SetGateways(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gateways = n
+	m.gatewayCount = n
 }
 
-// HearNear takes what the other gateways of this region do. coverage is the share of
-// all its gateways that are alive, this one included, that the sums hold.
+// HearNear applies the summed usage of the other gateways of this region. coverage is the
+// fraction of the region's live gateways, including this one, that the sum includes. Those
+// that drop out of the sum are assumed to continue as before for missingReportHold.
 func (m *Meter) HearNear(uses map[string]Use, coverage float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fill(m.active, now)
-	m.wake(uses)
+	m.updateAccounts(m.active, now)
+	m.activate(uses)
 	switch {
 	case coverage >= 1:
-		m.near = near{uses: uses, coverage: 1, all: uses, allAt: now}
-	case now.Sub(m.near.allAt) < holdTime:
-		m.near.uses, m.near.coverage = most(uses, m.near.all), 1
+		m.local = localUsage{usage: uses, coverage: 1, complete: uses, completeAt: now}
+	case now.Sub(m.local.completeAt) < missingReportHold:
+		m.local.usage, m.local.coverage = maxUsage(uses, m.local.complete), 1
 	default:
-		m.near.uses, m.near.coverage = uses, coverage
+		m.local.usage, m.local.coverage = uses, coverage
 	}
 }
 
-// most gives the greater use of each account.
-func most(a, b map[string]Use) map[string]Use {
+// maxUsage returns the greater usage of each account, field by field.
+func maxUsage(a, b map[string]Use) map[string]Use {
 	out := maps.Clone(a)
 	for name, use := range b {
-		known := out[name]
-		out[name] = Use{max(known.Admitted, use.Admitted), max(known.Steady, use.Steady), max(known.Asked, use.Asked), max(known.Window, use.Window)}
+		larger := out[name]
+		out[name] = Use{max(larger.Admitted, use.Admitted), max(larger.Steady, use.Steady), max(larger.Asked, use.Asked), max(larger.Window, use.Window)}
 	}
 	return out
 }
 
-// HearFar takes another region's word, which was told at the given time.
+// HearFar applies another region's usage, as reported at the given time.
 func (m *Meter) HearFar(region string, uses map[string]Use, at, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard(region, now) {
-		m.fill(m.active, now)
+	if m.hasFreshReport(region, now) {
+		m.updateAccounts(m.active, now)
 	} else {
-		m.fill(m.accounts, now) // the region is believed to have used its share of each
+		m.updateAccounts(m.accounts, now) // the region is assumed to use its share of every account
 	}
-	m.wake(uses)
-	m.far[region] = word{at, uses}
-	m.share(now)
+	m.activate(uses)
+	m.remote[region] = regionReport{at, uses}
+	m.updateRegionShares(now)
 }
 
-// wake notes that somebody uses these accounts.
-func (m *Meter) wake(uses map[string]Use) {
+// activate adds the accounts with usage to the active ones.
+func (m *Meter) activate(uses map[string]Use) {
 	for name := range uses {
 		if a, ok := m.accounts[name]; ok {
 			m.active[name] = a
@@ -294,47 +300,49 @@
 	}
 }
 
-// fill brings accounts up to date before what is known changes. The others, which nobody
-// has used within a window, are when they are asked for: to bring 14,000 up to date, of
-// which one in ten is used, takes 24 ms for each word instead of 3. The lock is held.
-func (m *Meter) fill(accounts map[string]*account, now time.Time) {
+// updateAccounts updates the accounts to now, before the usage of other gateways changes. Idle
+// accounts, which no gateway used within a window, are updated only when they are requested:
+// updating all of 14,000 accounts, one in ten of them in use, takes 24 ms per report instead
+// of 3. The caller holds m.mu.
+func (m *Meter) updateAccounts(accounts map[string]*account, now time.Time) {
 	for name, a := range accounts {
-		m.standing(name, a, now)
-		if a.tidy(now) {
+		m.updateState(name, a, now)
+		if a.prune(now) {
 			delete(m.active, name)
 		}
 	}
 }
 
-// heard tells whether another region's word is fresh.
-func (m *Meter) heard(region string, now time.Time) bool {
-	return now.Sub(m.far[region].at) <= wordLife
+// hasFreshReport reports whether another region counts as reachable: its latest report is at
+// most reportLifetime old.
+func (m *Meter) hasFreshReport(region string, now time.Time) bool {
+	return now.Sub(m.remote[region].at) <= reportLifetime
 }
 
-// share works out the shares of the regions by what is asked for in each, while all are
-// heard. The lock is held.
-func (m *Meter) share(now time.Time) {
+// updateRegionShares moves the regions' shares towards the demand in each, if all regions are
+// reachable. The caller holds m.mu.
+func (m *Meter) updateRegionShares(now time.Time) {
 	for _, region := range m.Regions {
-		if region != m.Region && !m.heard(region, now) {
+		if region != m.Region && !m.hasFreshReport(region, now) {
 			return
 		}
 	}
 	for name, a := range m.active {
-		here := a.use(now).plus(m.near.uses[name])
-		asked := map[string]float64{m.Region: here.Asked}
-		sum := here.Asked
-		for region, w := range m.far {
-			asked[region] = w.uses[name].Asked
-			sum += asked[region]
+		localUse := a.ownUsage(now).plus(m.local.usage[name])
+		requested := map[string]float64{m.Region: localUse.Asked}
+		sum := localUse.Asked
+		for region, report := range m.remote {
+			requested[region] = report.usage[name].Asked
+			sum += requested[region]
 		}
-		if sum < leastUse {
+		if sum < minReportedRate {
 			continue
 		}
-		part := 1 - math.Exp(-float64(now.Sub(a.parted))/float64(sharesOver))
-		a.parted = now
+		weight := 1 - math.Exp(-float64(now.Sub(a.sharesUpdatedAt))/float64(regionShareTimeConstant))
+		a.sharesUpdatedAt = now
 		for _, region := range m.Regions {
-			target := demandShare*asked[region]/sum + (1-demandShare)/float64(len(m.Regions))
-			a.shares[region] += part * (target - a.shares[region])
+			target := demandShare*requested[region]/sum + (1-demandShare)/float64(len(m.Regions))
+			a.regionShares[region] += weight * (target - a.regionShares[region])
 		}
 	}
 }
--- a/allowance/moving.go
+++ b/allowance/moving.go
@@ -2,51 +2,52 @@
 
 import "time"
 
-// Parts of the moving sums of what a gateway admits.
+// Slots of a movingSum.
 const (
-	partTime = 50 * time.Millisecond
-	parts    = 21 // a second, and the one that isn't over yet
+	movingSlotTime = 50 * time.Millisecond
+	movingSlots    = 21 // one second, and the current slot
 )
 
-// moving is what was admitted in the last moments, by parts. Each request is in it for just
-// as long as a report counts at whoever receives it, so that what they add up is what was
-// admitted, however it came; an average whose weights fall with time may be half of a short
-// burst or nearly twice it, as it happens to be looked at.
-type moving struct {
-	sums [parts]float64
-	last int64 // number of the newest part
+// movingSum sums what a gateway admitted within the last second, in slots. Each request
+// counts for exactly as long as a report of it is used by its receivers, so that the
+// reported rates add up to what was admitted, whatever its timing. An exponentially decaying
+// average would count between half of a short burst and nearly twice it, depending on when
+// it is read.
+type movingSum struct {
+	slots  [movingSlots]float64
+	newest int64 // number of the current slot
 }
 
-func (m *moving) advance(now time.Time) {
-	number := now.UnixNano() / int64(partTime)
-	for n := max(m.last+1, number-parts+1); n <= number; n++ {
-		m.sums[n%parts] = 0
+func (m *movingSum) advance(now time.Time) {
+	number := now.UnixNano() / int64(movingSlotTime)
+	for n := max(m.newest+1, number-movingSlots+1); n <= number; n++ {
+		m.slots[n%movingSlots] = 0
 	}
-	m.last = max(m.last, number)
+	m.newest = max(m.newest, number)
 }
 
-func (m *moving) add(n float64, now time.Time) {
+func (m *movingSum) add(n float64, now time.Time) {
 	m.advance(now)
-	m.sums[m.last%parts] += n
+	m.slots[m.newest%movingSlots] += n
 }
 
-// within gives what was admitted over that time, the part that isn't over yet included.
-func (m *moving) within(now time.Time, over time.Duration) float64 {
+// sumOver returns the sum over the period, including the current slot.
+func (m *movingSum) sumOver(now time.Time, period time.Duration) float64 {
 	m.advance(now)
 	sum := 0.0
-	for i := range int64(over/partTime) + 1 {
-		sum += m.sums[(m.last-i)%parts]
+	for i := range int64(period/movingSlotTime) + 1 {
+		sum += m.slots[(m.newest-i)%movingSlots]
 	}
 	return sum
 }
 
-// perSecond gives what was admitted over the last whole parts of that time, a second.
-func (m *moving) perSecond(now time.Time, over time.Duration) float64 {
+// perSecond returns the rate over the last complete slots of the period.
+func (m *movingSum) perSecond(now time.Time, period time.Duration) float64 {
 	m.advance(now)
-	count := int64(over / partTime)
+	count := int64(period / movingSlotTime)
 	sum := 0.0
 	for i := int64(1); i <= count; i++ {
-		sum += m.sums[(m.last-i)%parts]
+		sum += m.slots[(m.newest-i)%movingSlots]
 	}
-	return max(0, sum/over.Seconds())
+	return max(0, sum/period.Seconds())
 }
--- a/allowance/status.go
+++ b/allowance/status.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Status is what one gateway knows of an account's allowance, for operators.
+// Status is one gateway's estimate of an account's use of its allowance, for operators.
 type Status struct {
 	Account  string  `json:"account"`
-	Most     float64 `json:"most"`     // units that all whom it hears may admit in a window
-	Used     float64 `json:"used"`     // units of that, as far as is known
-	Asked    float64 `json:"asked"`    // units a second, by all callers whom it hears of
-	Admitted float64 `json:"admitted"` // units a second, of those
-	Refused  float64 `json:"refused"`  // units that this gateway has refused since its start
-	Share    float64 `json:"share"`    // of the whole allowance, for this region if it is cut off
-	Coverage float64 `json:"coverage"` // of its region's gateways, the share that it hears
-	// Regions is how long ago each other region was heard, in seconds; -1 for never.
+	Most     float64 `json:"most"`     // units that this gateway and those it hears from may admit in a window
+	Used     float64 `json:"used"`     // units admitted in the window, as estimated
+	Asked    float64 `json:"asked"`    // units a second requested at those gateways
+	Admitted float64 `json:"admitted"` // units a second admitted at those gateways
+	Refused  float64 `json:"refused"`  // units that this gateway rejected since its start
+	Share    float64 `json:"share"`    // of the limit that this region keeps if it is partitioned
+	Coverage float64 `json:"coverage"` // fraction of its region's gateways whose usage is known
+	// Regions is the age of each other region's latest report, in seconds; -1 for none.
 	Regions map[string]float64 `json:"regions"`
 }
 
-// Statuses gives what is known of every limited account, in the order of their names.
+// Statuses returns the status of every account that has a limit, sorted by name.
 func (m *Meter) Statuses(now time.Time) []Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,16 +30,16 @@
 			continue
 		}
 		ages[region] = -1
-		if w, ok := m.far[region]; ok {
-			ages[region] = now.Sub(w.at).Seconds()
+		if report, ok := m.remote[region]; ok {
+			ages[region] = now.Sub(report.at).Seconds()
 		}
 	}
 	out := make([]Status, 0, len(m.accounts))
 	for name, a := range m.accounts {
-		s := m.standing(name, a, now)
+		s := m.updateState(name, a, now)
 		out = append(out, Status{
-			Account: name, Most: s.most, Used: s.used, Asked: s.asked, Admitted: s.admitted,
-			Refused: a.refused, Share: a.shares[m.Region], Coverage: m.near.coverage, Regions: ages,
+			Account: name, Most: s.limit, Used: s.used, Asked: s.requested, Admitted: s.admitted,
+			Refused: a.rejected, Share: a.regionShares[m.Region], Coverage: m.local.coverage, Regions: ages,
 		})
 	}
 	slices.SortFunc(out, func(a, b Status) int { return strings.Compare(a.Account, b.Account) })
--- a/allowance/window.go
+++ b/allowance/window.go
@@ -2,69 +2,70 @@
 
 import "time"
 
-// slots is how many parts a window is remembered in. One more is kept, so that rather too
-// much is remembered than too little: 1.6 in 100 of what an account may do in it.
-const slots = 64
+// windowSlots is the number of slots in a window. One more is kept, so that the sum is
+// too high rather than too low: by up to 1.6% of an account's limit for the window.
+const windowSlots = 64
 
-// window is what was admitted lately, by time.
+// window sums units over a sliding period, in slots.
 type window struct {
-	slot  time.Duration // length of each part
-	parts [slots + 1]float64
-	sum   float64
-	last  int64 // number of the newest part
+	slotTime time.Duration // length of one slot
+	slots    [windowSlots + 1]float64
+	sum      float64
+	newest   int64 // number of the current slot
 }
 
-// newWindow makes a window of that length, in which as much as may be was admitted,
-// evenly: nothing is known of what was.
-func newWindow(length time.Duration, most float64, now time.Time) *window {
-	w := &window{slot: max(1, length/slots)}
-	w.last = w.number(now)
-	for i := range w.parts {
-		w.parts[i] = most / float64(len(w.parts))
-		w.sum += w.parts[i]
+// newWindow returns a window of that length which holds the total, spread evenly: when it was
+// admitted is unknown.
+func newWindow(length time.Duration, total float64, now time.Time) *window {
+	w := &window{slotTime: max(1, length/windowSlots)}
+	w.newest = w.slotNumber(now)
+	for i := range w.slots {
+		w.slots[i] = total / float64(len(w.slots))
+		w.sum += w.slots[i]
 	}
 	return w
 }
 
-func (w *window) number(now time.Time) int64 { return now.UnixNano() / int64(w.slot) }
+func (w *window) slotNumber(now time.Time) int64 { return now.UnixNano() / int64(w.slotTime) }
 
-// advance forgets what has left the window.
+// advance drops the slots that have left the window.
 func (w *window) advance(now time.Time) {
-	number := w.number(now)
-	for n := max(w.last+1, number-slots); n <= number; n++ {
-		part := &w.parts[n%int64(len(w.parts))]
-		w.sum -= *part
-		*part = 0
+	number := w.slotNumber(now)
+	for n := max(w.newest+1, number-windowSlots); n <= number; n++ {
+		slot := &w.slots[n%int64(len(w.slots))]
+		w.sum -= *slot
+		*slot = 0
 	}
-	w.last = max(w.last, number)
+	w.newest = max(w.newest, number)
 	w.sum = max(0, w.sum)
 }
 
-// add notes what was admitted now, or takes it off.
-func (w *window) add(n float64, now time.Time) {
+// add counts units in the current slot; negative units are subtracted, down to an empty slot.
+func (w *window) add(units float64, now time.Time) {
 	w.advance(now)
-	part := &w.parts[w.last%int64(len(w.parts))]
-	n = max(n, -*part)
-	*part += n
-	w.sum += n
+	slot := &w.slots[w.newest%int64(len(w.slots))]
+	units = max(units, -*slot)
+	*slot += units
+	w.sum += units
 }
 
-// leaving gives how much leaves the window each second now.
-func (w *window) leaving() float64 {
-	const looked = 4
+// expiryRate returns how many units currently leave the window per second, averaged over the
+// next few slots.
+func (w *window) expiryRate() float64 {
+	const lookahead = 4
 	sum := 0.0
-	for i := int64(1); i <= looked; i++ {
-		sum += w.parts[(w.last+i)%int64(len(w.parts))]
+	for i := int64(1); i <= lookahead; i++ {
+		sum += w.slots[(w.newest+i)%int64(len(w.slots))]
 	}
-	return sum / (looked * w.slot.Seconds())
+	return sum / (lookahead * w.slotTime.Seconds())
 }
 
-// until gives how long it takes until so much has left the window.
-func (w *window) until(n float64) time.Duration {
-	for i := int64(1); i <= int64(len(w.parts)); i++ {
-		if n -= w.parts[(w.last+i)%int64(len(w.parts))]; n <= 0 {
-			return time.Duration(i) * w.slot
+// timeToExpire returns how long it takes until that many units have left the window.
+func (w *window) timeToExpire(units float64) time.Duration {
+	for i := int64(1); i <= int64(len(w.slots)); i++ {
+		if units -= w.slots[(w.newest+i)%int64(len(w.slots))]; units <= 0 {
+			return time.Duration(i) * w.slotTime
 		}
 	}
-	return time.Duration(len(w.parts)) * w.slot
+	return time.Duration(len(w.slots)) * w.slotTime
 }
