--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -50,7 +50,7 @@
 	for _, rate := range []float64{29_000, 120_000, 1_000_000} {
 		for _, n := range []int{60, 300} {
 			t.Run(fmt.Sprint(rate, " ", n), func(t *testing.T) {
-				for name, newLimiter := range map[string]func(*simulation, int) limiter{"equal shares": newEqualShareLimiter, "all or nothing": newGlobalCountLimiter} {
+				for name, newLimiter := range map[string]func(*simulation, int) limiter{"equal shares": newEqualLimiter, "all or nothing": newGlobalCountLimiter} {
 					other := newSimulation(n, tokens(rate), newLimiter)
 					other.runHotAccount()
 					t.Log(name, other)
--- a/allowance/world_test.go
+++ b/allowance/world_test.go
@@ -230,20 +230,18 @@
 	return allowance.Use{}, false
 }
 
-// equalShareLimiter gives each gateway a token bucket with an equal share of the rate.
-type equalShareLimiter struct {
+// equalLimiter gives each gateway a token bucket with an equal share of the rate.
+type equalLimiter struct {
 	sim    *simulation
 	tokens float64
 	last   time.Time
 }
 
-func newEqualShareLimiter(sim *simulation, _ int) limiter {
-	return &equalShareLimiter{sim: sim, last: sim.now}
-}
+func newEqualLimiter(sim *simulation, _ int) limiter { return &equalLimiter{sim: sim, last: sim.now} }
 
-func (e *equalShareLimiter) exchangeReports(time.Time) {}
+func (e *equalLimiter) exchangeReports(time.Time) {}
 
-func (e *equalShareLimiter) admit(cost float64, now time.Time) bool {
+func (e *equalLimiter) admit(cost float64, now time.Time) bool {
 	n := float64(len(e.sim.meters) * len(e.sim.meters[0]))
 	e.tokens = min(e.sim.limit.Burst/n, e.tokens+e.sim.limit.Rate/n*now.Sub(e.last).Seconds())
 	e.last = now
