--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,25 +1,28 @@
-// Package ratelimit keeps all gateways together within the requests a second that an engine
-// says it takes.
+// Package ratelimit keeps all gateways together within the request rate that an engine
+// accepts.
 //
-// An engine in need names a limit in its answers, for all gateways together, as long as it
-// holds. Whatever a gateway learns of what the others send is some tenths of a second old, and
-// a limit may be one request a second before hundreds of gateways: nine that added up what
-// they told each other sent 5.9 times as much as an engine took (TestOtherWaysOfSharing). So
-// nothing is added up. Each gateway has a fixed share instead, which all work out alike from
-// the names of the region's gateways and the limit:
+// An overloaded engine names a limit in its responses: the requests per second that it
+// accepts from all gateways together, for as long as the limit holds. What a gateway
+// knows of the others' requests is some tenths of a second old, and the limit may be one
+// request per second for hundreds of gateways. Nine gateways that added up each other's
+// reports sent 5.9 times as much as an engine accepted (TestSharingStrategies). So
+// gateways do not count each other's requests. Each has a fixed share of the limit, which
+// all compute alike from the names of the region's gateways and the limit:
 //
-//   - A small limit is shared by few gateways, a request a second each, so that one which has a
-//     share has enough requests to fill it. Which ones they are, all rank alike.
-//   - A gateway that comes takes its part as soon as it is heard of; the part of one that
-//     goes stays unused for a while. Two gateways that know different lists so share out
-//     too little rather than too much.
-//   - A share fills evenly, and only some of what isn't used is kept.
+//   - A small limit is shared by few gateways, with one request per second each, so that a
+//     gateway that has a share receives enough requests to use it. All gateways choose the
+//     same ones, by rendezvous hashing.
+//   - A new gateway gets its share as soon as it is listed. The share of one that is gone
+//     stays unused for a while. So gateways whose lists differ hand out too little rather
+//     than too much.
+//   - A share refills evenly, and only part of what is unused accumulates.
 //
-// A Table holds the limits that this gateway has read in answers or was told of by the Notes
-// of others. The newest word holds, and a word that allows more counts from when its request
-// was sent: answers pass each other, and one that was begun before the engine named its limit
-// must not lift it. An engine that has started again is another one.
+// A Table holds the limits that this gateway has read in responses or received from other
+// gateways. The latest signal is effective. One that raises or lifts a limit counts from
+// when its request was sent: responses overtake each other, and one to a request from
+// before the engine named its limit must not lift it. A restarted engine counts as a new
+// one.
 //
-// A Table has no clock, goroutine or network of its own, and knows engines and gateways by
-// their hashes only.
+// A Table has no clock, goroutine or network of its own, and identifies engines and
+// gateways by hashes only.
 package ratelimit
--- a/ratelimit/notes.go
+++ b/ratelimit/notes.go
@@ -1,4 +1,4 @@
-// This file defines what gateways tell each other of limits.
+// This file defines the reports of limits that gateways exchange.
 
 package ratelimit
 
@@ -8,111 +8,113 @@
 	"time"
 )
 
-// Note is what one gateway knows of an engine's limit.
+// Note reports an engine's limit to another gateway.
 type Note struct {
 	_      struct{} `cbor:",toarray"`
 	Engine uint64   // hash of its incarnation
-	// PerSecond is the limit in thousandths of a request a second; lifted for none.
+	// PerSecond is the limit in thousandths of a request per second, or lifted.
 	PerSecond int64
-	Age       uint16 // of the word, in milliseconds
+	Age       uint16 // of the signal, in milliseconds
 }
 
 const (
-	// lifted stands for the limit of an engine that names none any more.
+	// lifted is the PerSecond of an engine that no longer names a limit.
 	lifted = -1
-	// thousandths is the unit in which limits are told.
-	thousandths = 1000
-	// timesTold is how often each change is told; datagrams are lost now and then, one in
-	// some hundred.
-	timesTold = 3
-	// mostNotes bounds the notes of one message, to some 1,000 bytes.
-	mostNotes = 64
-	// againTold is how many of those that were told before are told in each message, in turn,
-	// to gateways that have just started or were cut off: a hundred of them within 3 s.
-	againTold = 4
-	// maxAge is the highest age that a note can tell, in its unit: a minute.
-	maxAge = math.MaxUint16
+	// milli is the number of PerSecond units in one request per second.
+	milli = 1000
+	// sendsPerChange is how many messages include each change, because about one datagram
+	// in a hundred is lost.
+	sendsPerChange = 3
+	// maxReports bounds the reports in one message, to about 1,000 bytes.
+	maxReports = 64
+	// repeatsPerMessage is how many limits without a change each message repeats in turn,
+	// for gateways that have just started or were partitioned: a hundred limits within 3
+	// s.
+	repeatsPerMessage = 4
+	// maxAgeMillis is the highest age that fits a report: about a minute.
+	maxAgeMillis = math.MaxUint16
 )
 
-// Tell gives the notes for the next message to the gateways of this region.
+// Tell returns the reports for the next message to the gateways of this region.
 func (t *Table) Tell(now time.Time) []Note {
 	if len(t.engines) == 0 {
 		return nil
 	}
-	all := t.sorted()
+	engines := t.sortedEngines()
 	var out []Note
-	for _, id := range all {
-		if e := t.engines[id]; e.left > 0 && len(out) < mostNotes {
-			e.left--
-			out = append(out, e.note(id, now))
+	for _, id := range engines {
+		if e := t.engines[id]; e.sendsLeft > 0 && len(out) < maxReports {
+			e.sendsLeft--
+			out = append(out, e.report(id, now))
 		}
 	}
-	for range min(againTold, len(all)) {
-		t.turn++
-		id := all[t.turn%len(all)]
-		out = append(out, t.engines[id].note(id, now))
+	for range min(repeatsPerMessage, len(engines)) {
+		t.nextRepeat++
+		id := engines[t.nextRepeat%len(engines)]
+		out = append(out, t.engines[id].report(id, now))
 	}
 	return out
 }
 
-// Standing gives what a host tells that is asked now and then: the engines that were heard of
-// last, as many as one message holds.
+// Standing returns the most recently updated limits, as many as fit one message, for a
+// host that is polled for them.
 func (t *Table) Standing(now time.Time) []Note {
-	all := t.sorted()
-	slices.SortStableFunc(all, func(a, b uint64) int { return t.engines[b].at.Compare(t.engines[a].at) })
+	engines := t.sortedEngines()
+	slices.SortStableFunc(engines, func(a, b uint64) int { return t.engines[b].since.Compare(t.engines[a].since) })
 	var out []Note
-	for _, id := range all[:min(len(all), mostNotes)] {
-		out = append(out, t.engines[id].note(id, now))
+	for _, id := range engines[:min(len(engines), maxReports)] {
+		out = append(out, t.engines[id].report(id, now))
 	}
 	return out
 }
 
-func (e *engine) note(id uint64, now time.Time) Note {
-	n := Note{Engine: id, PerSecond: lifted, Age: uint16(min(maxAge, max(0, now.Sub(e.at).Milliseconds())))}
-	if limit, ok := e.word.(Limited); ok {
-		n.PerSecond = int64(math.Round(min(limit.PerSecond, math.MaxInt32) * thousandths))
+func (e *engineLimit) report(id uint64, now time.Time) Note {
+	n := Note{Engine: id, PerSecond: lifted, Age: uint16(min(maxAgeMillis, max(0, now.Sub(e.since).Milliseconds())))}
+	if limit, ok := e.signal.(Limited); ok {
+		n.PerSecond = int64(math.Round(min(limit.PerSecond, math.MaxInt32) * milli))
 	}
 	return n
 }
 
-// word gives what the note says.
-func (n Note) word() Word {
+// signal returns the reported limit as a signal.
+func (n Note) signal() Word {
 	if n.PerSecond < 0 {
 		return Unlimited{}
 	}
-	return Limited{PerSecond: float64(n.PerSecond) / thousandths}
+	return Limited{PerSecond: float64(n.PerSecond) / milli}
 }
 
-// Older gives notes that were told so long ago. Those of one engine that a sum holds differ
-// by their ages.
-func Older(notes []Note, by time.Duration) []Note {
-	out := slices.Clone(notes)
+// Older returns a copy of reports with age added to each. Two reports of one engine are
+// ordered by their ages.
+func Older(reports []Note, age time.Duration) []Note {
+	out := slices.Clone(reports)
 	for i := range out {
-		out[i].Age = uint16(min(maxAge, int64(out[i].Age)+by.Milliseconds()))
+		out[i].Age = uint16(min(maxAgeMillis, int64(out[i].Age)+age.Milliseconds()))
 	}
 	return out
 }
 
-// HearNotes takes what another gateway told. It gives the engines of which something is new.
+// HearNotes applies the reports of another gateway. It returns the engines whose limits
+// changed.
 //
-// A note that says what is known already changes nothing, not even its age: on its way it
-// seems younger than it is, and if each gateway believed that and told it on, a word would
-// never grow old and no newer one could take its place.
-func (t *Table) HearNotes(notes []Note, now time.Time) []uint64 {
+// A report of the signal that is already effective changes nothing, not even its age.
+// Network delay makes reports seem younger than they are: if gateways adopted the lower
+// ages and sent them on, a signal would never age, and no later one could replace it.
+func (t *Table) HearNotes(reports []Note, now time.Time) []uint64 {
 	var changed []uint64
-	for _, n := range notes {
-		at := now.Add(-time.Duration(n.Age) * time.Millisecond)
+	for _, n := range reports {
+		since := now.Add(-time.Duration(n.Age) * time.Millisecond)
 		e, known := t.engines[n.Engine]
 		if !known {
-			e = &engine{} // also of a limit that is lifted: the one before may be told later
-			e.share.filled = now
+			e = &engineLimit{} // also if the limit is lifted: older reports of it may follow
+			e.share.refilledAt = now
 			t.engines[n.Engine] = e
 		}
-		if known && (!at.After(e.at) || n.same(e.word)) {
+		if known && (!since.After(e.since) || n.matches(e.signal)) {
 			continue
 		}
-		t.set(e, n.Engine, n.word(), at, now)
-		e.left = 0 // whoever told it tells all others
+		t.set(e, n.Engine, n.signal(), since, now)
+		e.sendsLeft = 0 // the gateway that reports the change sends it to all others
 		if known || n.PerSecond != lifted {
 			changed = append(changed, n.Engine)
 		}
@@ -120,11 +122,11 @@
 	return changed
 }
 
-// same tells whether the note says the same as a word, as exactly as it can.
-func (n Note) same(w Word) bool {
-	limit, limited := w.(Limited)
+// matches reports whether the report has the same limit as a signal, in its precision.
+func (n Note) matches(signal Word) bool {
+	limit, limited := signal.(Limited)
 	if !limited {
 		return n.PerSecond == lifted
 	}
-	return n.PerSecond == int64(math.Round(min(limit.PerSecond, math.MaxInt32)*thousandths))
+	return n.PerSecond == int64(math.Round(min(limit.PerSecond, math.MaxInt32)*milli))
 }
--- a/ratelimit/share.go
+++ b/ratelimit/share.go
@@ -1,4 +1,4 @@
-// This file defines which part of a limit each gateway has.
+// This file defines each gateway's share of a limit.
 
 package ratelimit
 
@@ -12,47 +12,50 @@
 )
 
 const (
-	// shareLeast is what a gateway that has a share gets at least, in requests a second, so
-	// that its callers ask for as much, and it needn't save up for longer than a second: with an
-	// equal part for each of many gateways, none would ever send anything
-	// (TestOtherWaysOfSharing).
-	shareLeast = 1.0
-	// leastRate is what an engine gets that takes less, or nothing, in requests a second: no
-	// other way tells that its need is over.
-	leastRate = 0.25
-	// keptOver is over which time a share that isn't used is kept, and keptBeside what is kept
-	// beside, in requests, over all gateways together: where each keeps one request only, chance
-	// wastes much of a share (TestOtherWaysOfSharing). Within 4 s an
-	// engine so gets 5 times its limit and one request at most; what gateways that don't
-	// know of a change yet send beside, within a second of it, comes on top.
-	keptOver   = time.Second
-	keptBeside = 1.0
-	// absentFor is how long a gateway that is no longer named still counts: control hosts that
-	// have just started name gateways as they hear them, for up to 1.5 s.
-	absentFor = 2 * time.Second
+	// minShare is the smallest share of a gateway that has one, in requests per second.
+	// It makes sure that its callers use the share, and that it accumulates a request
+	// within a second: with an equal share for each of many gateways, none would ever
+	// send one (TestSharingStrategies).
+	minShare = 1.0
+	// minRate is the rate, in requests per second, for an engine that names a lower limit
+	// or zero: only a response can show that the engine is no longer overloaded.
+	minRate = 0.25
+	// burstPeriod is the period over which an unused share accumulates. extraBurst is
+	// what accumulates in addition, in requests, over all gateways together: if each
+	// could accumulate only one request, much of a share would be lost by chance
+	// (TestSharingStrategies). Within 4 s, an engine so receives at most 5 times its
+	// limit and one request, plus what gateways that haven't yet received a change send
+	// within a second of it.
+	burstPeriod = time.Second
+	extraBurst  = 1.0
+	// memberTimeout is how long a gateway that is no longer listed still counts as a
+	// member: for up to 1.5 s after their own start, control hosts list only the gateways
+	// that they have heard from so far.
+	memberTimeout = 2 * time.Second
 )
 
-// members are the gateways that share the limits. The zero value has none.
+// members is the set of gateways that share the limits. The zero value is empty.
 type members struct {
-	seen    map[uint64]time.Time // by hash of the name: when it was last named
-	hashes  []uint64             // that count, in order
-	version int                  // changes with the hashes
+	lastSeen map[uint64]time.Time // by hash of the name: when it was last listed
+	hashes   []uint64             // of the current members, sorted
+	version  int                  // changes whenever hashes does
 }
 
 func hashOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// take takes over the names of those that are there.
-func (m *members) take(names []string, now time.Time) {
-	if m.seen == nil {
-		m.seen = make(map[uint64]time.Time)
+// update marks the listed gateways as seen now, and drops those that were not seen for
+// memberTimeout.
+func (m *members) update(names []string, now time.Time) {
+	if m.lastSeen == nil {
+		m.lastSeen = make(map[uint64]time.Time)
 	}
 	for _, name := range names {
-		m.seen[hashOf(name)] = now
+		m.lastSeen[hashOf(name)] = now
 	}
 	var hashes []uint64
-	for hash, at := range m.seen {
-		if now.Sub(at) > absentFor {
-			delete(m.seen, hash)
+	for hash, at := range m.lastSeen {
+		if now.Sub(at) > memberTimeout {
+			delete(m.lastSeen, hash)
 			continue
 		}
 		hashes = append(hashes, hash)
@@ -64,67 +67,71 @@
 	}
 }
 
-// sharers is how many gateways share a limit.
-func (m *members) sharers(perSecond float64) int {
-	return max(1, min(int(perSecond/shareLeast), len(m.hashes)))
+// sharerCount returns the number of gateways that share a limit.
+func (m *members) sharerCount(perSecond float64) int {
+	return max(1, min(int(perSecond/minShare), len(m.hashes)))
 }
 
-// has tells whether a gateway is among the first so many in rank for an engine.
-func (m *members) has(gateway, engine uint64, first int) bool {
-	mine := rendezvous.Rank(engine, gateway)
-	before, named := 0, false
+// isSharer reports whether a gateway is among the first count members in the rendezvous
+// order for an engine.
+func (m *members) isSharer(gateway, engine uint64, count int) bool {
+	rank := rendezvous.Rank(engine, gateway)
+	ahead, listed := 0, false
 	for _, hash := range m.hashes {
 		if hash == gateway {
-			named = true
-		} else if rendezvous.Rank(engine, hash) > mine {
-			before++
+			listed = true
+		} else if rendezvous.Rank(engine, hash) > rank {
+			ahead++
 		}
 	}
-	return named && before < first
+	return listed && ahead < count
 }
 
-// bucket is a share that fills with time. The zero value is empty, and fills at no rate.
+// bucket is a token bucket with one token per request. The zero value is empty and never
+// refills.
 type bucket struct {
-	rate   float64 // requests a second
-	most   float64 // that are kept
-	tokens float64
-	filled time.Time
+	rate       float64 // tokens per second
+	capacity   float64 // tokens
+	tokens     float64
+	refilledAt time.Time
 }
 
-// reshape takes over another rate from now on. What is kept stays, as far as it may.
-func (b *bucket) reshape(rate, most float64, now time.Time) {
-	b.fill(now)
-	b.rate, b.most = rate, most
-	b.tokens = min(b.tokens, most)
+// setRate changes the rate and the capacity from now on. It keeps the tokens that fit.
+func (b *bucket) setRate(rate, capacity float64, now time.Time) {
+	b.refill(now)
+	b.rate, b.capacity = rate, capacity
+	b.tokens = min(b.tokens, capacity)
 }
 
-func (b *bucket) fill(now time.Time) {
-	if passed := now.Sub(b.filled); passed > 0 {
-		b.tokens = min(b.most, b.tokens+b.rate*passed.Seconds())
-		b.filled = now
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.tokens = min(b.capacity, b.tokens+b.rate*elapsed.Seconds())
+		b.refilledAt = now
 	}
 }
 
-// fullShare is from which part of a token on it counts as whole: sums of parts are not exact.
-const fullShare = 1 - 1e-9
+// wholeToken is the amount from which on a token counts as whole, because sums of
+// fractions are not exact.
+const wholeToken = 1 - 1e-9
 
 func (b *bucket) allows(now time.Time) bool {
-	b.fill(now)
-	return b.tokens >= fullShare
+	b.refill(now)
+	return b.tokens >= wholeToken
 }
 
 func (b *bucket) take(now time.Time) {
-	b.fill(now)
+	b.refill(now)
 	b.tokens--
 }
 
-func (b *bucket) giveBack(now time.Time) {
-	b.fill(now)
-	b.tokens = min(b.most, b.tokens+1)
+func (b *bucket) refund(now time.Time) {
+	b.refill(now)
+	b.tokens = min(b.capacity, b.tokens+1)
 }
 
-// next gives how long it takes until the next request is allowed; false for never.
-func (b *bucket) next(now time.Time) (time.Duration, bool) {
+// delay returns how long it takes until the next request is allowed, and whether it ever
+// is.
+func (b *bucket) delay(now time.Time) (time.Duration, bool) {
 	if b.allows(now) {
 		return 0, true
 	}
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -1,4 +1,4 @@
-// This file defines what one gateway knows of the limits that engines name.
+// This file defines the table of engines' limits at one gateway.
 
 package ratelimit
 
@@ -9,212 +9,214 @@
 	"time"
 )
 
-// forgetAfter is how long after the last word of it an engine is remembered that nobody
-// knows any more, or that no longer names a limit. Gateways tell each other what they know in
-// turn; within that time each has been told that a limit is lifted.
-const forgetAfter = time.Minute
+// retention is how long an engine is kept after its last signal, once it names no limit
+// or no longer exists. Each message repeats some known limits in turn; within this time,
+// every gateway has received that a limit was lifted.
+const retention = time.Minute
 
-// Table holds the limits that engines name. It isn't safe for concurrent use. New makes one.
+// Table holds the limits that engines name, and this gateway's shares of them. It isn't
+// safe for concurrent use. Create one with New.
 type Table struct {
-	self    uint64 // hash of this gateway's name
-	members members
-	engines map[uint64]*engine
-	turn    int // whose turn it is to be told again
-}
-
-// engine is what is known of one incarnation of an engine that has named a limit.
-type engine struct {
-	word    Word      // Limited or Unlimited
-	at      time.Time // since when that holds, or was confirmed here
-	left    int       // how often still to tell it
-	version int       // of the members that the share was worked out for
-	share   bucket
-	sharers int
-	sent    int // under a limit
-	kept    int // requests that were kept away
-}
-
-// New makes an empty table of the gateway of that name.
+	self       uint64 // hash of this gateway's name
+	members    members
+	engines    map[uint64]*engineLimit
+	nextRepeat int // which engine's limit to repeat next
+}
+
+// engineLimit is the limit of one incarnation of an engine, and this gateway's share of
+// it.
+type engineLimit struct {
+	signal         Word      // Limited or Unlimited
+	since          time.Time // when the signal became effective or was last confirmed here
+	sendsLeft      int       // how many more messages include it as a change
+	membersVersion int       // of the members from which share was computed
+	share          bucket
+	sharers        int
+	sent           int // requests, while limited
+	excluded       int // requests for which the engine was excluded
+}
+
+// New returns an empty Table for the gateway of that name.
 func New(name string) *Table {
-	return &Table{self: hashOf(name), engines: make(map[uint64]*engine)}
+	return &Table{self: hashOf(name), engines: make(map[uint64]*engineLimit)}
 }
 
-// SetMembers takes over the names of the gateways that share the limits, this one among
-// them where it takes requests.
+// SetMembers sets the names of the gateways that share the limits, including this one if
+// it accepts requests.
 func (t *Table) SetMembers(names []string, now time.Time) {
-	t.members.take(names, now)
+	t.members.update(names, now)
 }
 
-// Hear takes what an engine's answer says of its limit; the request was sent, and its answer
-// came, at those times. It tells whether that is new.
-func (t *Table) Hear(id uint64, word Word, sent, came time.Time) (changed bool) {
-	if _, unclear := word.(Unclear); unclear || word == nil {
+// Hear applies the signal of a response that was received at the given time, to a request
+// sent at the given time. It reports whether the limit changed.
+func (t *Table) Hear(id uint64, signal Word, sent, received time.Time) (changed bool) {
+	if _, malformed := signal.(Unclear); malformed || signal == nil {
 		return false
 	}
 	e, known := t.engines[id]
 	if !known {
-		if _, unlimited := word.(Unlimited); unlimited {
+		if _, unlimited := signal.(Unlimited); unlimited {
 			return false
 		}
-		e = &engine{}
+		e = &engineLimit{}
 		t.engines[id] = e
-		e.share.filled = came
+		e.share.refilledAt = received
 	}
-	at := came
-	if known && allowsMore(e.word, word) {
-		// The engine may have said less since this answer's request was begun; only of one
-		// that was sent after that is it certain that it says so now.
-		at = sent
+	since := received
+	if known && raisesLimit(e.signal, signal) {
+		// The engine may have lowered its limit after this request was sent, and responses
+		// overtake each other. Only the response to a later request can raise the limit.
+		since = sent
 	}
 	switch {
-	case known && !at.After(e.at):
+	case known && !since.After(e.since):
 		return false
-	case known && word == e.word:
-		if t.Limited(id) { // that a limit was lifted is forgotten in time
-			e.at = at
+	case known && signal == e.signal:
+		if t.Limited(id) { // Forget drops lifted limits, so their age must grow
+			e.since = since
 		}
 		return false
 	}
-	t.set(e, id, word, at, came)
+	t.set(e, id, signal, since, received)
 	return true
 }
 
-// allowsMore tells whether a word allows more requests than the one before.
-func allowsMore(before, word Word) bool {
-	b, limited := before.(Limited)
+// raisesLimit reports whether a signal allows more requests than the one before.
+func raisesLimit(before, after Word) bool {
+	old, limited := before.(Limited)
 	if !limited {
 		return false
 	}
-	w, limited := word.(Limited)
-	return !limited || w.PerSecond > b.PerSecond
+	updated, limited := after.(Limited)
+	return !limited || updated.PerSecond > old.PerSecond
 }
 
-func (t *Table) set(e *engine, id uint64, word Word, at, now time.Time) {
-	e.word, e.at, e.left = word, at, timesTold
-	t.divide(e, id, now)
+func (t *Table) set(e *engineLimit, id uint64, signal Word, since, now time.Time) {
+	e.signal, e.since, e.sendsLeft = signal, since, sendsPerChange
+	t.updateShare(e, id, now)
 }
 
-// divide works out this gateway's share anew.
-func (t *Table) divide(e *engine, id uint64, now time.Time) {
-	e.version = t.members.version
-	limit, limited := e.word.(Limited)
+// updateShare recomputes this gateway's share of an engine's limit.
+func (t *Table) updateShare(e *engineLimit, id uint64, now time.Time) {
+	e.membersVersion = t.members.version
+	limit, limited := e.signal.(Limited)
 	if !limited {
 		return
 	}
-	e.sharers = t.members.sharers(limit.PerSecond)
-	if !t.members.has(t.self, id, e.sharers) {
-		e.share.reshape(0, 0, now)
+	e.sharers = t.members.sharerCount(limit.PerSecond)
+	if !t.members.isSharer(t.self, id, e.sharers) {
+		e.share.setRate(0, 0, now)
 		return
 	}
-	parts := float64(e.sharers)
-	rate := max(leastRate, limit.PerSecond)
-	kept := limit.PerSecond*keptOver.Seconds() + keptBeside
-	e.share.reshape(rate/parts, max(1, kept/parts), now)
+	sharers := float64(e.sharers)
+	rate := max(minRate, limit.PerSecond)
+	capacity := limit.PerSecond*burstPeriod.Seconds() + extraBurst
+	e.share.setRate(rate/sharers, max(1, capacity/sharers), now)
 }
 
-// limited gives what is known of an engine that names a limit, with its share as of now; nil
-// for one that names none.
-func (t *Table) limited(id uint64, now time.Time) *engine {
+// limitedEngine returns the limit of an engine, with an up-to-date share, or nil if it
+// names none.
+func (t *Table) limitedEngine(id uint64, now time.Time) *engineLimit {
 	e, ok := t.engines[id]
 	if !ok {
 		return nil
 	}
-	if _, limited := e.word.(Limited); !limited {
+	if _, limited := e.signal.(Limited); !limited {
 		return nil
 	}
-	if e.version != t.members.version {
-		t.divide(e, id, now)
+	if e.membersVersion != t.members.version {
+		t.updateShare(e, id, now)
 	}
 	return e
 }
 
-// Limited tells whether an engine names a limit.
+// Limited reports whether an engine currently names a limit.
 func (t *Table) Limited(id uint64) bool {
 	e, ok := t.engines[id]
 	if !ok {
 		return false
 	}
-	_, limited := e.word.(Limited)
+	_, limited := e.signal.(Limited)
 	return limited
 }
 
-// Allows tells whether this gateway may send an engine a request now.
+// Allows reports whether this gateway may send a request to an engine now.
 func (t *Table) Allows(id uint64, now time.Time) bool {
-	e := t.limited(id, now)
+	e := t.limitedEngine(id, now)
 	return e == nil || e.share.allows(now)
 }
 
-// Take counts a request that is sent to an engine.
+// Take takes a token for a request that is sent to an engine.
 func (t *Table) Take(id uint64, now time.Time) {
-	if e := t.limited(id, now); e != nil {
+	if e := t.limitedEngine(id, now); e != nil {
 		e.share.take(now)
 		e.sent++
 	}
 }
 
-// GiveBack takes a request off again that was not sent in the end.
+// GiveBack returns the token of a request that wasn't sent after all.
 func (t *Table) GiveBack(id uint64, now time.Time) {
-	if e := t.limited(id, now); e != nil {
-		e.share.giveBack(now)
+	if e := t.limitedEngine(id, now); e != nil {
+		e.share.refund(now)
 		e.sent--
 	}
 }
 
-// KeptAway counts a request that may not be sent to an engine now.
+// KeptAway counts a request for which an engine is excluded because its share is used up.
 func (t *Table) KeptAway(id uint64, now time.Time) {
-	if e := t.limited(id, now); e != nil {
-		e.kept++
+	if e := t.limitedEngine(id, now); e != nil {
+		e.excluded++
 	}
 }
 
-// Next gives how long it takes until this gateway may send an engine a request; false where
-// it has no share.
+// Next returns how long it takes until this gateway may send a request to an engine;
+// false if it has no share.
 func (t *Table) Next(id uint64, now time.Time) (time.Duration, bool) {
-	e := t.limited(id, now)
+	e := t.limitedEngine(id, now)
 	if e == nil {
 		return 0, true
 	}
-	return e.share.next(now)
+	return e.share.delay(now)
 }
 
-// Forget drops the engines that nobody knows any more, and such that have long named no
-// limit. The owner calls it now and then.
+// Forget drops engines without a signal for the retention time if they name no limit or
+// are no longer known. The owner calls it periodically.
 func (t *Table) Forget(known func(id uint64) bool, now time.Time) {
 	for id, e := range t.engines {
-		if now.Sub(e.at) > forgetAfter && (!t.Limited(id) || !known(id)) {
+		if now.Sub(e.since) > retention && (!t.Limited(id) || !known(id)) {
 			delete(t.engines, id)
 		}
 	}
 }
 
-// Status is what operators are shown of one engine that names a limit.
+// Status is the state of an engine's limit at one gateway, for operators.
 type Status struct {
-	PerSecond float64       `json:"per_second"` // that it takes
-	Share     float64       `json:"share"`      // of it that is this gateway's, in requests a second
-	Sharers   int           `json:"sharers"`    // gateways that have one
-	Age       time.Duration `json:"age_ns"`     // of the newest word here
-	Sent      int           `json:"sent"`       // requests, under a limit
-	KeptAway  int           `json:"kept_away"`
+	PerSecond float64       `json:"per_second"` // limit that the engine names
+	Share     float64       `json:"share"`      // of this gateway, in requests per second
+	Sharers   int           `json:"sharers"`    // gateways that have a share
+	Age       time.Duration `json:"age_ns"`     // of the latest signal
+	Sent      int           `json:"sent"`       // requests sent while limited
+	KeptAway  int           `json:"kept_away"`  // requests for which the engine was excluded
 }
 
-// String is what logs show.
+// String returns the status as logs show it.
 func (s Status) String() string {
 	return fmt.Sprintf("%g/s share=%.2f sharers=%d age=%v", s.PerSecond, s.Share, s.Sharers, s.Age.Round(time.Millisecond))
 }
 
-// Status gives what is known of an engine; false for one that names no limit.
+// Status returns the state of an engine's limit; false if it names none.
 func (t *Table) Status(id uint64, now time.Time) (Status, bool) {
-	e := t.limited(id, now)
+	e := t.limitedEngine(id, now)
 	if e == nil {
 		return Status{}, false
 	}
 	return Status{
-		PerSecond: e.word.(Limited).PerSecond, Share: e.share.rate, Sharers: e.sharers, Age: now.Sub(e.at), Sent: e.sent, KeptAway: e.kept,
+		PerSecond: e.signal.(Limited).PerSecond, Share: e.share.rate, Sharers: e.sharers, Age: now.Sub(e.since), Sent: e.sent, KeptAway: e.excluded,
 	}, true
 }
 
-// sorted gives the hashes of all engines, in order.
-func (t *Table) sorted() []uint64 {
+// sortedEngines returns the hashes of all engines in ascending order.
+func (t *Table) sortedEngines() []uint64 {
 	out := make([]uint64, 0, len(t.engines))
 	for id := range t.engines {
 		out = append(out, id)
--- a/ratelimit/word.go
+++ b/ratelimit/word.go
@@ -1,4 +1,4 @@
-// This file defines what an engine's answer says of its limit.
+// This file defines the limit that an engine's response signals.
 
 package ratelimit
 
@@ -8,26 +8,27 @@
 	"strings"
 )
 
-// Word is what one answer says of how many requests its engine takes: Limited, Unlimited or
+// Word is what one response signals about its engine's limit: Limited, Unlimited or
 // Unclear.
 type Word interface {
-	// String is what logs show.
+	// String returns the signal as logs show it.
 	String() string
-	word()
+	isSignal()
 }
 
-// Limited says that the engine takes so many requests a second from all gateways together.
+// Limited signals that the engine accepts this many requests per second from all gateways
+// together.
 type Limited struct{ PerSecond float64 }
 
-// Unlimited says that the engine names no limit.
+// Unlimited signals that the engine names no limit.
 type Unlimited struct{}
 
-// Unclear is a limit that can't be read: it neither sets one nor lifts the one before.
+// Unclear is a limit that can't be parsed. It neither sets a limit nor lifts one.
 type Unclear struct{ Text string }
 
-func (Limited) word()   {}
-func (Unlimited) word() {}
-func (Unclear) word()   {}
+func (Limited) isSignal()   {}
+func (Unlimited) isSignal() {}
+func (Unclear) isSignal()   {}
 
 // String implements Word.
 func (l Limited) String() string { return strconv.FormatFloat(l.PerSecond, 'g', -1, 64) + "/s" }
@@ -38,14 +39,14 @@
 // String implements Word.
 func (u Unclear) String() string { return "unclear: " + strconv.Quote(u.Text) }
 
-// Parse reads the limits that an answer names, as decimal numbers. Of several, as two header
-// lines that a proxy joined, the least holds.
-func Parse(named []string) Word {
-	if len(named) == 0 {
+// Parse parses the limits in a response's header values, as decimal numbers. If there are
+// several, for example two header lines that a proxy joined, the lowest counts.
+func Parse(values []string) Word {
+	if len(values) == 0 {
 		return Unlimited{}
 	}
 	least := math.Inf(1)
-	for _, text := range named {
+	for _, text := range values {
 		for part := range strings.SplitSeq(text, ",") {
 			n, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 			if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
