--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -10,11 +10,12 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// idOf gives an engine's hash, as large as hashes are.
-func idOf(n int) uint64 { return uint64(n+1) * 0x9e3779b97f4a7c15 }
+// engineHash returns the hash of an engine, as large as real ones.
+func engineHash(n int) uint64 { return uint64(n+1) * 0x9e3779b97f4a7c15 }
 
-// needy gives a gateway's table of so many engines that name limits, before 200 gateways.
-func needy(engines int, now time.Time) *ratelimit.Table {
+// tableOf returns a gateway's table with that many limited engines, shared by 200
+// gateways.
+func tableOf(engines int, now time.Time) *ratelimit.Table {
 	var names []string
 	for i := range 200 {
 		names = append(names, fmt.Sprintf("gateway-%03d", i))
@@ -22,26 +23,27 @@
 	table := ratelimit.New(names[0])
 	table.SetMembers(names, now)
 	for n := range engines {
-		table.Hear(idOf(n), ratelimit.Limited{PerSecond: 20}, now, now)
+		table.Hear(engineHash(n), ratelimit.Limited{PerSecond: 20}, now, now)
 	}
 	return table
 }
 
-// BenchmarkAllows is what each engine that a request might be sent to costs.
+// BenchmarkAllows measures the check of one candidate engine for a request.
 func BenchmarkAllows(b *testing.B) {
 	now := time.Unix(1000, 0)
-	table := needy(600, now)
+	table := tableOf(600, now)
 	for n := 0; b.Loop(); n++ {
-		table.Allows(idOf(n%600), now)
+		table.Allows(engineHash(n%600), now)
 	}
 }
 
-// BenchmarkTell is what each message costs, ten times a second, and what it holds, in bytes.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkOutgoing measures the reports of one message, which is sent ten times a
+// second: the time and the size.
+func BenchmarkOutgoing(b *testing.B) {
 	now := time.Unix(1000, 0)
 	for _, engines := range []int{2, 600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			table := needy(engines, now)
+			table := tableOf(engines, now)
 			for range 100 {
 				table.Tell(now)
 			}
@@ -58,11 +60,11 @@
 	}
 }
 
-// BenchmarkOtherGateways is what it costs to divide one limit anew when a gateway comes or
-// goes, of 200.
-func BenchmarkOtherGateways(b *testing.B) {
+// BenchmarkChangedMembers measures how long it takes to recompute the share of one limit
+// after one of 200 gateways has changed.
+func BenchmarkChangedMembers(b *testing.B) {
 	now := time.Unix(1000, 0)
-	table := needy(600, now)
+	table := tableOf(600, now)
 	var names []string
 	for i := range 199 {
 		names = append(names, fmt.Sprintf("gateway-%03d", i))
@@ -70,6 +72,6 @@
 	for n := 0; b.Loop(); n++ {
 		now = now.Add(3 * time.Second)
 		table.SetMembers(append(names, fmt.Sprint("other", n)), now)
-		table.Allows(idOf(n%600), now)
+		table.Allows(engineHash(n%600), now)
 	}
 }
--- a/ratelimit/table_test.go
+++ b/ratelimit/table_test.go
@@ -10,67 +10,68 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// usedShare is how much of what an engine in need takes it should get, where callers ask for
-// it: what it takes and doesn't get is lost to them.
-const usedShare = 0.8
+// minUsedShare is the fraction of its limit that an engine must receive if callers
+// request as much; the rest of its capacity would be wasted.
+const minUsedShare = 0.8
 
-// TestAnEngineGetsWhatItTakesAndNoMore plays limits before few and many gateways, whose
-// callers ask for more than that.
-func TestAnEngineGetsWhatItTakesAndNoMore(t *testing.T) {
+// TestEngineReceivesItsLimitAndNoMore guards against gateways that together exceed a
+// limit or use too little of it, when their callers request more.
+func TestEngineReceivesItsLimitAndNoMore(t *testing.T) {
 	for _, gateways := range []int{1, 3, 9, 58} {
 		for _, limit := range []float64{0, 0.3, 1, 1.2, 2.9, 5, 20, 100} {
 			t.Run(fmt.Sprintf("%d gateways, %g a second", gateways, limit), func(t *testing.T) {
-				asked := max(4, 2*limit/float64(gateways))
-				out := scenario{gateways: gateways, perSecond: asked, limit: constant(limit), length: 20 * time.Second, seed: 1, way: newShares}.play()
-				must.LessEq(t, 0, out.over, must.Sprint("beyond what it may get"))
+				perGateway := max(4, 2*limit/float64(gateways))
+				out := scenario{gateways: gateways, perSecond: perGateway, limit: constant(limit), length: 20 * time.Second, seed: 1, newLimiter: newTableLimiter}.run()
+				must.LessEq(t, 0, out.excess, must.Sprint("requests beyond the allowed number"))
 				if limit >= 1 {
-					must.GreaterEq(t, usedShare, out.share, must.Sprint("of what it takes"))
+					must.GreaterEq(t, minUsedShare, out.usedShare, must.Sprint("fraction of the limit that is used"))
 				}
 			})
 		}
 	}
 }
 
-// TestOtherWaysOfSharing compares the shares with two other ways: sums of what gateways tell
-// each other are 0.25 s old, in which each may send what all together may; and where every
-// gateway has an equal part, the least that each must be able to send, one request, adds up.
-// The log has the figures.
-func TestOtherWaysOfSharing(t *testing.T) {
+// TestSharingStrategies logs how the shares compare with two other strategies: sums of
+// the gateways' reports, which are 0.25 s old, so that meanwhile each gateway may use the
+// whole limit; and equal shares, where the single request that each gateway must be able
+// to send adds up.
+func TestSharingStrategies(t *testing.T) {
 	for _, gateways := range []int{3, 9, 58} {
 		for _, limit := range []float64{1, 20} {
-			play := func(way func(string) limiter) string {
-				out := scenario{gateways: gateways, perSecond: 12, limit: constant(limit), length: 40 * time.Second, seed: 1, way: way}.play()
-				return fmt.Sprintf("%.0f over, used %.2f", out.over, out.share)
+			run := func(newLimiter func(string) limiter) string {
+				out := scenario{gateways: gateways, perSecond: 12, limit: constant(limit), length: 40 * time.Second, seed: 1, newLimiter: newLimiter}.run()
+				return fmt.Sprintf("%.0f requests beyond the allowed number, %.2f of the limit used", out.excess, out.usedShare)
 			}
-			equal := func(string) limiter { return &equal{part: 1 / float64(gateways)} }
-			t.Logf("%d gateways, %g a second: sums %s; equal parts %s; shares %s", gateways, limit, play(newSums), play(equal), play(newShares))
+			equal := func(string) limiter { return &equalLimiter{share: 1 / float64(gateways)} }
+			t.Logf("%d gateways, %g a second: sums: %s; equal shares: %s; table: %s", gateways, limit, run(newSums), run(equal), run(newTableLimiter))
 		}
 	}
 }
 
-// TestLimitsThatChange plays limits that fall, rise, end and come again.
-func TestLimitsThatChange(t *testing.T) {
+// TestChangingLimits guards against gateways that exceed or underuse a limit after it
+// fell or rose.
+func TestChangingLimits(t *testing.T) {
 	for name, limit := range map[string]func(at time.Duration) float64{
 		"falls": func(at time.Duration) float64 { return map[bool]float64{true: 20, false: 1}[at < 15*time.Second] },
 		"rises": func(at time.Duration) float64 { return map[bool]float64{true: 1, false: 20}[at < 15*time.Second] },
-		"nothing, then some": func(at time.Duration) float64 {
+		"zero, then rises": func(at time.Duration) float64 {
 			return map[bool]float64{true: 0, false: 5}[at < 20*time.Second]
 		},
-		"falls step by step": func(at time.Duration) float64 { return max(1, 20-at.Seconds()) },
+		"falls gradually": func(at time.Duration) float64 { return max(1, 20-at.Seconds()) },
 	} {
 		for _, gateways := range []int{3, 58} {
 			t.Run(fmt.Sprintf("%s, %d gateways", name, gateways), func(t *testing.T) {
-				out := scenario{gateways: gateways, perSecond: 8, limit: limit, length: 40 * time.Second, seed: 2, way: newShares}.play()
-				must.LessEq(t, 0, out.over)
-				must.GreaterEq(t, usedShare, out.share)
+				out := scenario{gateways: gateways, perSecond: 8, limit: limit, length: 40 * time.Second, seed: 2, newLimiter: newTableLimiter}.run()
+				must.LessEq(t, 0, out.excess)
+				must.GreaterEq(t, minUsedShare, out.usedShare)
 			})
 		}
 	}
 }
 
-// TestALimitThatEndsIsForgotten asks how soon an engine whose need is over gets as much as
-// others.
-func TestALimitThatEndsIsForgotten(t *testing.T) {
+// TestLiftedLimitIsForgotten guards against an engine that receives too few requests for
+// more than five seconds after its limit was lifted.
+func TestLiftedLimitIsForgotten(t *testing.T) {
 	for _, gateways := range []int{3, 58} {
 		limit := func(at time.Duration) float64 {
 			if at < 15*time.Second {
@@ -78,57 +79,57 @@
 			}
 			return -1
 		}
-		out := scenario{gateways: gateways, perSecond: 8, limit: limit, length: 20 * time.Second, seed: 3, way: newShares}.play()
-		asked := 8 * gateways * 5
-		must.Greater(t, asked*7/10, out.all, must.Sprintf("of %d asked for in the last five seconds", asked))
+		out := scenario{gateways: gateways, perSecond: 8, limit: limit, length: 20 * time.Second, seed: 3, newLimiter: newTableLimiter}.run()
+		requested := 8 * gateways * 5
+		must.Greater(t, requested*7/10, out.received, must.Sprintf("of %d requests in the last five seconds", requested))
 	}
 }
 
-// TestGatewaysThatComeAndGo plays lists of gateways that some know late, and gateways that
-// end and start again.
-func TestGatewaysThatComeAndGo(t *testing.T) {
+// TestChangingMembers guards against gateways that exceed a limit while their member
+// lists differ, or while gateways stop and restart.
+func TestChangingMembers(t *testing.T) {
 	const gateways = 9
 	var names []string
 	for i := range gateways {
 		names = append(names, fmt.Sprintf("gateway-%03d", i))
 	}
-	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	some := func(at time.Duration, from, until float64) bool { return at >= second(from) && at < second(until) }
+	seconds := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+	between := func(at time.Duration, from, until float64) bool { return at >= seconds(from) && at < seconds(until) }
 	for name, change := range map[string]struct {
-		lists func(gateway int, at time.Duration) []string
-		ends  func(gateway int, at time.Duration) bool
+		membersSeenBy func(gateway int, at time.Duration) []string
+		isDown        func(gateway int, at time.Duration) bool
 	}{
-		"one ends and comes back": {
-			lists: func(gateway int, at time.Duration) []string {
-				late := float64(gateway) / gateways // each learns of it at another time
-				if some(at, 12+late, 16+late) && gateway != 4 {
+		"one stops and restarts": {
+			membersSeenBy: func(gateway int, at time.Duration) []string {
+				late := float64(gateway) / gateways // each gateway gets the new list at another time
+				if between(at, 12+late, 16+late) && gateway != 4 {
 					return append(append([]string{}, names[:4]...), names[5:]...)
 				}
 				return names
 			},
-			ends: func(gateway int, at time.Duration) bool { return gateway == 4 && some(at, 10, 15) },
+			isDown: func(gateway int, at time.Duration) bool { return gateway == 4 && between(at, 10, 15) },
 		},
-		"three more come": {
-			lists: func(gateway int, at time.Duration) []string {
-				if at < second(12+float64(gateway)/gateways) {
+		"three are added": {
+			membersSeenBy: func(gateway int, at time.Duration) []string {
+				if at < seconds(12+float64(gateway)/gateways) {
 					return names[:6]
 				}
 				return names
 			},
-			ends: func(gateway int, at time.Duration) bool { return gateway >= 6 && at < second(12) },
+			isDown: func(gateway int, at time.Duration) bool { return gateway >= 6 && at < seconds(12) },
 		},
-		"control hosts start again and hear gateways one by one": {
-			lists: func(gateway int, at time.Duration) []string {
-				if some(at, 12, 13.5) {
-					heard := int((at - second(12)) / second(0.2))
-					return append([]string{names[gateway]}, names[:min(heard, gateways)]...)
+		"control hosts restart and list gateways one by one": {
+			membersSeenBy: func(gateway int, at time.Duration) []string {
+				if between(at, 12, 13.5) {
+					listed := int((at - seconds(12)) / seconds(0.2))
+					return append([]string{names[gateway]}, names[:min(listed, gateways)]...)
 				}
 				return names
 			},
 		},
-		"half knows nothing of the other for a second": {
-			lists: func(gateway int, at time.Duration) []string {
-				if some(at, 12, 13) {
+		"halves do not list each other for a second": {
+			membersSeenBy: func(gateway int, at time.Duration) []string {
+				if between(at, 12, 13) {
 					return names[gateway%2*4 : gateway%2*4+4]
 				}
 				return names
@@ -137,45 +138,46 @@
 	} {
 		for _, limit := range []float64{1, 5, 20} {
 			t.Run(fmt.Sprintf("%s, %g a second", name, limit), func(t *testing.T) {
-				out := scenario{gateways: gateways, perSecond: 8, limit: constant(limit), length: 40 * time.Second, seed: 4, way: newShares, lists: change.lists, ends: change.ends}.play()
-				must.LessEq(t, 0, out.over)
-				must.GreaterEq(t, 0.7, out.share, must.Sprint("one of the shares is lost for some seconds"))
+				out := scenario{gateways: gateways, perSecond: 8, limit: constant(limit), length: 40 * time.Second, seed: 4, newLimiter: newTableLimiter, membersSeenBy: change.membersSeenBy, isDown: change.isDown}.run()
+				must.LessEq(t, 0, out.excess)
+				must.GreaterEq(t, 0.7, out.usedShare, must.Sprint("one of the shares is unused for some seconds"))
 			})
 		}
 	}
 }
 
-// TestAnswersThatPassEachOther has answers come in another order than they were begun in.
-func TestAnswersThatPassEachOther(t *testing.T) {
+// TestReorderedResponses guards against a limit that is lifted or raised by a response to
+// an older request, which arrives after the response that set it.
+func TestReorderedResponses(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	one, five, none := ratelimit.Limited{PerSecond: 1}, ratelimit.Limited{PerSecond: 5}, ratelimit.Unlimited{}
-	type answer struct {
-		word       ratelimit.Word
-		sent, came int
+	type response struct {
+		signal         ratelimit.Word
+		sent, received int
 	}
 	for name, test := range map[string]struct {
-		answers []answer
-		want    float64 // negative for no limit
+		responses []response
+		want      float64 // negative for no limit
 	}{
-		"it names one":                               {[]answer{{one, 0, 10}}, 1},
-		"an older answer doesn't lift it":            {[]answer{{one, 0, 10}, {none, 5, 20}}, 1},
-		"a newer one does":                           {[]answer{{one, 0, 10}, {none, 11, 20}}, -1},
-		"an older answer doesn't raise it":           {[]answer{{one, 0, 10}, {five, 5, 20}}, 1},
-		"a newer one does so":                        {[]answer{{one, 0, 10}, {five, 11, 20}}, 5},
-		"each may lower it":                          {[]answer{{five, 10, 20}, {one, 0, 30}}, 1},
-		"one that can't be read changes nothing":     {[]answer{{five, 0, 10}, {ratelimit.Unclear{Text: "x"}, 11, 20}}, 5},
-		"nor does it set one":                        {[]answer{{ratelimit.Unclear{Text: "x"}, 0, 10}}, -1},
-		"no answer at all keeps it":                  {[]answer{{one, 0, 10}, {nil, 20, 30}}, 1},
-		"it names one again":                         {[]answer{{one, 0, 10}, {none, 11, 20}, {one, 5, 30}}, 1},
-		"an answer between says that it still holds": {[]answer{{one, 0, 10}, {one, 11, 30}, {none, 20, 40}}, 1},
+		"a limit is set":                     {[]response{{one, 0, 10}}, 1},
+		"an older response doesn't lift it":  {[]response{{one, 0, 10}, {none, 5, 20}}, 1},
+		"a newer response lifts it":          {[]response{{one, 0, 10}, {none, 11, 20}}, -1},
+		"an older response doesn't raise it": {[]response{{one, 0, 10}, {five, 5, 20}}, 1},
+		"a newer response raises it":         {[]response{{one, 0, 10}, {five, 11, 20}}, 5},
+		"any response may lower it":          {[]response{{five, 10, 20}, {one, 0, 30}}, 1},
+		"a malformed limit changes nothing":  {[]response{{five, 0, 10}, {ratelimit.Unclear{Text: "x"}, 11, 20}}, 5},
+		"a malformed limit sets none":        {[]response{{ratelimit.Unclear{Text: "x"}, 0, 10}}, -1},
+		"a missing response changes nothing": {[]response{{one, 0, 10}, {nil, 20, 30}}, 1},
+		"a limit is set again":               {[]response{{one, 0, 10}, {none, 11, 20}, {one, 5, 30}}, 1},
+		"a limit is confirmed in between":    {[]response{{one, 0, 10}, {one, 11, 30}, {none, 20, 40}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := ratelimit.New("g")
 			table.SetMembers([]string{"g"}, at(0))
-			for _, a := range test.answers {
-				table.Hear(theOne, a.word, at(a.sent), at(a.came))
+			for _, r := range test.responses {
+				table.Hear(engineID, r.signal, at(r.sent), at(r.received))
 			}
-			status, limited := table.Status(theOne, at(100))
+			status, limited := table.Status(engineID, at(100))
 			if !limited {
 				status.PerSecond = -1
 			}
@@ -184,66 +186,67 @@
 	}
 }
 
-// TestNotesOfLimits lets one gateway tell another.
-func TestNotesOfLimits(t *testing.T) {
+// TestLimitReports guards against reports that undo a later one, and against a limit that
+// never ages because two gateways keep sending it to each other.
+func TestLimitReports(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	pair := func() (teller, hearer *ratelimit.Table) {
-		teller, hearer = ratelimit.New("a"), ratelimit.New("b")
-		for _, table := range []*ratelimit.Table{teller, hearer} {
+	pair := func() (sender, receiver *ratelimit.Table) {
+		sender, receiver = ratelimit.New("a"), ratelimit.New("b")
+		for _, table := range []*ratelimit.Table{sender, receiver} {
 			table.SetMembers([]string{"a", "b"}, at(0))
 		}
-		teller.Hear(theOne, ratelimit.Limited{PerSecond: 1}, at(0), at(10))
-		return teller, hearer
+		sender.Hear(engineID, ratelimit.Limited{PerSecond: 1}, at(0), at(10))
+		return sender, receiver
 	}
 
-	teller, hearer := pair()
-	must.Eq(t, []uint64{theOne}, hearer.HearNotes(teller.Tell(at(20)), at(30)))
-	must.True(t, hearer.Limited(theOne))
-	must.SliceEmpty(t, hearer.HearNotes(teller.Tell(at(120)), at(130)), must.Sprint("it is known by now"))
-
-	teller.Hear(theOne, ratelimit.Unlimited{}, at(200), at(250))
-	must.Eq(t, []uint64{theOne}, hearer.HearNotes(teller.Tell(at(300)), at(310)))
-	must.False(t, hearer.Limited(theOne))
-
-	// What was told before comes late, and takes nothing back.
-	teller, hearer = pair()
-	before := teller.Tell(at(20))
-	teller.Hear(theOne, ratelimit.Unlimited{}, at(200), at(250))
-	hearer.HearNotes(teller.Tell(at(300)), at(310))
-	must.SliceEmpty(t, hearer.HearNotes(ratelimit.Older(before, 300*time.Millisecond), at(320)))
-	must.False(t, hearer.Limited(theOne))
-
-	// A word that is told to and fro grows old all the same: a gateway that reads a newer one
-	// is believed.
-	teller, hearer = pair()
+	sender, receiver := pair()
+	must.Eq(t, []uint64{engineID}, receiver.HearNotes(sender.Tell(at(20)), at(30)))
+	must.True(t, receiver.Limited(engineID))
+	must.SliceEmpty(t, receiver.HearNotes(sender.Tell(at(120)), at(130)), must.Sprint("the report repeats the effective limit"))
+
+	sender.Hear(engineID, ratelimit.Unlimited{}, at(200), at(250))
+	must.Eq(t, []uint64{engineID}, receiver.HearNotes(sender.Tell(at(300)), at(310)))
+	must.False(t, receiver.Limited(engineID))
+
+	// A delayed report doesn't undo a later one.
+	sender, receiver = pair()
+	staleReports := sender.Tell(at(20))
+	sender.Hear(engineID, ratelimit.Unlimited{}, at(200), at(250))
+	receiver.HearNotes(sender.Tell(at(300)), at(310))
+	must.SliceEmpty(t, receiver.HearNotes(ratelimit.Older(staleReports, 300*time.Millisecond), at(320)))
+	must.False(t, receiver.Limited(engineID))
+
+	// A limit that two gateways keep sending to each other still ages, so that a later
+	// response replaces it.
+	sender, receiver = pair()
 	for ms := 20; ms < 5000; ms += 100 {
-		hearer.HearNotes(teller.Tell(at(ms)), at(ms+90))
-		teller.HearNotes(hearer.Tell(at(ms+90)), at(ms+180))
+		receiver.HearNotes(sender.Tell(at(ms)), at(ms+90))
+		sender.HearNotes(receiver.Tell(at(ms+90)), at(ms+180))
 	}
-	hearer.Hear(theOne, ratelimit.Unlimited{}, at(300), at(5000))
-	must.False(t, hearer.Limited(theOne))
+	receiver.Hear(engineID, ratelimit.Unlimited{}, at(300), at(5000))
+	must.False(t, receiver.Limited(engineID))
 
-	teller.Forget(func(uint64) bool { return true }, at(120_000))
-	must.True(t, teller.Limited(theOne), must.Sprint("no answer has said otherwise"))
-	teller.Forget(func(uint64) bool { return false }, at(120_000))
-	must.False(t, teller.Limited(theOne), must.Sprint("the engine is gone"))
+	sender.Forget(func(uint64) bool { return true }, at(120_000))
+	must.True(t, sender.Limited(engineID), must.Sprint("no response lifted the limit"))
+	sender.Forget(func(uint64) bool { return false }, at(120_000))
+	must.False(t, sender.Limited(engineID), must.Sprint("the engine no longer exists"))
 }
 
-// Example has two gateways that share what an engine takes.
+// Example shares an engine's limit between two gateways.
 func Example() {
 	start := time.Unix(1000, 0)
 	tables := []*ratelimit.Table{ratelimit.New("a"), ratelimit.New("b")}
 	for _, table := range tables {
 		table.SetMembers([]string{"a", "b"}, start)
 	}
-	tables[0].Hear(theOne, ratelimit.Limited{PerSecond: 4}, start, start)
+	tables[0].Hear(engineID, ratelimit.Limited{PerSecond: 4}, start, start)
 	tables[1].HearNotes(tables[0].Tell(start), start)
 	sent := 0
 	for ms := range 10_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for _, table := range tables {
-			if table.Allows(theOne, now) {
-				table.Take(theOne, now)
+			if table.Allows(engineID, now) {
+				table.Take(engineID, now)
 				sent++
 			}
 		}
--- a/ratelimit/word_test.go
+++ b/ratelimit/word_test.go
@@ -19,10 +19,10 @@
 	// unclear: "few"
 }
 
-func TestWhatAnAnswerSaysOfItsLimit(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, test := range []struct {
-		named []string
-		want  ratelimit.Word
+		values []string
+		want   ratelimit.Word
 	}{
 		{nil, ratelimit.Unlimited{}},
 		{[]string{"1"}, ratelimit.Limited{PerSecond: 1}},
@@ -38,6 +38,6 @@
 		{[]string{"5/s"}, ratelimit.Unclear{Text: "5/s"}},
 		{[]string{"3", "many"}, ratelimit.Unclear{Text: "many"}},
 	} {
-		must.Eq(t, test.want, ratelimit.Parse(test.named), must.Sprint(test.named))
+		must.Eq(t, test.want, ratelimit.Parse(test.values), must.Sprint(test.values))
 	}
 }
--- a/ratelimit/world_test.go
+++ b/ratelimit/world_test.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// window and slack are how much an engine may get: one and a half times what its limit
-	// allows in the window, and the slack, from firstTime after it first named one.
-	window    = 4 * time.Second
-	slack     = 5
-	times     = 1.5
-	firstTime = 6 * time.Second
-	// oweTime is how long a gateway that has read a limit may take until it owes its part.
-	oweTime = 500 * time.Millisecond
-	step    = 10 * time.Millisecond
-	tellAt  = 100 * time.Millisecond
-	theOne  = 7 // the hash of the engine
+	// An engine may receive limitFactor times what its limit allows in a window, and slack
+	// requests, from warmUp on.
+	window      = 4 * time.Second
+	slack       = 5
+	limitFactor = 1.5
+	warmUp      = 6 * time.Second
+	// reactionTime is the time after which a gateway that has received a limit must
+	// comply.
+	reactionTime   = 500 * time.Millisecond
+	step           = 10 * time.Millisecond
+	reportInterval = 100 * time.Millisecond
+	engineID       = 7 // a hash
 )
 
-// limiter is one way of keeping to a limit at one gateway.
+// limiter is one strategy to enforce an engine's limit at one gateway.
 type limiter interface {
 	setMembers(names []string, now time.Time)
-	hear(word ratelimit.Word, sent, came time.Time)
+	applySignal(signal ratelimit.Word, sent, received time.Time)
 	allows(now time.Time) bool
-	take(now time.Time)
-	tell(now time.Time) any
-	told(from int, news any, now time.Time)
+	takeToken(now time.Time)
+	outgoing(now time.Time) any
+	receive(from int, reports any, now time.Time)
 }
 
-// shares is the product's way.
-type shares struct{ table *ratelimit.Table }
+// tableLimiter is the strategy of the gateways: a Table.
+type tableLimiter struct{ table *ratelimit.Table }
 
-func newShares(name string) limiter { return shares{ratelimit.New(name)} }
+func newTableLimiter(name string) limiter { return tableLimiter{ratelimit.New(name)} }
 
-func (s shares) setMembers(names []string, now time.Time) { s.table.SetMembers(names, now) }
-func (s shares) hear(word ratelimit.Word, sent, came time.Time) {
-	s.table.Hear(theOne, word, sent, came)
+func (s tableLimiter) setMembers(names []string, now time.Time) { s.table.SetMembers(names, now) }
+func (s tableLimiter) applySignal(signal ratelimit.Word, sent, received time.Time) {
+	s.table.Hear(engineID, signal, sent, received)
 }
-func (s shares) allows(now time.Time) bool { return s.table.Allows(theOne, now) }
-func (s shares) take(now time.Time)        { s.table.Take(theOne, now) }
-func (s shares) tell(now time.Time) any    { return s.table.Tell(now) }
-func (s shares) told(_ int, news any, now time.Time) {
-	s.table.HearNotes(news.([]ratelimit.Note), now)
+func (s tableLimiter) allows(now time.Time) bool  { return s.table.Allows(engineID, now) }
+func (s tableLimiter) takeToken(now time.Time)    { s.table.Take(engineID, now) }
+func (s tableLimiter) outgoing(now time.Time) any { return s.table.Tell(now) }
+func (s tableLimiter) receive(_ int, reports any, now time.Time) {
+	s.table.HearNotes(reports.([]ratelimit.Note), now)
 }
 
-// sums is the other way: each gateway sends while what it has sent within the window, and
-// what the others have told of theirs, is less than the limit allows.
+// sums is a strategy that sends while the requests that this gateway sent within the
+// window, and those that the others reported, are below the limit.
 type sums struct {
 	limit  float64 // infinite for none
 	sent   []time.Time
@@ -61,13 +62,13 @@
 
 func (s *sums) setMembers([]string, time.Time) {}
 
-func (s *sums) hear(word ratelimit.Word, _, _ time.Time) {
-	if limit, ok := word.(ratelimit.Limited); ok {
+func (s *sums) applySignal(signal ratelimit.Word, _, _ time.Time) {
+	if limit, ok := signal.(ratelimit.Limited); ok {
 		s.limit = limit.PerSecond
 	}
 }
 
-func (s *sums) within(now time.Time) float64 {
+func (s *sums) sentInWindow(now time.Time) float64 {
 	for len(s.sent) > 0 && now.Sub(s.sent[0]) >= window {
 		s.sent = s.sent[1:]
 	}
@@ -75,75 +76,76 @@
 }
 
 func (s *sums) allows(now time.Time) bool {
-	sum := s.within(now)
+	sum := s.sentInWindow(now)
 	for _, n := range s.others {
 		sum += n
 	}
 	return sum+1 <= s.limit*window.Seconds()
 }
 
-func (s *sums) take(now time.Time)     { s.sent = append(s.sent, now) }
-func (s *sums) tell(now time.Time) any { return s.within(now) }
-func (s *sums) told(from int, news any, _ time.Time) {
-	s.others[from] = news.(float64)
+func (s *sums) takeToken(now time.Time)    { s.sent = append(s.sent, now) }
+func (s *sums) outgoing(now time.Time) any { return s.sentInWindow(now) }
+func (s *sums) receive(from int, reports any, _ time.Time) {
+	s.others[from] = reports.(float64)
 }
 
-// equal is another way: each gateway has an equal part of the limit, and keeps one request.
-type equal struct {
-	part, limit, tokens float64
-	filled              time.Time
+// equalLimiter is a strategy with an equal share of the limit for each gateway, of which
+// one request can accumulate.
+type equalLimiter struct {
+	share, limit, tokens float64
+	refilledAt           time.Time
 }
 
-func (e *equal) setMembers([]string, time.Time) {}
+func (e *equalLimiter) setMembers([]string, time.Time) {}
 
-func (e *equal) hear(word ratelimit.Word, _, came time.Time) {
-	limit, ok := word.(ratelimit.Limited)
+func (e *equalLimiter) applySignal(signal ratelimit.Word, _, received time.Time) {
+	limit, ok := signal.(ratelimit.Limited)
 	if ok && e.limit == 0 {
-		e.tokens, e.filled = 0, came
+		e.tokens, e.refilledAt = 0, received
 	}
 	if ok {
 		e.limit = limit.PerSecond
 	}
 }
 
-func (e *equal) allows(now time.Time) bool {
-	e.tokens = min(1, e.tokens+e.limit*e.part*now.Sub(e.filled).Seconds())
-	e.filled = now
+func (e *equalLimiter) allows(now time.Time) bool {
+	e.tokens = min(1, e.tokens+e.limit*e.share*now.Sub(e.refilledAt).Seconds())
+	e.refilledAt = now
 	return e.limit == 0 || e.tokens >= 1
 }
 
-func (e *equal) take(time.Time)           { e.tokens-- }
-func (e *equal) tell(time.Time) any       { return nil }
-func (e *equal) told(int, any, time.Time) {}
+func (e *equalLimiter) takeToken(time.Time)         { e.tokens-- }
+func (e *equalLimiter) outgoing(time.Time) any      { return nil }
+func (e *equalLimiter) receive(int, any, time.Time) {}
 
-// scenario is one engine that names limits before some gateways.
+// scenario is one engine that names limits, and gateways that send it requests.
 type scenario struct {
-	gateways  int
-	perSecond float64                        // requests at each gateway, which would all take the engine
-	limit     func(at time.Duration) float64 // negative for none
-	length    time.Duration
-	seed      uint64
-	way       func(name string) limiter
-	// lists gives the gateways that a gateway knows of; nil for all.
-	lists func(gateway int, at time.Duration) []string
-	// ends gives whether a gateway runs; one that starts again knows nothing.
-	ends func(gateway int, at time.Duration) bool
+	gateways   int
+	perSecond  float64                        // requests at each gateway, all for this engine
+	limit      func(at time.Duration) float64 // negative for none
+	length     time.Duration
+	seed       uint64
+	newLimiter func(name string) limiter
+	// membersSeenBy returns the members listed at a gateway; nil for all.
+	membersSeenBy func(gateway int, at time.Duration) []string
+	// isDown reports whether a gateway is down; one that restarts has no state.
+	isDown func(gateway int, at time.Duration) bool
 }
 
-// outcome is what the engine saw.
+// outcome is what the engine received.
 type outcome struct {
-	arrivals []time.Duration // of requests from gateways that it had told
-	all      int             // arrivals from when the first limit had held for firstTime
-	over     float64         // requests beyond what it may get, in the worst window
-	share    float64         // of what it takes that it got from then on
+	arrivals  []time.Duration // of requests from gateways that must comply
+	received  int             // requests since warmUp
+	excess    float64         // requests beyond the allowed number, in the worst window
+	usedShare float64         // of the requests that the engine accepts, the fraction received
 }
 
 func constant(limit float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return limit }
 }
 
-// word is what the engine's answers say at a time.
-func (s scenario) word(at time.Duration) ratelimit.Word {
+// signal returns the signal of the engine's responses at a time.
+func (s scenario) signal(at time.Duration) ratelimit.Word {
 	if limit := s.limit(at); limit >= 0 {
 		return ratelimit.Limited{PerSecond: limit}
 	}
@@ -155,8 +157,8 @@
 	do func()
 }
 
-// play lets a scenario pass, in steps of virtual time.
-func (s scenario) play() outcome {
+// run runs the scenario in steps of virtual time.
+func (s scenario) run() outcome {
 	random := rand.New(rand.NewPCG(s.seed, 9))
 	start := time.Unix(1000, 0)
 	var names []string
@@ -164,10 +166,10 @@
 		names = append(names, fmt.Sprintf("gateway-%03d", i))
 	}
 	tables := make([]limiter, s.gateways)
-	toldAt := make([]time.Duration, s.gateways) // when the engine's limit was first passed on; -1 for never
+	limitedAt := make([]time.Duration, s.gateways) // when the gateway first received a limit; -1 for never
 	down := make([]bool, s.gateways)
 	for i := range tables {
-		tables[i], toldAt[i] = s.way(names[i]), -1
+		tables[i], limitedAt[i] = s.newLimiter(names[i]), -1
 	}
 	var out outcome
 	queue := make(map[time.Duration][]func())
@@ -175,38 +177,38 @@
 		at = at.Truncate(step) + step
 		queue[at] = append(queue[at], do)
 	}
-	takes := 0.0
+	accepted := 0.0
 	for at := time.Duration(0); at < s.length; at += step {
 		now := start.Add(at)
 		for _, do := range queue[at] {
 			do()
 		}
 		delete(queue, at)
-		if at >= firstTime {
-			takes += max(0, s.limit(at)) * step.Seconds()
+		if at >= warmUp {
+			accepted += max(0, s.limit(at)) * step.Seconds()
 		}
 		for i := range tables {
-			if s.ends != nil && s.ends(i, at) {
+			if s.isDown != nil && s.isDown(i, at) {
 				down[i] = true
 				continue
 			}
 			if down[i] {
-				tables[i], toldAt[i], down[i] = s.way(names[i]), -1, false
+				tables[i], limitedAt[i], down[i] = s.newLimiter(names[i]), -1, false
 			}
 			if at%(200*time.Millisecond) == 0 {
-				known := names
-				if s.lists != nil {
-					known = s.lists(i, at)
+				members := names
+				if s.membersSeenBy != nil {
+					members = s.membersSeenBy(i, at)
 				}
-				tables[i].setMembers(known, now)
+				tables[i].setMembers(members, now)
 			}
-			if (at+time.Duration(i%10)*step)%tellAt == 0 {
-				news := tables[i].tell(now)
-				// It takes three steps to all others, and one of these words is lost.
+			if (at+time.Duration(i%10)*step)%reportInterval == 0 {
+				reports := tables[i].outgoing(now)
+				// A report takes 250 ms to the others, and one in fifty is lost.
 				later(at+250*time.Millisecond, func() {
 					for j := range tables {
 						if j != i && !down[j] && random.IntN(50) > 0 {
-							tables[j].told(i, news, now.Add(230*time.Millisecond))
+							tables[j].receive(i, reports, now.Add(230*time.Millisecond))
 						}
 					}
 				})
@@ -214,58 +216,59 @@
 			if random.Float64() >= s.perSecond*step.Seconds() || !tables[i].allows(now) {
 				continue
 			}
-			tables[i].take(now)
-			if at >= firstTime {
-				out.all++
+			tables[i].takeToken(now)
+			if at >= warmUp {
+				out.received++
 			}
-			if toldAt[i] >= 0 && at >= toldAt[i]+oweTime {
+			if limitedAt[i] >= 0 && at >= limitedAt[i]+reactionTime {
 				out.arrivals = append(out.arrivals, at)
 			}
-			table, took := tables[i], time.Duration(20+random.IntN(400))*time.Millisecond
-			later(at+took, func() {
+			table, latency := tables[i], time.Duration(20+random.IntN(400))*time.Millisecond
+			later(at+latency, func() {
 				if tables[i] != table {
-					return // it has started again
+					return // the gateway has restarted
 				}
-				word := s.word(at + took)
-				table.hear(word, now, now.Add(took))
-				if _, named := word.(ratelimit.Limited); named && toldAt[i] < 0 {
-					toldAt[i] = at + took
+				signal := s.signal(at + latency)
+				table.applySignal(signal, now, now.Add(latency))
+				if _, named := signal.(ratelimit.Limited); named && limitedAt[i] < 0 {
+					limitedAt[i] = at + latency
 				}
 			})
 		}
 	}
-	out.share = float64(out.all) / max(1, takes)
-	out.over = s.worst(out.arrivals)
+	out.usedShare = float64(out.received) / max(1, accepted)
+	out.excess = s.maxExcess(out.arrivals)
 	return out
 }
 
-// worst gives by how much the worst window from firstTime on is beyond what may be.
-func (s scenario) worst(arrivals []time.Duration) float64 {
-	worst := math.Inf(-1)
+// maxExcess returns how many requests exceed the allowed number in the worst window since
+// warmUp.
+func (s scenario) maxExcess(arrivals []time.Duration) float64 {
+	excess := math.Inf(-1)
 	for i, from := range arrivals {
-		if from < firstTime {
+		if from < warmUp {
 			continue
 		}
 		n := 0
 		for n < len(arrivals)-i && arrivals[i+n] < from+window {
 			n++
 		}
-		worst = max(worst, float64(n)-s.may(from))
+		excess = max(excess, float64(n)-s.allowedFrom(from))
 	}
-	return worst
+	return excess
 }
 
-// may gives how many requests the engine may get in the window from a time on. A gateway
-// owes its part of a limit that falls half a second after it has read it.
-func (s scenario) may(from time.Duration) float64 {
+// allowedFrom returns how many requests the engine may receive in the window that starts
+// at a time. When a limit falls, the previous one counts for reactionTime.
+func (s scenario) allowedFrom(from time.Duration) float64 {
 	sum := 0.0
 	for at := from; at < from+window; at += step {
-		for _, limit := range []float64{s.limit(at), s.limit(max(0, at-oweTime))} {
+		for _, limit := range []float64{s.limit(at), s.limit(max(0, at-reactionTime))} {
 			if limit < 0 {
 				return math.Inf(1)
 			}
 		}
-		sum += max(s.limit(at), s.limit(max(0, at-oweTime))) * step.Seconds()
+		sum += max(s.limit(at), s.limit(max(0, at-reactionTime))) * step.Seconds()
 	}
-	return times*sum + slack
+	return limitFactor*sum + slack
 }
