--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -219,10 +219,10 @@
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos")
 	m.Take([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
-	uses := map[string]allowance.Use{"club": {Admitted: 50, Asked: 50}}
-	m.HearNear(uses, 1, now)
+	usage := map[string]allowance.Use{"club": {Admitted: 50, Asked: 50}}
+	m.HearNear(usage, 1, now)
 	now = now.Add(time.Minute)
-	m.HearNear(uses, 1, now)
+	m.HearNear(usage, 1, now)
 	_, err := m.Ask("club", 1, now)
 	must.NoError(t, err)
 }
--- a/allowance/bench_test.go
+++ b/allowance/bench_test.go
@@ -16,20 +16,20 @@
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos", "abuja", "kano")
 	var accounts []catalog.Account
-	uses := make(map[string]allowance.Use)
+	usage := make(map[string]allowance.Use)
 	for i := range 14_000 {
 		name := fmt.Sprint("account-", i)
 		accounts = append(accounts, catalog.Account{Name: name, Allowance: tokens(29_000)})
 		if i%10 == 0 {
-			uses[name] = allowance.Use{Admitted: 100, Asked: 100}
+			usage[name] = allowance.Use{Admitted: 100, Asked: 100}
 		}
 	}
 	m.Take(accounts, now)
 	receiveReports := func() {
 		now = now.Add(100 * time.Millisecond)
-		m.HearNear(uses, 1, now)
-		m.HearFar("abuja", uses, now, now)
-		m.HearFar("kano", uses, now, now)
+		m.HearNear(usage, 1, now)
+		m.HearFar("abuja", usage, now, now)
+		m.HearFar("kano", usage, now, now)
 	}
 	for range 100 { // until the usage assumed at the start has left the window
 		receiveReports()
--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -255,18 +255,18 @@
 // HearNear applies the summed usage of the other gateways of this region. coverage is the
 // fraction of the region's live gateways, including this one, that the sum includes. Those
 // that drop out of the sum are assumed to continue as before for missingReportHold.
-func (m *Meter) HearNear(uses map[string]Use, coverage float64, now time.Time) {
+func (m *Meter) HearNear(usage map[string]Use, coverage float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateAccounts(m.active, now)
-	m.activate(uses)
+	m.activate(usage)
 	switch {
 	case coverage >= 1:
-		m.local = localUsage{usage: uses, coverage: 1, complete: uses, completeAt: now}
+		m.local = localUsage{usage: usage, coverage: 1, complete: usage, completeAt: now}
 	case now.Sub(m.local.completeAt) < missingReportHold:
-		m.local.usage, m.local.coverage = maxUsage(uses, m.local.complete), 1
+		m.local.usage, m.local.coverage = maxUsage(usage, m.local.complete), 1
 	default:
-		m.local.usage, m.local.coverage = uses, coverage
+		m.local.usage, m.local.coverage = usage, coverage
 	}
 }
 
@@ -281,7 +281,7 @@
 }
 
 // HearFar applies another region's usage, as reported at the given time.
-func (m *Meter) HearFar(region string, uses map[string]Use, at, now time.Time) {
+func (m *Meter) HearFar(region string, usage map[string]Use, at, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.hasFreshReport(region, now) {
@@ -289,14 +289,14 @@
 	} else {
 		m.updateAccounts(m.accounts, now) // the region is assumed to use its share of every account
 	}
-	m.activate(uses)
-	m.remote[region] = regionReport{at, uses}
+	m.activate(usage)
+	m.remote[region] = regionReport{at, usage}
 	m.updateRegionShares(now)
 }
 
 // activate adds the accounts with usage to the active ones.
-func (m *Meter) activate(uses map[string]Use) {
-	for name := range uses {
+func (m *Meter) activate(usage map[string]Use) {
+	for name := range usage {
 		if a, ok := m.accounts[name]; ok {
 			m.active[name] = a
 		}
