--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -11,15 +11,15 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Policy is how far all gateways together may exceed an allowance: within any Window, they
-// may admit (rate x Window + burst) x (1 + Overage) + Slack.
+// Policy is how far all gateways together may exceed an allowance: within any
+// window, they may admit (rate x window + burst) x (1 + overage) + slack.
 type Policy struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64 // units
 }
 
-// Use is the usage of an account, in units a second except for Window.
+// Use is the usage of an account, in units a second unless noted.
 type Use struct {
 	Admitted float64 // over the last 0.2 s
 	Steady   float64 // admitted over the last 0.5 s
--- a/allowance/status.go
+++ b/allowance/status.go
@@ -16,7 +16,7 @@
 	Refused  float64 `json:"refused"`  // units that this gateway rejected since its start
 	Share    float64 `json:"share"`    // of the limit that this region keeps if it is partitioned
 	Coverage float64 `json:"coverage"` // fraction of its region's gateways whose usage is known
-	// Regions is the age of each other region's latest report, in seconds; -1 for none.
+	// Age of each other region's latest report, in seconds; -1 for none.
 	Regions map[string]float64 `json:"regions"`
 }
 
--- a/ratelimit/word.go
+++ b/ratelimit/word.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Word is what one response signals about its engine's limit: Limited, Unlimited or
-// Unclear.
+// Word is the information about an engine's limit in one response: a limit, none, or one
+// that can't be parsed.
 type Word interface {
 	// String returns the signal as logs show it.
 	String() string
