--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/linenscale/linenscale/quarantine"
 )
 
-// BenchmarkFingerprintOf names requests with bodies of the usual sizes.
+// BenchmarkFingerprintOf hashes requests with bodies of typical sizes.
 func BenchmarkFingerprintOf(b *testing.B) {
 	for _, size := range []int{600, 18_000, 110_000} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkTell tells of a table that is full, of which nothing is new.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkOutgoing builds a message from a full table without changes.
+func BenchmarkOutgoing(b *testing.B) {
 	table := quarantine.New()
 	for f := range quarantine.Fingerprint(1024) {
 		table.Crashed(1+f, "e", start)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,17 +1,18 @@
-// Package quarantine keeps requests from engines that crash under them.
+// Package quarantine rejects requests that repeatedly crash the engines that run them.
 //
-// Now and then a request crashes each engine that begins to run it. Its caller sends it
-// again, under another ID and at any gateway, and each time an engine is lost for
-// seconds with all that it runs. Three small parts stop that, none of which knows a
-// network:
+// A request that crashes every engine is usually retried by its caller, under another ID
+// and through any gateway, and each retry takes an engine out of service for seconds
+// together with everything else that it runs. The package limits that damage. It does no
+// I/O; its parts are:
 //
-//   - A Fingerprint says which requests are the same: caller, place and body.
-//   - A Watch tells crashes of engines from answers that merely broke off.
-//   - A Table counts under which fingerprints engines crashed, at this gateway and, by
-//     the Notes that gateways tell each other, at all others. It refuses those that
-//     have done so too often, until one of them may be tried again.
+//   - A fingerprint identifies identical requests: same caller, target and body.
+//   - A crash detector distinguishes the crash of an engine from a single broken
+//     connection.
+//   - A table counts the engine crashes per fingerprint, both those seen by this gateway
+//     and those that other gateways report. Fingerprints with too many crashes are
+//     quarantined for a while.
 //
-// Engines also crash under requests that have nothing to do with it, most of all when
-// many lose power at once. Those have seen one crash, as a rule, or run to their end
-// elsewhere, and then all that was held against them is void.
+// Engines also crash under requests that aren't the cause, above all when many engines
+// lose power at once. Such a request has normally seen a single crash, or is answered
+// when it runs on another engine, which clears all crashes counted against it.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,4 +1,4 @@
-// This file defines which requests are the same.
+// This file defines the fingerprint of a request.
 
 package quarantine
 
@@ -9,14 +9,15 @@
 	"strconv"
 )
 
-// Fingerprint names all requests that an engine can't tell apart: those of one caller to
-// one place with one body. Zero is that of none. It is the beginning of a SHA-256 sum, so
-// that no caller can make a request that is taken for somebody else's: with a faster hash
-// one could have others' requests refused.
+// Fingerprint identifies requests that an engine can't tell apart: those with the same
+// caller, target and body. Zero means no fingerprint. It is a truncated SHA-256 sum: with
+// a faster, non-cryptographic hash a caller could craft a request that collides with
+// another caller's and get that one quarantined.
 type Fingerprint uint64
 
-// FingerprintOf gives the fingerprint of a request. caller is its client account, or what
-// else is known of it; target is its path and query.
+// FingerprintOf returns the fingerprint of a request; it is never zero. caller is the
+// client account, or whatever else identifies the caller; target is the path with the
+// query.
 func FingerprintOf(caller, method, host, target string, body []byte) Fingerprint {
 	sum := sha256.New()
 	for _, text := range []string{caller, method, host, target} {
@@ -26,7 +27,8 @@
 	return Fingerprint(max(1, binary.BigEndian.Uint64(sum.Sum(nil))))
 }
 
-// writeText writes a text behind its length, so that two texts never read as two others.
+// writeText writes a text prefixed with its length, so that different splits of the same
+// bytes into texts hash differently.
 func writeText(sum hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
@@ -34,5 +36,5 @@
 	sum.Write([]byte(text))
 }
 
-// String gives the form used in logs.
+// String returns the hexadecimal form used in logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -1,4 +1,4 @@
-// This file defines what gateways tell each other of crashes.
+// This file defines the crash reports that gateways exchange.
 
 package quarantine
 
@@ -9,193 +9,206 @@
 	"time"
 )
 
-// Note is one crash under a request, or that an engine has lived through it.
+// Note reports one crash of an engine under a request, or that an engine answered the
+// request.
 type Note struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
-	Engine  uint32 // hash of the incarnation that crashed; 0 for a request that was answered
-	Age     uint16 // tenths of a second
+	Engine  uint32 // engineHash of the incarnation that crashed; 0 if the request was answered
+	Age     uint16 // since the event, in units of ageUnit
 }
 
 const (
-	// ageUnit is that of a note's age.
+	// ageUnit is the resolution of the age of a report.
 	ageUnit = 100 * time.Millisecond
-	// timesNear is how often each change is told within the region, and timesFar how often
-	// each of its two speakers tells it to the others. Datagrams are lost now and then, one
-	// in some hundred; what is refused is told again and again besides.
-	timesNear = 3
-	timesFar  = 2
-	// mostNotes bounds the notes of one message, to some 600 bytes: an engine that
-	// crashes has some ten requests of one gateway.
-	mostNotes = 32
-	// mostQueued bounds the requests that wait to be told. In a storm of crashes those
-	// with the most crashes are told first.
-	mostQueued = 256
-	// againTold is how many of the refused are told in each message, in turn, to gateways
-	// that have just started or were cut off: a hundred of them within 3 s.
-	againTold = 4
+	// localSends is how often each change is sent to the gateways of this region, and
+	// remoteSends how often each of the two gateways that report to other regions sends
+	// it there. The repeats make up for lost datagrams (about one in a hundred);
+	// quarantined requests are also resent periodically, see repeatsPerMessage.
+	localSends  = 3
+	remoteSends = 2
+	// maxReports limits the reports of one message, to some 600 bytes. A crashing engine
+	// typically runs about ten requests of one gateway.
+	maxReports = 32
+	// maxQueued limits the requests whose changes wait to be sent. When many engines
+	// crash at once, the requests with the most crashes are sent first.
+	maxQueued = 256
+	// repeatsPerMessage is how many quarantined requests are resent in each message, in
+	// rotation, for gateways that have just started or were partitioned: 100 quarantined
+	// requests take less than 3 s.
+	repeatsPerMessage = 4
 )
 
-// queue holds whom changes have to be told of, and how often still.
+// queue holds the requests whose crash counts have changed and how many more times each
+// is to be sent.
 type queue struct {
-	times int
-	order []Fingerprint
-	left  map[Fingerprint]int
+	sends     int
+	pending   []Fingerprint
+	remaining map[Fingerprint]int
 }
 
-func newQueue(times int) queue { return queue{times: times, left: make(map[Fingerprint]int)} }
+func newQueue(sends int) queue { return queue{sends: sends, remaining: make(map[Fingerprint]int)} }
 
+// push schedules a request for sending. When the queue is full, the oldest request is
+// dropped.
 func (q *queue) push(f Fingerprint) {
-	if _, queued := q.left[f]; !queued {
-		if len(q.order) >= mostQueued {
-			delete(q.left, q.order[0])
-			q.order = q.order[1:]
+	if _, queued := q.remaining[f]; !queued {
+		if len(q.pending) >= maxQueued {
+			delete(q.remaining, q.pending[0])
+			q.pending = q.pending[1:]
 		}
-		q.order = append(q.order, f)
+		q.pending = append(q.pending, f)
 	}
-	q.left[f] = q.times
+	q.remaining[f] = q.sends
 }
 
-// take gives what to tell next, of the highest rank first, until enough says so.
-func (q *queue) take(rank func(Fingerprint) int, tell func(Fingerprint) (enough bool)) {
-	slices.SortStableFunc(q.order, func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(q.left[b], q.left[a]))
+// pop passes the requests to emit, highest priority first, until emit reports that the
+// message is full. Requests that have been sent often enough leave the queue.
+func (q *queue) pop(priority func(Fingerprint) int, emit func(Fingerprint) (full bool)) {
+	slices.SortStableFunc(q.pending, func(a, b Fingerprint) int {
+		return cmp.Or(cmp.Compare(priority(b), priority(a)), cmp.Compare(q.remaining[b], q.remaining[a]))
 	})
-	for _, f := range slices.Clone(q.order) {
-		if tell(f) {
+	for _, f := range slices.Clone(q.pending) {
+		if emit(f) {
 			break
 		}
-		q.left[f]--
+		q.remaining[f]--
 	}
-	q.order = slices.DeleteFunc(q.order, func(f Fingerprint) bool {
-		done := q.left[f] <= 0
-		if done {
-			delete(q.left, f)
+	q.pending = slices.DeleteFunc(q.pending, func(f Fingerprint) bool {
+		sent := q.remaining[f] <= 0
+		if sent {
+			delete(q.remaining, f)
 		}
-		return done
+		return sent
 	})
 }
 
-// TellNear gives the notes for the next message to gateways of this region: what this
-// gateway has seen, and in turn what is refused.
-func (t *Table) TellNear(now time.Time) []Note { return t.tell(&t.near, now) }
+// TellNear returns the reports for the next message to the gateways of this region: the
+// changes seen by this gateway, and some of the quarantined requests in rotation.
+func (t *Table) TellNear(now time.Time) []Note { return t.outgoing(&t.localQueue, now) }
 
-// TellFar gives the notes for the next message to other regions: what is new in this
-// region, and in turn what is refused, from wherever that was heard, since two regions may
-// be cut off from each other but not from this one.
-func (t *Table) TellFar(now time.Time) []Note { return t.tell(&t.far, now) }
+// TellFar returns the reports for the next message to other regions: the changes seen
+// anywhere in this region, and some of the quarantined requests in rotation, including
+// those reported by other regions, because two regions may be partitioned from each other
+// while both reach this one.
+func (t *Table) TellFar(now time.Time) []Note { return t.outgoing(&t.remoteQueue, now) }
 
-func (t *Table) tell(q *queue, now time.Time) []Note {
+func (t *Table) outgoing(q *queue, now time.Time) []Note {
 	var out []Note
 	if len(t.entries) == 0 {
 		return nil
 	}
-	q.take(t.rank, func(f Fingerprint) (enough bool) {
-		if len(out) >= mostNotes {
+	q.pop(t.crashCount, func(f Fingerprint) (full bool) {
+		if len(out) >= maxReports {
 			return true
 		}
-		out = append(out, t.notes(f, now)...)
+		out = append(out, t.reports(f, now)...)
 		return false
 	})
-	refused := t.refused(now)
-	for range min(againTold, len(refused)) {
-		t.turn++
-		out = append(out, t.notes(refused[t.turn%len(refused)], now)...)
+	quarantined := t.quarantined(now)
+	for range min(repeatsPerMessage, len(quarantined)) {
+		t.nextRepeat++
+		out = append(out, t.reports(quarantined[t.nextRepeat%len(quarantined)], now)...)
 	}
 	return out
 }
 
-// Standing gives what a host tells that is asked now and then: the requests with the most
-// crashes, of those the newest, as much as one message holds.
+// Standing returns as many reports as one message holds, for hosts that are polled
+// periodically: the requests with the most crashes first, and of those the ones with the
+// latest crash.
 func (t *Table) Standing(now time.Time) []Note {
 	order := slices.SortedFunc(maps.Keys(t.entries), func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(t.rank(b), t.rank(a)), t.entries[b].newest().Compare(t.entries[a].newest()), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.crashCount(b), t.crashCount(a)), t.entries[b].lastCrash().Compare(t.entries[a].lastCrash()), cmp.Compare(a, b))
 	})
 	var out []Note
 	for _, f := range order {
-		if len(out) >= mostNotes {
+		if len(out) >= maxReports {
 			break
 		}
-		out = append(out, t.notes(f, now)...)
+		out = append(out, t.reports(f, now)...)
 	}
 	return out
 }
 
-func (t *Table) rank(f Fingerprint) int {
+func (t *Table) crashCount(f Fingerprint) int {
 	if e, ok := t.entries[f]; ok {
 		return len(e.crashes)
 	}
 	return 0
 }
 
-// notes gives all that is known of a request.
-func (t *Table) notes(f Fingerprint, now time.Time) []Note {
+// reports returns everything recorded for a request.
+func (t *Table) reports(f Fingerprint, now time.Time) []Note {
 	e, ok := t.entries[f]
 	if !ok {
 		return nil
 	}
 	var out []Note
-	if !e.answered.IsZero() {
-		out = append(out, Note{Request: f, Age: age(e.answered, now)})
+	if !e.answeredAt.IsZero() {
+		out = append(out, Note{Request: f, Age: encodeAge(e.answeredAt, now)})
 	}
 	for _, c := range e.crashes {
-		out = append(out, Note{Request: f, Engine: c.engine, Age: age(c.at, now)})
+		out = append(out, Note{Request: f, Engine: c.engine, Age: encodeAge(c.at, now)})
 	}
 	return out
 }
 
-func age(at, now time.Time) uint16 {
+func encodeAge(at, now time.Time) uint16 {
 	return uint16(min(max(0, now.Sub(at)/ageUnit), maxAge))
 }
 
-// maxAge is the highest age of a note, in its unit: 1.8 hours.
+// maxAge is the highest age of a report, in units of ageUnit: 1.8 hours.
 const maxAge = 1<<16 - 1
 
-// Older gives notes that were told so long ago. Such that are older than a note can say are
-// left out.
-func Older(notes []Note, by time.Duration) []Note {
+// Older returns reports that were received earlier, with the time since then added to
+// their ages. It drops those that become older than a report can say.
+func Older(reports []Note, d time.Duration) []Note {
 	var out []Note
-	for _, n := range notes {
-		if age := time.Duration(n.Age)*ageUnit + by; age/ageUnit < maxAge {
-			n.Age = uint16(age / ageUnit)
-			out = append(out, n)
+	for _, r := range reports {
+		if age := time.Duration(r.Age)*ageUnit + d; age/ageUnit < maxAge {
+			r.Age = uint16(age / ageUnit)
+			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// HearNear takes the notes of a gateway of this region, and HearFar those of another. They
-// give the requests that are refused from now on.
-func (t *Table) HearNear(notes []Note, now time.Time) []Fingerprint {
-	return t.hear(notes, now, func(f Fingerprint) { t.far.push(f) })
+// HearNear applies the reports of a gateway of this region, and queues what is new for
+// other regions. It returns the requests that have become quarantined.
+func (t *Table) HearNear(reports []Note, now time.Time) []Fingerprint {
+	return t.receive(reports, now, func(f Fingerprint) { t.remoteQueue.push(f) })
 }
 
-// HearFar is HearNear for notes of another region, which tells all regions itself.
-func (t *Table) HearFar(notes []Note, now time.Time) []Fingerprint {
-	return t.hear(notes, now, func(Fingerprint) {})
+// HearFar applies the reports of another region. It doesn't forward them: that region
+// sends its reports to all regions itself. It returns the requests that have become
+// quarantined.
+func (t *Table) HearFar(reports []Note, now time.Time) []Fingerprint {
+	return t.receive(reports, now, func(Fingerprint) {})
 }
 
-func (t *Table) hear(notes []Note, now time.Time, changed func(Fingerprint)) []Fingerprint {
-	var refused []Fingerprint
-	for _, n := range notes {
-		if n.Request == 0 {
+func (t *Table) receive(reports []Note, now time.Time, onChange func(Fingerprint)) []Fingerprint {
+	var quarantined []Fingerprint
+	for _, r := range reports {
+		if r.Request == 0 {
 			continue
 		}
-		at := now.Add(-time.Duration(n.Age) * ageUnit)
-		if n.Engine == 0 {
-			t.entry(n.Request, now) // the crashes that it voids may be told later
-			if t.clear(n.Request, at) {
-				changed(n.Request)
+		at := now.Add(-time.Duration(r.Age) * ageUnit)
+		if r.Engine == 0 {
+			// Remember the answer, so that reports of earlier crashes that arrive later
+			// are ignored.
+			t.entryFor(r.Request, now)
+			if t.clearCrashes(r.Request, at) {
+				onChange(r.Request)
 			}
 			continue
 		}
-		if t.isGood(n.Request, now) || !t.note(n.Request, crash{n.Engine, at}, now) {
+		if t.answeredRecently(r.Request, now) || !t.addCrash(r.Request, crash{r.Engine, at}, now) {
 			continue
 		}
-		changed(n.Request)
-		if len(t.entries[n.Request].crashes) == mostCrashes {
-			refused = append(refused, n.Request)
+		onChange(r.Request)
+		if len(t.entries[r.Request].crashes) == crashThreshold {
+			quarantined = append(quarantined, r.Request)
 		}
 	}
-	return refused
+	return quarantined
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -1,4 +1,4 @@
-// This file defines how many engines a request may crash.
+// This file defines when a request is quarantined.
 
 package quarantine
 
@@ -11,42 +11,43 @@
 )
 
 const (
-	// mostCrashes is how many engines may crash under a request before it is refused. Of
-	// requests that only ran beside the cause, or on hosts that lost power, few see a
-	// second crash (TestAStormRefusesNobody).
-	mostCrashes = 3
-	// holdTime is for how long a request is refused after the third crash, and holdMost
-	// the longest: it doubles with each crash beyond. What crashes engines is mended by
-	// people, in minutes at best. A request that goes on crashing engines so costs five
-	// of them in its first hour, and then one in 80 minutes.
-	holdTime = 10 * time.Minute
-	holdMost = 80 * time.Minute
-	// life is for how long crashes count. It is longer than the longest refusal, so that
-	// the crash of a later try comes on top of those before.
-	life = 2 * holdMost
-	// goodTime is for how long a request that has been answered is not taken for the cause
-	// of crashes: many callers ask for the same, and some of them are on every engine that
-	// ends. It is short, so that a request which begins to crash engines, of a new version
-	// perhaps, is found soon.
-	goodTime = 30 * time.Second
-	// aloneRetry is when to come back with a request that is running, after engines have
-	// crashed under it: its run shows within some tenths of a second whether it does so again.
-	aloneRetry = time.Second
+	// crashThreshold is how many engines may crash under a request before it is
+	// quarantined. Few requests that merely ran next to the cause, or on hosts that lost
+	// power, see a second crash, let alone a third (TestPowerLossQuarantinesNothing).
+	crashThreshold = 3
+	// A request is quarantined for baseQuarantine after the third crash; the time doubles
+	// with each further crash, up to maxQuarantine. Faults that crash engines are fixed
+	// by people, which takes minutes at best. A request that keeps crashing engines costs
+	// five engines in its first hour, and one every 80 minutes after that.
+	baseQuarantine = 10 * time.Minute
+	maxQuarantine  = 80 * time.Minute
+	// crashTTL is how long a crash counts. It exceeds maxQuarantine, so that a crash on a
+	// retry after the quarantine adds to the earlier ones.
+	crashTTL = 2 * maxQuarantine
+	// answeredTTL is how long a request that was answered isn't blamed for crashes.
+	// Popular requests, sent by many callers, run on every engine that crashes. The time
+	// is short so that a request that begins to crash engines, for example after an
+	// upgrade, is soon detected.
+	answeredTTL = 30 * time.Second
+	// concurrentRetryAfter is the Retry-After of a request under which engines have
+	// crashed and that is running: a crash shows within a few tenths of a second.
+	concurrentRetryAfter = time.Second
 )
 
-// Bounds of a table, so that its memory doesn't grow when every request is another: 1,024
-// entries and 8,192 answered requests take some 0.4 MB.
+// Limits of a table, so that its memory stays bounded when every request is different:
+// 1,024 entries and 8,192 answered requests take some 0.4 MB.
 const (
-	mostEntries = 1024
-	mostGood    = 4096 // of one half of goodTime
-	mostNoted   = 8    // crashes of one entry
+	maxEntries         = 1024
+	maxAnswered        = 4096 // in each half of answeredTTL
+	maxCrashesPerEntry = 8
 )
 
-// Refused says that a request is kept from engines.
+// Refused is the error for a request that must not be sent to an engine.
 type Refused struct {
-	Crashes    int // engines that crashed under it
+	Crashes    int // engines that have crashed under it
 	RetryAfter time.Duration
-	// Running is true where it is refused only while another of its kind runs.
+	// Running is true if the request isn't quarantined, but engines have crashed under it
+	// and it is already running.
 	Running bool
 }
 
@@ -58,85 +59,88 @@
 	return "every engine that ran it has crashed"
 }
 
-// Table holds under which requests engines crashed. It isn't safe for concurrent use. New
-// makes one.
+// Table counts the engine crashes per request. It isn't safe for concurrent use.
 type Table struct {
-	entries map[Fingerprint]*entry
-	running map[Fingerprint]int     // at this gateway
-	good    [2]map[Fingerprint]bool // answered lately: in this half of goodTime, and in that before
-	turned  time.Time               // when the halves were last exchanged
-	near    queue                   // what the gateways of this region are to be told
-	far     queue                   // what other regions are to be told
-	turn    int                     // whose turn it is among the refused to be told again
+	entries     map[Fingerprint]*entry
+	running     map[Fingerprint]int     // requests in flight at this gateway
+	answered    [2]map[Fingerprint]bool // answered recently: in the current half of answeredTTL, and in the previous one
+	rotatedAt   time.Time               // when answered was last rotated
+	localQueue  queue                   // changes to send to the gateways of this region
+	remoteQueue queue                   // changes to send to other regions
+	nextRepeat  int                     // position in the rotation of quarantined requests
 }
 
-// entry is what is known of one request.
+// entry holds the crashes recorded for one request.
 type entry struct {
-	crashes  []crash   // by time
-	answered time.Time // crashes before are void; zero for none
+	crashes    []crash   // in order of time
+	answeredAt time.Time // crashes up to then don't count; zero if the request wasn't answered
 }
 
-// crash is the end of one engine.
+// crash is the crash of one engine.
 type crash struct {
-	engine uint32 // hash of its incarnation
+	engine uint32 // engineHash of its incarnation
 	at     time.Time
 }
 
-// hashOf names an engine among gateways; it is never 0.
-func hashOf(incarnation string) uint32 { return max(1, uint32(xxhash.Sum64String(incarnation))) }
+// engineHash identifies an engine's incarnation in reports between gateways; it is never
+// 0, which marks an answer.
+func engineHash(incarnation string) uint32 { return max(1, uint32(xxhash.Sum64String(incarnation))) }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{
 		entries: make(map[Fingerprint]*entry), running: make(map[Fingerprint]int),
-		good: [2]map[Fingerprint]bool{make(map[Fingerprint]bool), make(map[Fingerprint]bool)},
-		near: newQueue(timesNear), far: newQueue(timesFar),
+		answered:   [2]map[Fingerprint]bool{make(map[Fingerprint]bool), make(map[Fingerprint]bool)},
+		localQueue: newQueue(localSends), remoteQueue: newQueue(remoteSends),
 	}
 }
 
-// newest is when the last crash was; zero for none.
-func (e *entry) newest() time.Time {
+// lastCrash returns the time of the last crash; zero if there is none.
+func (e *entry) lastCrash() time.Time {
 	if len(e.crashes) == 0 {
 		return time.Time{}
 	}
 	return e.crashes[len(e.crashes)-1].at
 }
 
-// until gives up to when the request is refused; false where it isn't.
-func (e *entry) until() (time.Time, bool) {
-	beyond := len(e.crashes) - mostCrashes
-	if beyond < 0 {
+// quarantinedUntil returns when the quarantine of the request ends; false if it has had
+// too few crashes to be quarantined.
+func (e *entry) quarantinedUntil() (time.Time, bool) {
+	excess := len(e.crashes) - crashThreshold
+	if excess < 0 {
 		return time.Time{}, false
 	}
-	return e.newest().Add(min(holdTime<<beyond, holdMost)), true
+	return e.lastCrash().Add(min(baseQuarantine<<excess, maxQuarantine)), true
 }
 
-// Check tells whether a request may run: nil, or a *Refused.
+// Check returns nil if the request may be sent to an engine, else an error that says when
+// to retry.
 func (t *Table) Check(f Fingerprint, now time.Time) error {
 	e, ok := t.entries[f]
 	if !ok || len(e.crashes) == 0 {
 		return nil
 	}
-	if until, refused := e.until(); refused && now.Before(until) {
+	if until, quarantined := e.quarantinedUntil(); quarantined && now.Before(until) {
 		return &Refused{Crashes: len(e.crashes), RetryAfter: until.Sub(now)}
 	}
-	// One at a time: whoever sends it ten times a second would crash as many engines
-	// before the next crash is known.
+	// Only one at a time: a caller that sends the request ten times a second would
+	// otherwise crash as many engines before the next crash is detected.
 	if t.running[f] > 0 {
-		return &Refused{Crashes: len(e.crashes), RetryAfter: aloneRetry, Running: true}
+		return &Refused{Crashes: len(e.crashes), RetryAfter: concurrentRetryAfter, Running: true}
 	}
 	return nil
 }
 
-// Begin notes that a request is sent to an engine. End must be called when that is over.
+// Begin records that a request is sent to an engine. The caller must call End when the
+// send is over.
 func (t *Table) Begin(f Fingerprint) {
 	if f != 0 {
 		t.running[f]++
 	}
 }
 
-// End notes that a request's send is over. answered tells that an engine has lived
-// through it: whatever crashed before, it isn't the cause.
+// End records that a request's send is over. If an engine answered, the request isn't the
+// cause of the earlier crashes, and they are cleared.
 func (t *Table) End(f Fingerprint, answered bool, now time.Time) {
 	if f == 0 {
 		return
@@ -145,118 +149,122 @@
 		delete(t.running, f)
 	}
 	if answered {
-		t.noteGood(f, now)
-		if t.clear(f, now) {
-			t.near.push(f)
-			t.far.push(f)
+		t.recordAnswered(f, now)
+		if t.clearCrashes(f, now) {
+			t.localQueue.push(f)
+			t.remoteQueue.push(f)
 		}
 	}
 }
 
-// noteGood remembers a request that was answered.
-func (t *Table) noteGood(f Fingerprint, now time.Time) {
-	if now.Sub(t.turned) >= goodTime/2 {
-		t.good[0], t.good[1], t.turned = make(map[Fingerprint]bool), t.good[0], now
+// recordAnswered remembers that a request was answered, and rotates the two halves when
+// due.
+func (t *Table) recordAnswered(f Fingerprint, now time.Time) {
+	if now.Sub(t.rotatedAt) >= answeredTTL/2 {
+		t.answered[0], t.answered[1], t.rotatedAt = make(map[Fingerprint]bool), t.answered[0], now
 	}
-	if len(t.good[0]) < mostGood {
-		t.good[0][f] = true
+	if len(t.answered[0]) < maxAnswered {
+		t.answered[0][f] = true
 	}
 }
 
-func (t *Table) isGood(f Fingerprint, now time.Time) bool {
-	if now.Sub(t.turned) >= goodTime {
+// answeredRecently reports whether a request was answered within answeredTTL.
+func (t *Table) answeredRecently(f Fingerprint, now time.Time) bool {
+	if now.Sub(t.rotatedAt) >= answeredTTL {
 		return false
 	}
-	return t.good[0][f] || t.good[1][f]
+	return t.answered[0][f] || t.answered[1][f]
 }
 
-// clear drops all crashes under a request up to a time, and tells whether there were any.
-func (t *Table) clear(f Fingerprint, at time.Time) bool {
+// clearCrashes removes all crashes of a request up to a time, and reports whether there
+// were any.
+func (t *Table) clearCrashes(f Fingerprint, upTo time.Time) bool {
 	e, ok := t.entries[f]
-	if !ok || !at.After(e.answered) {
+	if !ok || !upTo.After(e.answeredAt) {
 		return false
 	}
-	before := len(e.crashes)
-	e.answered = at
-	e.crashes = slices.DeleteFunc(e.crashes, func(c crash) bool { return !c.at.After(at) })
-	return len(e.crashes) < before
+	count := len(e.crashes)
+	e.answeredAt = upTo
+	e.crashes = slices.DeleteFunc(e.crashes, func(c crash) bool { return !c.at.After(upTo) })
+	return len(e.crashes) < count
 }
 
-// Crashed notes that an engine crashed under a request of this gateway. It tells whether
-// the request is refused from now on.
-func (t *Table) Crashed(f Fingerprint, incarnation string, now time.Time) (refused bool) {
-	if f == 0 || t.isGood(f, now) || !t.note(f, crash{hashOf(incarnation), now}, now) {
+// Crashed records that an engine crashed under a request of this gateway. It reports
+// whether the request has become quarantined.
+func (t *Table) Crashed(f Fingerprint, incarnation string, now time.Time) (quarantined bool) {
+	if f == 0 || t.answeredRecently(f, now) || !t.addCrash(f, crash{engineHash(incarnation), now}, now) {
 		return false
 	}
-	t.near.push(f)
-	t.far.push(f)
-	return len(t.entries[f].crashes) == mostCrashes
+	t.localQueue.push(f)
+	t.remoteQueue.push(f)
+	return len(t.entries[f].crashes) == crashThreshold
 }
 
-// note takes a crash over, and tells whether it is new.
-func (t *Table) note(f Fingerprint, c crash, now time.Time) bool {
-	e := t.entry(f, now)
-	known := slices.ContainsFunc(e.crashes, func(o crash) bool { return o.engine == c.engine })
-	if known || !c.at.After(e.answered) {
+// addCrash adds a crash to a request's entry, and reports whether it counts: it must be
+// new, and later than the last answer.
+func (t *Table) addCrash(f Fingerprint, c crash, now time.Time) bool {
+	e := t.entryFor(f, now)
+	duplicate := slices.ContainsFunc(e.crashes, func(o crash) bool { return o.engine == c.engine })
+	if duplicate || !c.at.After(e.answeredAt) {
 		return false
 	}
 	e.crashes = append(e.crashes, c)
 	slices.SortStableFunc(e.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
-	if len(e.crashes) > mostNoted {
+	if len(e.crashes) > maxCrashesPerEntry {
 		e.crashes = e.crashes[1:]
 	}
 	return true
 }
 
-// entry gives the entry of a request, a new one where there is none.
-func (t *Table) entry(f Fingerprint, now time.Time) *entry {
+// entryFor returns the entry of a request, and creates it if there is none.
+func (t *Table) entryFor(f Fingerprint, now time.Time) *entry {
 	e, ok := t.entries[f]
 	if !ok {
-		t.makeRoom(now)
+		t.evictIfFull(now)
 		e = &entry{}
 		t.entries[f] = e
 	}
 	return e
 }
 
-// makeRoom forgets what no longer counts, and where that isn't enough the entry with the
-// fewest crashes whose newest is the oldest: those of a storm give way to those that are
-// refused.
-func (t *Table) makeRoom(now time.Time) {
-	if len(t.entries) < mostEntries {
+// evictIfFull makes room for an entry. If the table is full, it removes expired entries,
+// and if there are none, the entry with the fewest crashes; of those the one whose last
+// crash is the oldest. Thus quarantined requests survive a burst of unrelated crashes.
+func (t *Table) evictIfFull(now time.Time) {
+	if len(t.entries) < maxEntries {
 		return
 	}
 	t.Forget(now)
-	if len(t.entries) < mostEntries {
+	if len(t.entries) < maxEntries {
 		return
 	}
-	var least Fingerprint
+	var victim Fingerprint
 	for f, e := range t.entries {
-		o := t.entries[least]
-		if o == nil || cmp.Or(cmp.Compare(len(e.crashes), len(o.crashes)), e.newest().Compare(o.newest())) < 0 {
-			least = f
+		o := t.entries[victim]
+		if o == nil || cmp.Or(cmp.Compare(len(e.crashes), len(o.crashes)), e.lastCrash().Compare(o.lastCrash())) < 0 {
+			victim = f
 		}
 	}
-	delete(t.entries, least)
+	delete(t.entries, victim)
 }
 
-// Forget drops what no longer counts. The owner calls it now and then.
+// Forget removes expired entries. The owner calls it periodically.
 func (t *Table) Forget(now time.Time) {
 	for f, e := range t.entries {
-		if now.Sub(e.newest()) > life && now.Sub(e.answered) > goodTime {
+		if now.Sub(e.lastCrash()) > crashTTL && now.Sub(e.answeredAt) > answeredTTL {
 			delete(t.entries, f)
 		}
 	}
 }
 
-// Refused counts the requests that are refused.
-func (t *Table) Refused(now time.Time) int { return len(t.refused(now)) }
+// Refused returns the number of quarantined requests.
+func (t *Table) Refused(now time.Time) int { return len(t.quarantined(now)) }
 
-// refused lists the requests that are refused, in order.
-func (t *Table) refused(now time.Time) []Fingerprint {
+// quarantined lists the quarantined requests, sorted so that their rotation is stable.
+func (t *Table) quarantined(now time.Time) []Fingerprint {
 	var out []Fingerprint
 	for f, e := range t.entries {
-		if until, refused := e.until(); refused && now.Before(until) {
+		if until, quarantined := e.quarantinedUntil(); quarantined && now.Before(until) {
 			out = append(out, f)
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -11,32 +11,32 @@
 	"github.com/linenscale/linenscale/quarantine"
 )
 
-// suspect is the request that most tests are about.
-const suspect quarantine.Fingerprint = 7
+// testRequest is the fingerprint of the request in most tests.
+const testRequest quarantine.Fingerprint = 7
 
-// refusal gives why a request is kept from engines; nil where it isn't.
-func refusal(t *testing.T, table *quarantine.Table, f quarantine.Fingerprint, now time.Time) *quarantine.Refused {
+// rejection returns the error of Check; nil if the request may run.
+func rejection(t *testing.T, table *quarantine.Table, f quarantine.Fingerprint, now time.Time) *quarantine.Refused {
 	t.Helper()
 	err := table.Check(f, now)
 	if err == nil {
 		return nil
 	}
-	refused, ok := err.(*quarantine.Refused)
+	rejected, ok := err.(*quarantine.Refused)
 	must.True(t, ok)
-	return refused
+	return rejected
 }
 
 func Example() {
 	table := quarantine.New()
 	now := time.Unix(1000, 0)
 	for _, engine := range []string{"a", "b", "c", "d"} {
-		if err := table.Check(suspect, now); err != nil {
+		if err := table.Check(testRequest, now); err != nil {
 			fmt.Println(err)
 			break
 		}
-		table.Begin(suspect)
-		table.End(suspect, false, now)
-		table.Crashed(suspect, engine, now)
+		table.Begin(testRequest)
+		table.End(testRequest, false, now)
+		table.Crashed(testRequest, engine, now)
 		fmt.Println("engine", engine, "crashed")
 	}
 	// Output:
@@ -46,53 +46,52 @@
 	// every engine that ran it has crashed
 }
 
-// TestWhenARequestIsRefused lets crashes and answers come in some order, and asks 5 s
-// later.
-func TestWhenARequestIsRefused(t *testing.T) {
+// TestCheck applies crashes and answers in various orders, and calls Check 5 s later.
+func TestCheck(t *testing.T) {
 	crash := func(engine string) func(*quarantine.Table) {
-		return func(table *quarantine.Table) { table.Crashed(suspect, engine, start) }
+		return func(table *quarantine.Table) { table.Crashed(testRequest, engine, start) }
 	}
-	begin := func(table *quarantine.Table) { table.Begin(suspect) }
-	answered := func(table *quarantine.Table) { table.End(suspect, true, start.Add(time.Millisecond)) }
+	begin := func(table *quarantine.Table) { table.Begin(testRequest) }
+	answered := func(table *quarantine.Table) { table.End(testRequest, true, start.Add(time.Millisecond)) }
 	for name, test := range map[string]struct {
-		steps            []func(*quarantine.Table)
-		refused, running bool
+		steps             []func(*quarantine.Table)
+		rejected, running bool
 	}{
-		"nothing is known":              {nil, false, false},
-		"two engines crashed":           {[]func(*quarantine.Table){crash("1"), crash("2")}, false, false},
-		"three did":                     {[]func(*quarantine.Table){crash("1"), crash("2"), crash("3")}, true, false},
-		"one engine, told three times":  {[]func(*quarantine.Table){crash("1"), crash("1"), crash("1")}, false, false},
-		"it runs":                       {[]func(*quarantine.Table){begin}, false, false},
-		"it runs, and a crash is known": {[]func(*quarantine.Table){begin, crash("1")}, true, true},
-		"an engine lived through it":    {[]func(*quarantine.Table){begin, crash("1"), crash("2"), answered, crash("3")}, false, false},
-		"many ask for the same":         {[]func(*quarantine.Table){begin, answered, crash("1"), crash("2"), crash("3")}, false, false},
+		"no crash":                         {nil, false, false},
+		"two engines crashed":              {[]func(*quarantine.Table){crash("1"), crash("2")}, false, false},
+		"three engines crashed":            {[]func(*quarantine.Table){crash("1"), crash("2"), crash("3")}, true, false},
+		"one engine, reported three times": {[]func(*quarantine.Table){crash("1"), crash("1"), crash("1")}, false, false},
+		"running":                          {[]func(*quarantine.Table){begin}, false, false},
+		"running, and an engine crashed":   {[]func(*quarantine.Table){begin, crash("1")}, true, true},
+		"answered after two crashes":       {[]func(*quarantine.Table){begin, crash("1"), crash("2"), answered, crash("3")}, false, false},
+		"answered just before the crashes": {[]func(*quarantine.Table){begin, answered, crash("1"), crash("2"), crash("3")}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := quarantine.New()
 			for _, step := range test.steps {
 				step(table)
 			}
-			r := refusal(t, table, suspect, start.Add(5*time.Second))
-			must.Eq(t, test.refused, r != nil)
+			r := rejection(t, table, testRequest, start.Add(5*time.Second))
+			must.Eq(t, test.rejected, r != nil)
 			if r != nil {
 				must.Eq(t, test.running, r.Running)
 				must.Positive(t, r.RetryAfter)
 			}
-			must.Nil(t, refusal(t, table, suspect+1, start), must.Sprint("others aren't concerned"))
+			must.Nil(t, rejection(t, table, testRequest+1, start), must.Sprint("other requests aren't affected"))
 		})
 	}
 }
 
-// TestWhatARequestCostsInAnHour sends a request that crashes every engine each second: five
-// engines in the first hour, and one in 80 minutes after that.
-func TestWhatARequestCostsInAnHour(t *testing.T) {
+// TestEnginesLostPerHour sends a request that crashes every engine, once a second. It
+// must cost five engines in the first hour, and one every 80 minutes after that.
+func TestEnginesLostPerHour(t *testing.T) {
 	table := quarantine.New()
 	var crashes []time.Duration
 	for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
 		now := start.Add(at)
 		table.Forget(now)
-		if table.Check(suspect, now) == nil {
-			table.Crashed(suspect, fmt.Sprint(len(crashes)), now)
+		if table.Check(testRequest, now) == nil {
+			table.Crashed(testRequest, fmt.Sprint(len(crashes)), now)
 			crashes = append(crashes, at)
 		}
 	}
@@ -106,59 +105,61 @@
 	must.Between(t, 20, len(crashes), 24, must.Sprint(crashes))
 }
 
-// TestAStormRefusesNobody lets 28 engines run 2,800 requests, each on one of them at a time
-// and, where that ends, on one that lives. Twelve engines lose power at once, and two seconds
-// later twelve of the others; nobody may be refused for it. In a third storm two seconds
-// after that a request that runs for as long as that may be: they are counted.
-func TestAStormRefusesNobody(t *testing.T) {
+// TestPowerLossQuarantinesNothing guards against quarantining requests that only ran on
+// hosts that lost power. Each of 2,800 requests runs on one of 28 engines, and moves to a
+// live engine when its own crashes. Twelve engines lose power at once, and two seconds
+// later twelve others: no request may be quarantined. A third power loss two seconds
+// later may quarantine requests that were hit every time, but fewer than an eighth of
+// them.
+func TestPowerLossQuarantinesNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	table := quarantine.New()
 	const engines, lost, requests, slots = 28, 12, 2800, 100
-	on := make([]int, requests+1)
-	for f := range on {
-		on[f] = f % engines
+	engineOf := make([]int, requests+1)
+	for f := range engineOf {
+		engineOf[f] = f % engines
 	}
-	lives := 0
-	for storm := range 3 {
-		now := start.Add(time.Duration(storm) * 2 * time.Second)
-		dead := make(map[int]bool)
+	generation := 0
+	for outage := range 3 {
+		now := start.Add(time.Duration(outage) * 2 * time.Second)
+		down := make(map[int]bool)
 		for _, e := range random.Perm(engines)[:lost] {
-			dead[e] = true
+			down[e] = true
 		}
-		lives++
+		generation++
 		for f := 1; f <= requests; f++ {
-			if !dead[on[f]] {
+			if !down[engineOf[f]] {
 				continue
 			}
-			table.Crashed(quarantine.Fingerprint(f), fmt.Sprint(lives, on[f]), now)
-			for dead[on[f]] {
-				on[f] = random.IntN(engines)
+			table.Crashed(quarantine.Fingerprint(f), fmt.Sprint(generation, engineOf[f]), now)
+			for down[engineOf[f]] {
+				engineOf[f] = random.IntN(engines)
 			}
 		}
-		if storm < 2 {
-			must.Eq(t, 0, table.Refused(now), must.Sprint("after storm ", storm+1))
+		if outage < 2 {
+			must.Eq(t, 0, table.Refused(now), must.Sprint("after power loss ", outage+1))
 			continue
 		}
-		t.Log(table.Refused(now), "of", requests, "would be refused if all of them ran through three storms")
+		t.Log(table.Refused(now), "of", requests, "would be quarantined if all of them were still running at the third power loss")
 		must.Less(t, requests/8, table.Refused(now))
 	}
 }
 
-// TestATableIsBounded lets crashes come under more requests than are held: one that is
-// refused stays so.
-func TestATableIsBounded(t *testing.T) {
+// TestTableSizeIsBounded records crashes of more requests than the table holds. A
+// quarantined request must not be evicted.
+func TestTableSizeIsBounded(t *testing.T) {
 	table := quarantine.New()
 	for _, engine := range []string{"a", "b", "c"} {
-		table.Crashed(suspect, engine, start)
+		table.Crashed(testRequest, engine, start)
 	}
 	for f := range quarantine.Fingerprint(10_000) {
 		table.Crashed(1000+f, "z", start.Add(time.Second))
 	}
-	must.NotNil(t, refusal(t, table, suspect, start.Add(2*time.Second)))
-	must.LessEq(t, 100, len(table.TellNear(start)), must.Sprint("and so is what is told"))
+	must.NotNil(t, rejection(t, table, testRequest, start.Add(2*time.Second)))
+	must.LessEq(t, 100, len(table.TellNear(start)), must.Sprint("the message is bounded too"))
 }
 
-// pair is two tables, each of which hears what the other tells its region.
+// pair is two tables that exchange their reports as gateways of one region.
 type pair struct{ a, b *quarantine.Table }
 
 func (p pair) exchange(now time.Time) {
@@ -166,60 +167,61 @@
 	p.a.HearNear(p.b.TellNear(now), now)
 }
 
-// TestCrashesAddUpOverGateways lets each of two gateways see some crashes: both must know
-// of all, of each one only once, however often they are told.
-func TestCrashesAddUpOverGateways(t *testing.T) {
+// TestCrashesAddUpAcrossGateways guards against losing or double-counting crashes that
+// different gateways see: both must count every crash once, however often it is reported.
+func TestCrashesAddUpAcrossGateways(t *testing.T) {
 	p := pair{quarantine.New(), quarantine.New()}
-	p.a.Crashed(suspect, "1", start)
-	p.b.Crashed(suspect, "1", start) // it had one request there from each
-	p.b.Crashed(suspect, "2", start)
+	p.a.Crashed(testRequest, "1", start)
+	p.b.Crashed(testRequest, "1", start) // engine 1 was running the request for both gateways
+	p.b.Crashed(testRequest, "2", start)
 	for i := range 20 {
 		p.exchange(start.Add(time.Duration(i) * 100 * time.Millisecond))
 	}
 	now := start.Add(3 * time.Second)
-	must.Nil(t, refusal(t, p.a, suspect, now))
-	p.b.Crashed(suspect, "3", now)
+	must.Nil(t, rejection(t, p.a, testRequest, now))
+	p.b.Crashed(testRequest, "3", now)
 	p.exchange(now)
-	must.Eq(t, 3, refusal(t, p.a, suspect, now).Crashes)
-	must.Between(t, 599*time.Second, refusal(t, p.a, suspect, now).RetryAfter, 600*time.Second)
+	must.Eq(t, 3, rejection(t, p.a, testRequest, now).Crashes)
+	must.Between(t, 599*time.Second, rejection(t, p.a, testRequest, now).RetryAfter, 600*time.Second)
 }
 
-// TestAnAnswerIsTold lets one gateway hear of two crashes under a request, and then of the
-// answer that another got for it.
-func TestAnAnswerIsTold(t *testing.T) {
+// TestAnswerIsReported reports two crashes to one gateway, and then the answer that
+// another gateway received. The crashes must no longer count at the first.
+func TestAnswerIsReported(t *testing.T) {
 	p := pair{quarantine.New(), quarantine.New()}
-	p.a.Crashed(suspect, "1", start)
-	p.a.Crashed(suspect, "2", start)
+	p.a.Crashed(testRequest, "1", start)
+	p.a.Crashed(testRequest, "2", start)
 	p.exchange(start)
-	p.b.Begin(suspect)
-	p.b.End(suspect, true, start.Add(time.Second))
+	p.b.Begin(testRequest)
+	p.b.End(testRequest, true, start.Add(time.Second))
 	p.exchange(start.Add(time.Second))
 	p.exchange(start.Add(time.Second))
-	p.a.Crashed(suspect, "3", start.Add(2*time.Second))
-	must.Nil(t, refusal(t, p.a, suspect, start.Add(3*time.Second)))
+	p.a.Crashed(testRequest, "3", start.Add(2*time.Second))
+	must.Nil(t, rejection(t, p.a, testRequest, start.Add(3*time.Second)))
 }
 
-// TestAGatewayThatStartsLateIsTold lets a gateway start when the crashes are long over: it
-// must know of a hundred refused requests within 3 s, and so must a region that was cut off.
-func TestAGatewayThatStartsLateIsTold(t *testing.T) {
-	old := quarantine.New()
+// TestLateGatewayReceivesQuarantine guards against gateways that miss the reports of
+// crashes because they start later or were partitioned: 100 quarantined requests must
+// reach them within 3 s.
+func TestLateGatewayReceivesQuarantine(t *testing.T) {
+	sender := quarantine.New()
 	for f := range quarantine.Fingerprint(100) {
 		for _, engine := range []string{"a", "b", "c"} {
-			old.Crashed(1+f, engine, start)
+			sender.Crashed(1+f, engine, start)
 		}
 	}
 	now := start.Add(time.Minute)
-	for range 100 { // all changes have been told
-		old.TellNear(now)
-		old.TellFar(now)
+	for range 100 { // all changes have been sent
+		sender.TellNear(now)
+		sender.TellFar(now)
 	}
-	near, far := quarantine.New(), quarantine.New()
+	local, remote := quarantine.New(), quarantine.New()
 	for range 30 {
-		near.HearNear(old.TellNear(now), now)
+		local.HearNear(sender.TellNear(now), now)
 	}
 	for range 30 {
-		far.HearFar(old.TellFar(now), now)
+		remote.HearFar(sender.TellFar(now), now)
 	}
-	must.Eq(t, 100, near.Refused(now))
-	must.Eq(t, 100, far.Refused(now))
+	must.Eq(t, 100, local.Refused(now))
+	must.Eq(t, 100, remote.Refused(now))
 }
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -1,4 +1,4 @@
-// This file defines how a crash is told from an answer that broke off.
+// This file distinguishes a crash of an engine from a broken connection.
 
 package quarantine
 
@@ -9,81 +9,85 @@
 )
 
 const (
-	// breakLife is for how long it stays open what the break of a connection meant. An
-	// engine that fell silent is off the registry 3.5 heartbeats later, some 4 s.
-	breakLife = 10 * time.Second
-	// mostBreaks bounds the requests that are held of one engine: more than one runs at
-	// once for one gateway.
-	mostBreaks = 128
-	// mostDoubted bounds the engines that are held.
-	mostDoubted = 128
+	// suspicionTTL is how long an engine stays suspected after a connection broke. A
+	// crashed engine is removed from the registry after 3.5 missed heartbeats, or about
+	// 4 s.
+	suspicionTTL = 10 * time.Second
+	// maxRequestsPerSuspect limits the requests recorded per suspected engine. An engine
+	// runs fewer at once for one gateway.
+	maxRequestsPerSuspect = 128
+	// maxSuspects limits the suspected engines.
+	maxSuspects = 128
 )
 
-// Watch holds the requests whose connections to an engine broke before their answers
-// ended, until it is known what that meant: an engine that answers anything sent later
-// lives, and one that refuses connections, starts again or falls silent has crashed.
-// Single answers break off as well, on engines that are ill and on bad links, and
-// requests that met some of those in a row must not be taken for the cause of crashes.
+// Watch records the requests whose connections to an engine broke before their answers
+// were complete, until it is clear whether the engine crashed. An engine that answers a
+// request sent later is alive; one that refuses connections, restarts or sends no
+// heartbeats has crashed. Single answers also break off on unhealthy engines and bad
+// links, and a request that meets several of those in a row must not be blamed for
+// crashes.
 //
-// It isn't safe for concurrent use. NewWatch makes one.
+// It isn't safe for concurrent use.
 type Watch struct {
-	doubted map[string]*breaks // by incarnation of the engine
+	suspects map[string]*suspect // by incarnation of the engine
 }
 
-type breaks struct {
-	at       time.Time // of the newest
-	requests []Fingerprint
+// suspect is an engine that may have crashed.
+type suspect struct {
+	lastBreak time.Time // when the last connection broke
+	requests  []Fingerprint
 }
 
-// NewWatch makes a watch that holds nothing.
-func NewWatch() *Watch { return &Watch{doubted: make(map[string]*breaks)} }
+// NewWatch returns a detector without suspects.
+func NewWatch() *Watch { return &Watch{suspects: make(map[string]*suspect)} }
 
-// Broke notes that the connection of a request to an engine broke. It tells whether the
-// engine wasn't doubted before, so that it should be looked at.
+// Broke records that the connection of a request to an engine broke. It reports whether
+// the engine wasn't suspected before, so that the caller should check on it.
 func (w *Watch) Broke(engine string, f Fingerprint, now time.Time) (first bool) {
-	w.forget(now)
-	b, ok := w.doubted[engine]
+	w.expire(now)
+	s, ok := w.suspects[engine]
 	if !ok {
-		if len(w.doubted) >= mostDoubted {
+		if len(w.suspects) >= maxSuspects {
 			return false
 		}
-		b = &breaks{}
-		w.doubted[engine] = b
+		s = &suspect{}
+		w.suspects[engine] = s
 	}
-	b.at = now
-	if len(b.requests) < mostBreaks {
-		b.requests = append(b.requests, f)
+	s.lastBreak = now
+	if len(s.requests) < maxRequestsPerSuspect {
+		s.requests = append(s.requests, f)
 	}
 	return !ok
 }
 
-// Answers notes that an engine answers a request that was sent at a time. Breaks before
-// that were no crash.
+// Answers records that an engine answered a request sent at the given time. If all
+// connections broke before that, the engine didn't crash and is no longer suspected.
 func (w *Watch) Answers(engine string, sent time.Time) {
-	if b, ok := w.doubted[engine]; ok && b.at.Before(sent) {
-		delete(w.doubted, engine)
+	if s, ok := w.suspects[engine]; ok && s.lastBreak.Before(sent) {
+		delete(w.suspects, engine)
 	}
 }
 
-// Crashed notes that an engine has ended, and gives the requests that broke with it.
+// Crashed reports that an engine has crashed. It returns the requests whose connections
+// broke with it, once.
 func (w *Watch) Crashed(engine string) []Fingerprint {
-	b, ok := w.doubted[engine]
+	s, ok := w.suspects[engine]
 	if !ok {
 		return nil
 	}
-	delete(w.doubted, engine)
-	return b.requests
+	delete(w.suspects, engine)
+	return s.requests
 }
 
-// Doubted gives the engines of which it isn't known whether they live.
-func (w *Watch) Doubted() []string { return slices.Collect(maps.Keys(w.doubted)) }
+// Doubted lists the suspected engines.
+func (w *Watch) Doubted() []string { return slices.Collect(maps.Keys(w.suspects)) }
 
-// forget drops breaks of which nothing more was heard: the engine is registered and gets
-// nothing that would tell.
-func (w *Watch) forget(now time.Time) {
-	for engine, b := range w.doubted {
-		if now.Sub(b.at) > breakLife {
-			delete(w.doubted, engine)
+// expire removes the suspects that neither crashed nor answered in time: they are still
+// registered, but get no request that would show whether they are alive.
+func (w *Watch) expire(now time.Time) {
+	for engine, s := range w.suspects {
+		if now.Sub(s.lastBreak) > suspicionTTL {
+			delete(w.suspects, engine)
 		}
 	}
 }
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -10,7 +10,7 @@
 	"github.com/linenscale/linenscale/quarantine"
 )
 
-// start is when each test begins.
+// start is the time at which each test begins.
 var start = time.Unix(1000, 0)
 
 func ExampleFingerprintOf() {
@@ -21,9 +21,9 @@
 	// Output: true false
 }
 
-// TestWhatDiffersHasAnotherFingerprint changes one thing at a time, the border between two
-// of them included.
-func TestWhatDiffersHasAnotherFingerprint(t *testing.T) {
+// TestFingerprintDependsOnEveryField changes one field at a time, and moves the boundary
+// between two fields.
+func TestFingerprintDependsOnEveryField(t *testing.T) {
 	seen := make(map[quarantine.Fingerprint]string)
 	for _, r := range [][5]string{
 		{"club", "POST", "h", "/a", "body"},
@@ -42,32 +42,33 @@
 	}
 }
 
-// TestABreakIsACrashOnlyOfAnEngineThatEnds breaks the connections of two requests to one
-// engine, and then lets something be known of it.
-func TestABreakIsACrashOnlyOfAnEngineThatEnds(t *testing.T) {
+// TestBreakCountsOnlyIfEngineCrashes breaks the connections of two requests to one
+// engine, applies an event, and then reports the engine's crash: requests count only if
+// the event didn't show that the engine was alive.
+func TestBreakCountsOnlyIfEngineCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
-		then    func(w *quarantine.Watch)
+		event   func(w *quarantine.Watch)
 		crashed []quarantine.Fingerprint
 	}{
-		"it ends":                          {func(*quarantine.Watch) {}, []quarantine.Fingerprint{1, 2}},
-		"it answers what was sent later":   {func(w *quarantine.Watch) { w.Answers("e", start.Add(2*time.Second)) }, nil},
-		"it answers what was sent before":  {func(w *quarantine.Watch) { w.Answers("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"another answers":                  {func(w *quarantine.Watch) { w.Answers("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"nothing is known for a long time": {func(w *quarantine.Watch) { w.Broke("f", 3, start.Add(time.Minute)) }, nil},
+		"no event": {func(*quarantine.Watch) {}, []quarantine.Fingerprint{1, 2}},
+		"answers a request sent after the breaks":  {func(w *quarantine.Watch) { w.Answers("e", start.Add(2*time.Second)) }, nil},
+		"answers a request sent before the breaks": {func(w *quarantine.Watch) { w.Answers("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"another engine answers":                   {func(w *quarantine.Watch) { w.Answers("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"no answer or crash for a minute":          {func(w *quarantine.Watch) { w.Broke("f", 3, start.Add(time.Minute)) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := quarantine.NewWatch()
 			must.True(t, w.Broke("e", 1, start))
-			must.False(t, w.Broke("e", 2, start.Add(time.Second)), must.Sprint("it is looked at already"))
-			test.then(w)
+			must.False(t, w.Broke("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
+			test.event(w)
 			must.Eq(t, test.crashed, w.Crashed("e"))
-			must.SliceEmpty(t, w.Crashed("e"), must.Sprint("each crash is told once"))
+			must.SliceEmpty(t, w.Crashed("e"), must.Sprint("each crash returns its requests once"))
 		})
 	}
 }
 
-// TestTheWatchIsBounded breaks more connections than are held.
-func TestTheWatchIsBounded(t *testing.T) {
+// TestSuspectsAreBounded breaks more connections than the detector records.
+func TestSuspectsAreBounded(t *testing.T) {
 	w := quarantine.NewWatch()
 	for engine := range 1000 {
 		for f := range quarantine.Fingerprint(200) {
