--- a/pushback/doc.go
+++ b/pushback/doc.go
@@ -1,19 +1,20 @@
-// Package pushback keeps what a backend server asks of one gateway in its answers: to be left
-// alone for a while, or for good because it leaves.
+// Package pushback records what backend servers ask of this gateway in their responses:
+// to back off for a while, or to stop for good because the server is draining.
 //
-// A server that turns a request away may say for how long it wants nothing more from the gateway
-// that it answers, and one that is about to end says so in all answers. These are its own words
-// about itself, and come sooner than anything else that tells of it. What they mean:
+// A server that rejects a request may say how long the gateway should send it nothing,
+// and a server that is about to stop says so in every response. These signals come from
+// the server itself and arrive sooner than any other information about it. They mean:
 //
-//   - A rest is between one life of a server and the gateway that was answered. It ends by time
-//     alone: the longest of several holds, and neither a shorter word nor a success lifts it,
-//     since answers pass each other. Other gateways aren't told; the server may still take
-//     requests from them, and tells them itself.
-//   - After a rest a server gets one request, then one more now and then, and all others when an
-//     answer shows that it hasn't refused one. Else all that was kept away would come at once, at
-//     each end of a rest.
-//   - Leaving is for good, for this life and towards all gateways.
+//   - A backoff applies to one incarnation of a server and to the gateway that received
+//     the response. Only time ends it: the backoff that ends last applies, and neither a
+//     shorter one nor a success shortens it, because responses can arrive out of order.
+//     It isn't forwarded to other gateways: the server may still accept their requests,
+//     and signals them itself.
+//   - After a backoff a server gets a single trial request, and another one periodically
+//     until a response shows that the server accepted one; only then does it get all
+//     requests. Otherwise each end of a backoff would cause a thundering herd.
+//   - Draining is permanent for this incarnation, and applies to all gateways.
 //
-// A Table has no clock, goroutine or network of its own, and knows servers by the hash of their
-// life only.
+// A table has no clock, goroutine or network connection of its own, and identifies
+// servers only by a hash of their incarnation.
 package pushback
--- a/pushback/table.go
+++ b/pushback/table.go
@@ -1,58 +1,58 @@
-// This file defines what one gateway knows of the servers that asked something of it.
+// This file defines the state that a gateway keeps per server.
 
 package pushback
 
 import "time"
 
 const (
-	// trialTime is for how long the one request after a rest keeps the others away, where
-	// nothing is heard of it: a refusal comes within a round trip, so that a server which says
-	// nothing for longer has taken it, and may be sent one more.
-	trialTime = 200 * time.Millisecond
-	// forgetAfter is how long after the last word a server is remembered that nobody knows any
-	// more, or that asks for nothing.
-	forgetAfter = time.Minute
+	// trialTimeout is how long a trial request without a response keeps other requests
+	// away. A rejection arrives within a round trip, so a server that hasn't answered by
+	// then has accepted the request and may get another one.
+	trialTimeout = 200 * time.Millisecond
+	// entryTTL is how long an entry is kept after the server's last signal and the end of
+	// its backoff.
+	entryTTL = time.Minute
 )
 
-// Reason says why a server gets nothing.
+// Reason is why a server gets no requests.
 type Reason uint8
 
-// The reasons.
+// Reasons of an exclusion.
 const (
-	Resting Reason = iota + 1 // it asked for rest
-	Trying                    // its rest is over, and the first request after it is on its way
-	Leaving                   // it said that it leaves
+	Resting Reason = iota + 1 // it asked for backoff
+	Trying                    // its backoff is over, and the trial request is in flight
+	Leaving                   // it announced that it is draining
 )
 
-// String gives the word used in logs.
+// String returns the word used in logs.
 func (r Reason) String() string { return [...]string{"", "resting", "trying", "leaving"}[r] }
 
-// Bar is why a server gets nothing, and since and until when.
+// Bar says why a server is excluded, since when and until when.
 type Bar struct {
 	Reason Reason
 	Since  time.Time
-	Until  time.Time // zero: for good
+	Until  time.Time // zero if permanent
 }
 
-// Table holds what servers ask of one gateway. It isn't safe for concurrent use. New makes one.
+// Table holds what servers have asked of one gateway. It isn't safe for concurrent use.
 type Table struct {
 	servers map[uint64]*server
 }
 
-// server is what is known of one life of a server.
+// server is the state of one incarnation of a server.
 type server struct {
-	restSince time.Time // when it asked for the rest that ends last
-	restUntil time.Time // zero where it never asked
-	returning bool      // it has taken nothing since a rest
-	trial     time.Time // until when the first request after a rest counts as on its way
-	leaving   time.Time // since when it is known to leave; zero where it isn't
-	heard     time.Time // when it last said anything, or got anything
-	asked     int       // rests
-	sent      int       // requests that it was sent in spite of its word
-	keptAway  int
-}
-
-// New makes an empty table.
+	backoffSince  time.Time // when it asked for the backoff that ends last
+	backoffUntil  time.Time // zero if it never asked
+	recovering    bool      // it has accepted no request since a backoff
+	trialUntil    time.Time // until when the trial request is assumed to be in flight
+	drainingSince time.Time // zero if it isn't draining
+	lastSeen      time.Time // when it last sent a signal
+	backoffs      int
+	overridden    int // requests sent although it was excluded
+	excluded      int // requests not sent because of its signals
+}
+
+// New returns an empty table.
 func New() *Table { return &Table{servers: make(map[uint64]*server)} }
 
 func (t *Table) server(id uint64) *server {
@@ -64,132 +64,132 @@
 	return s
 }
 
-// Hear takes what an answer that came now asks for. It tells whether the server rests for longer
-// than was known: a shorter word that comes after a longer one, or passes it on the way, doesn't
-// end that.
-func (t *Table) Hear(id uint64, word Word, now time.Time) (longer bool) {
-	rest, ok := word.(Rest)
+// Hear applies the signal of a response that has just arrived. It reports whether it
+// extends the server's backoff; a shorter backoff than the current one changes nothing.
+func (t *Table) Hear(id uint64, signal Word, now time.Time) (longer bool) {
+	backoff, ok := signal.(Rest)
 	if !ok {
 		return false
 	}
 	s := t.server(id)
-	s.heard, s.returning = now, true
-	s.asked++
-	if until := now.Add(rest.For); until.After(s.restUntil) {
-		s.restSince, s.restUntil = now, until
+	s.lastSeen, s.recovering = now, true
+	s.backoffs++
+	if until := now.Add(backoff.For); until.After(s.backoffUntil) {
+		s.backoffSince, s.backoffUntil = now, until
 		return true
 	}
 	return false
 }
 
-// HearLeaving takes that a server leaves. It tells whether that is new.
+// HearLeaving records that a server is draining. It reports whether that is new.
 func (t *Table) HearLeaving(id uint64, now time.Time) (first bool) {
 	s := t.server(id)
-	s.heard = now
-	if !s.leaving.IsZero() {
+	s.lastSeen = now
+	if !s.drainingSince.IsZero() {
 		return false
 	}
-	s.leaving = now
+	s.drainingSince = now
 	return true
 }
 
-// Stays takes that a server which doesn't tell its lives apart says no more, in answer to what was
-// sent at a time, that it leaves: that is its next life.
+// Stays ends the draining of a server whose incarnations can't be told apart: its
+// response to a request sent after it began to drain doesn't announce draining any more,
+// so it has restarted.
 func (t *Table) Stays(id uint64, sent time.Time) {
-	if s, known := t.servers[id]; known && !s.leaving.IsZero() && sent.After(s.leaving) {
-		s.leaving = time.Time{}
+	if s, known := t.servers[id]; known && !s.drainingSince.IsZero() && sent.After(s.drainingSince) {
+		s.drainingSince = time.Time{}
 	}
 }
 
-// Begin counts a request that is sent to a server. It tells whether that is the one which shows
-// whether the server takes requests again after a rest; End must be called when that has ended.
+// Begin records that a request is sent to a server. It reports whether it is the trial
+// request after a backoff; if so, the caller must call End when the request is over.
 func (t *Table) Begin(id uint64, now time.Time) (trial bool) {
 	s, known := t.servers[id]
 	if !known {
 		return false
 	}
-	if _, barred := s.bar(now); barred {
-		s.sent++
+	if _, excluded := s.exclusion(now); excluded {
+		s.overridden++
 		return false
 	}
-	if s.returning {
-		s.trial = now.Add(trialTime)
+	if s.recovering {
+		s.trialUntil = now.Add(trialTimeout)
 		return true
 	}
 	return false
 }
 
-// Taken notes that a server has not refused a request that was sent at a time. One from before
-// the end of its rest shows nothing.
+// Taken records that a server has accepted a request, which ends the trial. A request
+// sent before the end of the backoff doesn't count.
 func (t *Table) Taken(id uint64, sent time.Time) {
-	if s, known := t.servers[id]; known && !sent.Before(s.restUntil) {
-		s.returning = false
+	if s, known := t.servers[id]; known && !sent.Before(s.backoffUntil) {
+		s.recovering = false
 	}
 }
 
-// End notes that the first request after a rest has ended: the next may try where it showed
-// nothing.
+// End records that the trial request is over. If it showed nothing, the next request
+// becomes the trial.
 func (t *Table) End(id uint64) {
 	if s, known := t.servers[id]; known {
-		s.trial = time.Time{}
+		s.trialUntil = time.Time{}
 	}
 }
 
-// KeptAway counts a request that a server didn't get because of its word.
+// KeptAway counts a request that a server didn't get because of its signals.
 func (t *Table) KeptAway(id uint64) {
 	if s, known := t.servers[id]; known {
-		s.keptAway++
+		s.excluded++
 	}
 }
 
-// Bar gives why a server gets nothing now; false where it gets requests.
+// Bar returns why a server is excluded now; false if it may get requests.
 func (t *Table) Bar(id uint64, now time.Time) (Bar, bool) {
 	s, known := t.servers[id]
 	if !known {
 		return Bar{}, false
 	}
-	return s.bar(now)
+	return s.exclusion(now)
 }
 
-func (s *server) bar(now time.Time) (Bar, bool) {
+func (s *server) exclusion(now time.Time) (Bar, bool) {
 	switch {
-	case !s.leaving.IsZero():
-		return Bar{Reason: Leaving, Since: s.leaving}, true
-	case now.Before(s.restUntil):
-		return Bar{Reason: Resting, Since: s.restSince, Until: s.restUntil}, true
-	case s.returning && now.Before(s.trial):
-		return Bar{Reason: Trying, Since: s.trial.Add(-trialTime), Until: s.trial}, true
+	case !s.drainingSince.IsZero():
+		return Bar{Reason: Leaving, Since: s.drainingSince}, true
+	case now.Before(s.backoffUntil):
+		return Bar{Reason: Resting, Since: s.backoffSince, Until: s.backoffUntil}, true
+	case s.recovering && now.Before(s.trialUntil):
+		return Bar{Reason: Trying, Since: s.trialUntil.Add(-trialTimeout), Until: s.trialUntil}, true
 	default:
 		return Bar{}, false
 	}
 }
 
-// Forget drops the servers that nobody knows any more, and such that ask for nothing. The owner
-// calls it now and then.
+// Forget drops the servers that have asked for nothing for entryTTL, and the draining
+// ones among them only if known returns false. The owner calls it periodically.
 func (t *Table) Forget(known func(id uint64) bool, now time.Time) {
 	for id, s := range t.servers {
-		last := s.heard
-		if s.restUntil.After(last) {
-			last = s.restUntil
+		last := s.lastSeen
+		if s.backoffUntil.After(last) {
+			last = s.backoffUntil
 		}
-		if now.Sub(last) > forgetAfter && (s.leaving.IsZero() || !known(id)) {
+		if now.Sub(last) > entryTTL && (s.drainingSince.IsZero() || !known(id)) {
 			delete(t.servers, id)
 		}
 	}
 }
 
-// Counts is what came of one server's words.
+// Counts are statistics about the pushback of one server.
 type Counts struct {
-	Asked    int `json:"rests_asked"`
-	Sent     int `json:"sent_in_spite"` // requests
-	KeptAway int `json:"kept_away"`     // requests
+	Asked    int `json:"rests_asked"`   // backoffs it has asked for
+	Sent     int `json:"sent_in_spite"` // requests sent although it was excluded
+	KeptAway int `json:"kept_away"`     // requests not sent because of its signals
 }
 
-// Counts gives what came of a server's words.
+// Counts returns the statistics of a server.
 func (t *Table) Counts(id uint64) Counts {
 	s, known := t.servers[id]
 	if !known {
 		return Counts{}
 	}
-	return Counts{s.asked, s.sent, s.keptAway}
+	return Counts{s.backoffs, s.overridden, s.excluded}
 }
--- a/pushback/word.go
+++ b/pushback/word.go
@@ -1,4 +1,4 @@
-// This file defines what one answer asks for.
+// This file parses what a response asks for.
 
 package pushback
 
@@ -10,62 +10,65 @@
 	"time"
 )
 
-// Word is what one answer asks for: Rest, Nothing or Unclear.
+// Word is what one response asks for: backoff, nothing, or something that can't be
+// parsed.
 type Word interface {
-	// String is what logs show.
+	// String returns the text used in logs.
 	String() string
-	word()
+	signal()
 }
 
-// Rest asks for no more requests for so long from the answer on.
+// Rest asks for no requests during a time that begins with the response.
 type Rest struct{ For time.Duration }
 
-// Nothing asks for nothing.
+// Nothing means that the response asks for nothing.
 type Nothing struct{}
 
-// Unclear is a time that can't be read. It changes nothing.
+// Unclear is a Retry-After that can't be parsed. It is logged and otherwise ignored.
 type Unclear struct{ Text string }
 
-func (Rest) word()    {}
-func (Nothing) word() {}
-func (Unclear) word() {}
+func (Rest) signal()    {}
+func (Nothing) signal() {}
+func (Unclear) signal() {}
 
 // String implements Word.
-func (r Rest) String() string { return r.For.String() }
+func (b Rest) String() string { return b.For.String() }
 
 // String implements Word.
 func (Nothing) String() string { return "none" }
 
 // String implements Word.
-func (u Unclear) String() string { return "unclear: " + strconv.Quote(u.Text) }
+func (m Unclear) String() string { return "unclear: " + strconv.Quote(m.Text) }
 
-// LongestRest is what a longer one counts as. After it a server is asked once, and may say the
-// same again; without an end a slip of its clock would take it out for good.
+// LongestRest limits a backoff. After it the server gets a trial request, and can ask for
+// the same again; without a limit, an error of its clock would exclude it for good.
 const LongestRest = time.Hour
 
-// Read gives what the head of a backend server's answer asks for. Only one that turns the request
-// away for its own sake can: elsewhere Retry-After (RFC 9110, 10.2.3) is a word to the caller, or
-// means nothing. now is the time of day, for a date in an answer that doesn't tell its own.
-func Read(turnedAway bool, header http.Header, now time.Time) Word {
-	if !turnedAway {
+// Read returns what the header of a backend server's response asks for. Only a response
+// that rejects the request because of the server's own state can ask for backoff: in
+// others, Retry-After (RFC 9110, 10.2.3) is meant for the caller, or has no meaning. now
+// is the time of day, used for a Retry-After date if the response has no Date.
+func Read(rejected bool, header http.Header, now time.Time) Word {
+	if !rejected {
 		return Nothing{}
 	}
 	var longest Word = Nothing{}
 	for _, text := range header.Values("Retry-After") {
-		wait, ok := parse(strings.TrimSpace(text), header, now)
+		wait, ok := parseRetryAfter(strings.TrimSpace(text), header, now)
 		if !ok {
 			return Unclear{Text: text}
 		}
-		if rest, resting := longest.(Rest); wait > 0 && (!resting || wait > rest.For) {
+		if backoff, found := longest.(Rest); wait > 0 && (!found || wait > backoff.For) {
 			longest = Rest{For: wait}
 		}
 	}
 	return longest
 }
 
-// parse reads seconds, fractions included, or a date of HTTP. A date counts from the time that
-// the answer itself tells: clocks of two hosts differ by more than many a rest is long.
-func parse(text string, header http.Header, now time.Time) (wait time.Duration, ok bool) {
+// parseRetryAfter parses a number of seconds, which may have a fraction, or an HTTP date.
+// A date is relative to the Date of the response, because the clocks of two hosts often
+// differ by more than a typical backoff.
+func parseRetryAfter(text string, header http.Header, now time.Time) (wait time.Duration, ok bool) {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
 		if math.IsNaN(seconds) || seconds < 0 {
 			return 0, false
@@ -76,8 +79,8 @@
 	if err != nil {
 		return 0, false
 	}
-	if sent, err := http.ParseTime(header.Get("Date")); err == nil {
-		now = sent
+	if serverTime, err := http.ParseTime(header.Get("Date")); err == nil {
+		now = serverTime
 	}
 	return min(max(0, until.Sub(now)), LongestRest), true
 }
--- a/pushback/word_test.go
+++ b/pushback/word_test.go
@@ -11,32 +11,32 @@
 	"github.com/linenscale/linenscale/pushback"
 )
 
-// noon is the time of day of every answer.
+// noon is the gateway's time of day in every test.
 var noon = time.Date(2026, time.March, 1, 12, 0, 0, 0, time.UTC)
 
-// TestRead reads what answers may hold.
+// TestRead checks every form of Retry-After, on rejections and on other responses.
 func TestRead(t *testing.T) {
 	date := func(t time.Time) string { return t.Format(http.TimeFormat) }
 	cases := []struct {
-		name   string
-		away   bool
-		values []string
-		date   string
-		want   pushback.Word
+		name     string
+		rejected bool
+		values   []string
+		date     string
+		want     pushback.Word
 	}{
 		{"seconds", true, []string{"3"}, "", pushback.Rest{For: 3 * time.Second}},
 		{"a fraction", true, []string{"0.25"}, "", pushback.Rest{For: 250 * time.Millisecond}},
 		{"blanks", true, []string{" 2 "}, "", pushback.Rest{For: 2 * time.Second}},
-		{"nothing said", true, nil, "", pushback.Nothing{}},
-		{"no time at all", true, []string{"0"}, "", pushback.Nothing{}},
+		{"no header", true, nil, "", pushback.Nothing{}},
+		{"zero", true, []string{"0"}, "", pushback.Nothing{}},
 		{"a success", false, []string{"3"}, "", pushback.Nothing{}},
-		{"a refusal that is the caller's", false, []string{"3"}, "", pushback.Nothing{}},
-		{"two lines: the longer", true, []string{"1", "3"}, "", pushback.Rest{For: 3 * time.Second}},
+		{"a rejection caused by the caller", false, []string{"3"}, "", pushback.Nothing{}},
+		{"two headers: the longer", true, []string{"1", "3"}, "", pushback.Rest{For: 3 * time.Second}},
 		{"negative", true, []string{"-3"}, "", pushback.Unclear{Text: "-3"}},
 		{"words", true, []string{"soon"}, "", pushback.Unclear{Text: "soon"}},
 		{"empty", true, []string{""}, "", pushback.Unclear{Text: ""}},
 		{"no number", true, []string{"NaN"}, "", pushback.Unclear{Text: "NaN"}},
-		{"one line that can't be read", true, []string{"3", "x"}, "", pushback.Unclear{Text: "x"}},
+		{"one malformed header", true, []string{"3", "x"}, "", pushback.Unclear{Text: "x"}},
 		{"endless", true, []string{"Inf"}, "", pushback.Rest{For: pushback.LongestRest}},
 		{"absurd", true, []string{"1e300"}, "", pushback.Rest{For: pushback.LongestRest}},
 		{"a date by the gateway's clock", true, []string{date(noon.Add(4 * time.Second))}, "", pushback.Rest{For: 4 * time.Second}},
@@ -52,12 +52,12 @@
 			if c.date != "" {
 				header.Set("Date", c.date)
 			}
-			must.Eq(t, c.want, pushback.Read(c.away, header, noon))
+			must.Eq(t, c.want, pushback.Read(c.rejected, header, noon))
 		})
 	}
 }
 
-// ExampleRead shows a server that has no room for three seconds.
+// ExampleRead parses the response of a server that is at capacity for three seconds.
 func ExampleRead() {
 	header := http.Header{"Retry-After": {"3"}}
 	fmt.Println(pushback.Read(true, header, noon))
