--- a/controller/entries.go
+++ b/controller/entries.go
@@ -21,8 +21,8 @@
 func (c *Controller) Entries(name, region, dataCentre string) []string {
 	gateways := c.roster.Hosts(roster.RoleGateway)
 	homes := c.table.Load().Homes(name)
-	chosen, why := Choose(gateways, homes, region, dataCentre)
-	if why == NearDataCentre || why == NearRegion {
+	chosen, why := ChooseGateways(gateways, homes, region, dataCentre)
+	if why == SameDataCentre || why == SameRegion {
 		return chosen
 	}
 	if c.Clock().Sub(c.began) < rosterSettles {
@@ -32,37 +32,37 @@
 	return chosen
 }
 
-// Near says why gateways were chosen for a caller.
-type Near uint8
+// Proximity says why gateways were chosen for a caller.
+type Proximity uint8
 
 // The reasons, the best first.
 const (
-	NearDataCentre Near = iota // they stand in the caller's data centre
-	NearRegion                 // they stand in the caller's region
-	NearHome                   // requests bound to regions may run there
-	NearNone                   // any is better than none
+	SameDataCentre Proximity = iota // they stand in the caller's data centre
+	SameRegion                      // they stand in the caller's region
+	HomeRegion                      // requests bound to regions may run there
+	AnyGateway                      // any is better than none
 )
 
 // String gives the word used in logs.
-func (n Near) String() string {
+func (n Proximity) String() string {
 	return [...]string{"data_centre", "region", "home", "none"}[n]
 }
 
-// Choose gives the addresses of the gateways for a caller: those of its data
+// ChooseGateways gives the addresses of the gateways for a caller: those of its data
 // centre, else those of its region, else those of the regions where most of the
 // host name's bound routes may run, else all. homes counts these routes by
 // region. Gateways that are stopping aren't named.
-func Choose(gateways []roster.Host, homes map[string]int, region, dataCentre string) ([]string, Near) {
+func ChooseGateways(gateways []roster.Host, homes map[string]int, region, dataCentre string) ([]string, Proximity) {
 	takes := slices.DeleteFunc(slices.Clone(gateways), func(h roster.Host) bool { return h.Stopping || h.Callers == "" })
 	most := 0
 	for _, h := range takes {
 		most = max(most, homes[h.Region])
 	}
 	choices := [...]func(roster.Host) bool{
-		NearDataCentre: func(h roster.Host) bool { return h.DataCentre == dataCentre },
-		NearRegion:     func(h roster.Host) bool { return h.Region == region },
-		NearHome:       func(h roster.Host) bool { return most > 0 && homes[h.Region] == most },
-		NearNone:       func(roster.Host) bool { return true },
+		SameDataCentre: func(h roster.Host) bool { return h.DataCentre == dataCentre },
+		SameRegion:     func(h roster.Host) bool { return h.Region == region },
+		HomeRegion:     func(h roster.Host) bool { return most > 0 && homes[h.Region] == most },
+		AnyGateway:     func(roster.Host) bool { return true },
 	}
 	for why, choice := range choices {
 		var out []string
@@ -72,8 +72,8 @@
 			}
 		}
 		if len(out) > 0 {
-			return out, Near(why)
+			return out, Proximity(why)
 		}
 	}
-	return nil, NearNone
+	return nil, AnyGateway
 }
--- a/controller/entries_test.go
+++ b/controller/entries_test.go
@@ -29,22 +29,22 @@
 		stopping []string
 		homes    map[string]int // bound routes by region
 		want     []string
-		why      controller.Near
+		why      controller.Proximity
 	}{
-		{nil, nil, []string{"a"}, controller.NearDataCentre},
-		{nil, map[string]int{"kano": 1}, []string{"a"}, controller.NearDataCentre},
-		{[]string{"a"}, nil, []string{"b", "c"}, controller.NearNone},
-		{[]string{"a"}, map[string]int{"lagos": 1, "abuja": 1}, []string{"b"}, controller.NearHome},
+		{nil, nil, []string{"a"}, controller.SameDataCentre},
+		{nil, map[string]int{"kano": 1}, []string{"a"}, controller.SameDataCentre},
+		{[]string{"a"}, nil, []string{"b", "c"}, controller.AnyGateway},
+		{[]string{"a"}, map[string]int{"lagos": 1, "abuja": 1}, []string{"b"}, controller.HomeRegion},
 		// Two bound routes that contradict each other: no region serves both.
-		{[]string{"a"}, map[string]int{"lagos": 2, "abuja": 1}, []string{"b"}, controller.NearHome},
-		{[]string{"a"}, map[string]int{"kano": 2, "abuja": 1}, []string{"c"}, controller.NearHome},
-		{[]string{"a", "c"}, map[string]int{"kano": 2, "abuja": 1}, []string{"b"}, controller.NearHome},
-		{[]string{"a", "b"}, map[string]int{"lagos": 1}, []string{"c"}, controller.NearNone},
-		{[]string{"a", "b", "c"}, nil, nil, controller.NearNone},
+		{[]string{"a"}, map[string]int{"lagos": 2, "abuja": 1}, []string{"b"}, controller.HomeRegion},
+		{[]string{"a"}, map[string]int{"kano": 2, "abuja": 1}, []string{"c"}, controller.HomeRegion},
+		{[]string{"a", "c"}, map[string]int{"kano": 2, "abuja": 1}, []string{"b"}, controller.HomeRegion},
+		{[]string{"a", "b"}, map[string]int{"lagos": 1}, []string{"c"}, controller.AnyGateway},
+		{[]string{"a", "b", "c"}, nil, nil, controller.AnyGateway},
 	}
 	for i, c := range cases {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			got, why := controller.Choose(gatewaysIn(c.stopping...), c.homes, "lagos", "a")
+			got, why := controller.ChooseGateways(gatewaysIn(c.stopping...), c.homes, "lagos", "a")
 			must.Eq(t, c.want, got)
 			must.Eq(t, c.why, why)
 		})
