--- a/controller/commands.go
+++ b/controller/commands.go
@@ -1,5 +1,5 @@
-// This file defines commands and reads, which any control host takes and the leader of the
-// ledger decides.
+// This file defines commands and reads. Every control host accepts them; the ledger's
+// leader decides them.
 
 package controller
 
@@ -17,54 +17,56 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Put takes a catalog: if its version is above the one held, it holds from now
-// on, else nothing changes. source is what reads give back. The error is a
-// *catalog.InvalidError or ErrUnavailable.
+// Put replaces the catalog if the new version is higher than the current one; otherwise
+// nothing changes. source is the declaration in the operator's format, which Read
+// returns. The error is a *catalog.InvalidError or ErrUnavailable.
 func (c *Controller) Put(ctx context.Context, next catalog.Catalog, source []byte) (ledger.Result, error) {
 	if err := next.Check(); err != nil {
 		return ledger.Result{}, err
 	}
-	result, err := c.command(ctx, ledger.PutCatalog{Catalog: next, Source: source})
+	result, err := c.submit(ctx, ledger.PutCatalog{Catalog: next, Source: source})
 	c.Log.Info("catalog put", zap.Int64("version", next.Version), zap.Int("routes", len(next.Routes)), zap.Bool("changed", result.Changed), zap.Int64("held", result.Version), telemetry.Cause(err))
 	return result, err
 }
 
-// Evacuate begins or ends the evacuation of a data centre. The error is
-// ErrUnavailable, or a NotFound for a data centre that doesn't exist.
+// Evacuate starts or ends the evacuation of a data centre. The error is ErrUnavailable,
+// or a NotFound for an unknown data centre.
 func (c *Controller) Evacuate(ctx context.Context, dataCentre string, on bool) error {
 	if _, ok := c.Regions[dataCentre]; !ok {
 		return errors.NotFoundf("data centre %q", dataCentre)
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	result, err := c.order(ctx, ledger.SetEvacuation{DataCentre: dataCentre, On: on})
+	result, err := c.setEvacuation(ctx, ledger.SetEvacuation{DataCentre: dataCentre, On: on})
 	for err == nil && result.Stale {
-		result, err = c.order(ctx, ledger.SetEvacuation{DataCentre: dataCentre, On: on})
+		result, err = c.setEvacuation(ctx, ledger.SetEvacuation{DataCentre: dataCentre, On: on})
 	}
 	c.Log.Info("evacuation", zap.String("data_centre", dataCentre), zap.Bool("on", on), zap.Bool("changed", result.Changed), telemetry.Cause(err))
 	return err
 }
 
-// order carries an order to the leader, which rejects it if another one came after this host
-// looked: one that is given up here may still arrive there.
-func (c *Controller) order(ctx context.Context, order ledger.SetEvacuation) (ledger.Result, error) {
-	if err := c.confirm(ctx); err != nil {
+// setEvacuation submits an order, which the leader rejects as stale if another one was
+// applied after this host read the state. Otherwise an order that timed out here could
+// reach the leader late and undo a newer one.
+func (c *Controller) setEvacuation(ctx context.Context, order ledger.SetEvacuation) (ledger.Result, error) {
+	if err := c.waitUntilCurrent(ctx); err != nil {
 		return ledger.Result{}, err
 	}
 	order.Seen = c.replica.Status().Applied
-	return c.command(ctx, order)
+	return c.submit(ctx, order)
 }
 
-// command carries a command to the leader until it is applied, or time is up.
-func (c *Controller) command(ctx context.Context, command ledger.Command) (ledger.Result, error) {
+// submit sends a command to the leader, and waits until it is applied or requestTimeout
+// has passed.
+func (c *Controller) submit(ctx context.Context, command ledger.Command) (ledger.Result, error) {
 	data, err := ledger.Encode(command)
 	if err != nil {
 		return ledger.Result{}, errors.Trace(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var result ledger.Result
-	err = c.askLeader(ctx, func() error {
+	err = c.callLeader(ctx, func() error {
 		result, err = c.propose(ctx, data)
 		return err
 	}, func(address string) error {
@@ -73,28 +75,27 @@
 	return result, err
 }
 
-// askLeader asks the leader, here or elsewhere, and looks again for one until
-// ctx ends. The commands may be given twice, so that nothing is lost by asking
-// again.
-func (c *Controller) askLeader(ctx context.Context, here func() error, there func(address string) error) error {
-	cause := follow.ErrNoLeader
+// callLeader calls local if this host leads, or remote with the leader's address, and
+// retries until ctx ends. Commands may be applied twice, so a retry does no harm.
+func (c *Controller) callLeader(ctx context.Context, local func() error, remote func(address string) error) error {
+	lastErr := follow.ErrNoLeader
 	for ctx.Err() == nil {
 		switch status := c.replica.Status(); {
 		case status.Role == raft.Leader:
-			cause = here()
+			lastErr = local()
 		case status.Leader != raft.None:
-			cause = there(PeerOf(status.Leader))
+			lastErr = remote(PeerOf(status.Leader))
 		}
-		if cause == nil {
+		if lastErr == nil {
 			return nil
 		}
-		duty.Pause(ctx, leaderPause)
+		duty.Pause(ctx, leaderRetryInterval)
 	}
-	c.Log.Warn("leader not reached", telemetry.Cause(cause))
+	c.Log.Warn("leader unreachable, request given up", telemetry.Cause(lastErr))
 	return ErrUnavailable
 }
 
-// propose proposes a command to this host's replica, which must lead.
+// propose proposes a command to this host's replica, which must be the leader.
 func (c *Controller) propose(ctx context.Context, data []byte) (ledger.Result, error) {
 	out, err := c.replica.Propose(ctx, data)
 	if err != nil {
@@ -106,14 +107,15 @@
 	case error:
 		return ledger.Result{}, errors.Trace(out)
 	default:
-		return ledger.Result{}, errors.Errorf("result of type %T", out)
+		return ledger.Result{}, errors.Errorf("ledger returned a result of unknown type %T", out)
 	}
 }
 
-// Read gives the newest state: every command that was accepted before the call
-// is in it. The error is ErrUnavailable, or ErrEmpty where no catalog holds.
+// Read returns the current state of the ledger, which includes every command that was
+// accepted before the call. The error is ErrUnavailable, or ErrEmpty if there is no
+// catalog.
 func (c *Controller) Read(ctx context.Context) (ledger.State, error) {
-	err := c.confirm(ctx)
+	err := c.waitUntilCurrent(ctx)
 	state := c.machine.State()
 	if err == nil && state.Catalog.Version == 0 {
 		err = ErrEmpty
@@ -122,13 +124,13 @@
 	return state, err
 }
 
-// confirm waits until everything that was accepted before the call has been applied
-// here. The error is ErrUnavailable.
-func (c *Controller) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+// waitUntilCurrent waits until every command that was accepted before the call has been
+// applied here. The error is ErrUnavailable.
+func (c *Controller) waitUntilCurrent(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var reply follow.ReadReply
-	err := c.askLeader(ctx, func() error {
+	err := c.callLeader(ctx, func() error {
 		var err error
 		reply.Index, err = c.readIndex(ctx)
 		return err
@@ -136,7 +138,7 @@
 		return c.Commands.Call(ctx, address, follow.Service+".ReadIndex", follow.Nothing{}, &reply)
 	})
 	for err == nil && c.replica.Status().Applied < reply.Index {
-		duty.Pause(ctx, leaderPause/5)
+		duty.Pause(ctx, leaderRetryInterval/5)
 		if ctx.Err() != nil {
 			err = ErrUnavailable
 		}
@@ -144,7 +146,8 @@
 	return err
 }
 
-// readIndex gives an index up to which everything accepted so far reaches.
+// readIndex returns an index that covers every command accepted so far. This host must be
+// the leader.
 func (c *Controller) readIndex(ctx context.Context) (uint64, error) {
 	if err := c.replica.Read(ctx); err != nil {
 		return 0, errors.Trace(err)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,13 +1,13 @@
-// Package controller is the control role of a host: it keeps a replica of the
-// ledger, hears engines, and tells everybody who follows it.
+// Package controller implements the control role of a host: it keeps a replica of the
+// ledger, receives the engines' heartbeats, and reports changes to all hosts that follow
+// it.
 //
-// Operators and engines may call any control host. A command is carried to the
-// ledger's leader and answered once a majority of the voters has it on disk; a
-// read is confirmed with the leader first, so that no control host ever shows
-// an older catalog than one that was accepted. Engines' heartbeats need no
-// majority: the control host that hears one tells its followers, and an engine
-// that drains is acknowledged only after the gateways of its region have been
-// told.
+// Operators and engines may call any control host. A command is forwarded to the ledger's
+// leader and answered once a majority of the voters has it on disk. A read is confirmed
+// with the leader first, so that no control host returns a catalog older than one that
+// has been accepted. Heartbeats need no majority: the control host that receives one
+// reports it to its followers. The heartbeat of a draining engine is answered only after
+// the gateways of its region have acknowledged that it drains.
 package controller
 
 import (
@@ -33,113 +33,114 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Timing of the control role.
+// Timeouts and intervals of the control role.
 const (
-	// Election and Heartbeat of the ledger's log: a round trip between regions
-	// takes 160 ms, so that an election timeout holds four heartbeats.
-	election  = time.Second
-	heartbeat = 250 * time.Millisecond
-	// snapshotEvery is after how many commands the log is cut. Catalogs are
-	// long, and disks are small.
-	snapshotEvery = 64
-	// hostSilence is how long a host may be silent before it is taken off
-	// the roster: three questions.
-	hostSilence = 2 * time.Second
-	// hostSlack is how much longer a host may be silent than it lets a question stand.
-	hostSlack = 1500 * time.Millisecond
-	// voterSilence is how long a voter may be silent before a spare takes its
-	// place.
-	voterSilence = 2 * time.Second
-	// tidyEvery is how often the roster and the registry are looked over.
-	tidyEvery = 250 * time.Millisecond
-	// answerTime bounds one command or read; callers turn to another control
-	// host after a second without an answer.
-	answerTime = 900 * time.Millisecond
-	// leaderPause is the wait between two looks for a leader.
-	leaderPause = 50 * time.Millisecond
-	// GatherTime is how long changes are gathered as a rule. When everybody
-	// starts, each of some hundred hosts would otherwise be told of each other
-	// one by one, which costs a control host of half a core seconds. It is short
-	// beside the 450 ms within which an engine that drains is told of.
+	// Election timeout and heartbeat interval of the ledger's Raft log. A round trip
+	// between regions takes 160 ms, and an election timeout spans four heartbeats.
+	electionTimeout   = time.Second
+	heartbeatInterval = 250 * time.Millisecond
+	// snapshotInterval is the number of commands after which the log is compacted. It is
+	// small because catalogs are large and disks are small.
+	snapshotInterval = 64
+	// hostTimeout is how long after its last Sync call a host is removed from the roster:
+	// the time of three calls.
+	hostTimeout = 2 * time.Second
+	// hostTimeoutSlack is how much longer than the wait of its Sync calls a host may be
+	// silent.
+	hostTimeoutSlack = 1500 * time.Millisecond
+	// voterTimeout is how long a voter may be unresponsive before a spare replaces it.
+	voterTimeout = 2 * time.Second
+	// expiryInterval is how often hosts and engines are checked for timeouts.
+	expiryInterval = 250 * time.Millisecond
+	// requestTimeout bounds a command or a read. Callers try another control host after a
+	// second without an answer.
+	requestTimeout = 900 * time.Millisecond
+	// leaderRetryInterval is the wait between two attempts to reach a leader.
+	leaderRetryInterval = 50 * time.Millisecond
+	// GatherTime is the default time during which changes are batched before a waiting
+	// host is answered. Without batching, when the whole system starts, each of about a
+	// hundred hosts would be sent every other host separately, which keeps a control host
+	// with half a core busy for seconds. It is short compared with the 450 ms within
+	// which gateways must acknowledge a draining engine.
 	GatherTime = 50 * time.Millisecond
-	// DrainTold bounds, as a rule, the wait until the gateways know that an engine
-	// drains, well within the second that engines wait for an answer.
+	// DrainTold is the default limit on the wait until the gateways have acknowledged
+	// that an engine drains. Engines wait a second for their answer.
 	DrainTold = 450 * time.Millisecond
 )
 
 // Errors of commands and reads.
 var (
-	// ErrUnavailable says that no majority could be asked in time. A command
-	// may have been taken all the same, and may be sent again.
+	// ErrUnavailable means that no majority of the voters was reached in time. The
+	// command may have been accepted nonetheless; it is safe to send it again.
 	ErrUnavailable = errors.New("no majority of the control hosts can be asked now")
-	// ErrEmpty says that nothing has been declared yet.
+	// ErrEmpty means that no catalog has been declared yet.
 	ErrEmpty = errors.New("no catalog has been declared yet")
 )
 
-// Deps are what a Controller needs.
+// Deps are the dependencies and settings of a Controller.
 type Deps struct {
-	Self      roster.Host // without replica
+	Self      roster.Host // without the replica, which the controller adds
 	Replica   raft.ID
 	Folder    disk.Folder
-	Voters    int                 // wanted
+	Voters    int                 // number of voters to maintain
 	Regions   map[string]string   // by data centre
-	Heartbeat time.Duration       // of engines
-	Gather    time.Duration       // how long changes of hosts and engines are gathered before a host is told
-	Told      time.Duration       // how long an engine that drains waits at most until gateways know
+	Heartbeat time.Duration       // interval of the engines' heartbeats
+	Gather    time.Duration       // time during which changes of hosts and engines are batched
+	Told      time.Duration       // limit on the wait for acknowledgements of a draining engine
 	Seeds     func() []string     // peer addresses
-	Calls     *wire.Client        // for questions that wait
-	Commands  *wire.Client        // for everything else
+	Calls     *wire.Client        // for Sync calls, which wait for changes
+	Commands  *wire.Client        // for all other calls
 	Send      func(raft.Envelope) // must not block
 	Log       *zap.Logger
 	Clock     func() time.Time
-	Steady    func() time.Duration // a clock that goes on while the host is frozen
-	Strict    bool                 // keys are to be revoked in time
+	Steady    func() time.Duration // a clock that keeps running while the host is suspended
+	Strict    bool                 // keys must be revoked in time: confirm the state regularly
 	Seed      uint64
 }
 
-// Controller is safe for concurrent use. New makes one; Run runs it.
+// Controller runs the control role of a host. It is safe for concurrent use.
 type Controller struct {
 	Deps
-	machine  *ledger.Machine
-	replica  *replica.Replica
-	roster   *roster.Roster
-	engines  *registry.Table
-	follower *follow.Follower
-	stopping atomic.Bool
-	began    time.Time
-	table    atomic.Pointer[catalog.Table] // of the ledger's state
-	notes    *disk.Pair                    // engines that were known
-	sure     surety
-
-	packing sync.Mutex
-	pack    follow.StateReply // of the last state that was asked for
-
-	mu      sync.Mutex
-	told    map[string]told // by gateway
-	changed chan struct{}   // closed with the ledger's next change
+	machine      *ledger.Machine
+	replica      *replica.Replica
+	roster       *roster.Roster
+	engines      *registry.Table
+	follower     *follow.Follower
+	stopping     atomic.Bool
+	startedAt    time.Time
+	table        atomic.Pointer[catalog.Table] // of the ledger's current catalog
+	savedEngines *disk.Pair                    // copy on disk, read after a restart
+	freshness    freshness
+
+	encodeMu sync.Mutex
+	encoded  follow.StateReply // reply with the state that was encoded last
+
+	mu           sync.Mutex
+	acknowledged map[string]acknowledgement // by gateway
+	changed      chan struct{}              // closed when the ledger changes
 }
 
-// told is up to which number a gateway has confirmed the engines.
-type told struct {
-	number uint64
-	region string
-	until  time.Time // when it counts as silent, if it asks no more
+// acknowledgement records up to which change number a gateway has received the engines.
+type acknowledgement struct {
+	number  uint64
+	region  string
+	expires time.Time // when the gateway counts as out of touch, unless it calls again
 }
 
-// New opens the ledger's replica and makes a controller.
+// New opens the ledger's replica and returns a controller that isn't running yet.
 func New(deps Deps) (*Controller, error) {
 	raft.RegisterMessages()
 	c := &Controller{
 		Deps: deps, roster: roster.New(deps.Clock), engines: registry.New(deps.Self.Life, deps.Heartbeat, deps.Clock),
-		told: make(map[string]told), changed: make(chan struct{}), began: deps.Clock(),
+		acknowledged: make(map[string]acknowledgement), changed: make(chan struct{}), startedAt: deps.Clock(),
 	}
 	c.table.Store(catalog.NewTable(catalog.Catalog{}))
-	c.recallEngines(deps.Folder)
+	c.restoreEngines(deps.Folder)
 	c.machine = ledger.New(c.ledgerChanged)
 	var err error
 	c.replica, err = replica.Open(replica.Options{
-		ID: deps.Replica, Election: election, Heartbeat: heartbeat, NoLease: true, Folder: deps.Folder, Machine: c.machine,
-		Send: deps.Send, Clock: deps.Clock, SnapshotEvery: snapshotEvery, Log: deps.Log, Seed: deps.Seed,
+		ID: deps.Replica, Election: electionTimeout, Heartbeat: heartbeatInterval, NoLease: true, Folder: deps.Folder, Machine: c.machine,
+		Send: deps.Send, Clock: deps.Clock, SnapshotEvery: snapshotInterval, Log: deps.Log, Seed: deps.Seed,
 	})
 	if err != nil {
 		return nil, errors.Annotate(err, "ledger")
@@ -150,30 +151,31 @@
 	return c, nil
 }
 
-// Follower gives what follows the other control hosts.
+// Follower returns the follower of the other control hosts.
 func (c *Controller) Follower() *follow.Follower { return c.follower }
 
-// self gives what this host tells of itself.
+// self returns this host's own roster entry.
 func (c *Controller) self() roster.Host {
 	h := c.Self
 	h.Replica, h.Stopping = string(c.Replica), c.stopping.Load()
 	return h
 }
 
-// Run runs the duties until ctx ends.
+// Run runs the control role until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(c.replica.Run)
 	group.Go(c.follower.Run)
-	group.Go(voters.New(c.replica, c.spares, voters.Policy{Wanted: c.Voters, LostAfter: voterSilence, Standby: true}, c.Log).Run)
-	group.Go(c.tidy)
-	group.Go(c.noteEngines)
-	group.Go(c.keepSure)
+	group.Go(voters.New(c.replica, c.spares, voters.Policy{Wanted: c.Voters, LostAfter: voterTimeout, Standby: true}, c.Log).Run)
+	group.Go(c.expireHostsAndEngines)
+	group.Go(c.saveEngines)
+	group.Go(c.confirmPeriodically)
 	c.roster.Hear(c.self())
 	return group.Wait()
 }
 
-// Stop prepares the end of the process: another host leads from now on.
+// Stop marks this host as stopping. If it leads the ledger's log, it transfers the
+// leadership to an up-to-date voter.
 func (c *Controller) Stop() {
 	c.stopping.Store(true)
 	status := c.replica.Status()
@@ -191,13 +193,13 @@
 	}
 }
 
-// Members gives who votes in the ledger's log, as known here.
+// Members returns the members of the ledger's log, as known here.
 func (c *Controller) Members() raft.Membership { return c.replica.Status().Members }
 
 // Leads reports whether this host leads the ledger's log.
 func (c *Controller) Leads() bool { return c.replica.Status().Role == raft.Leader }
 
-// spares lists the control hosts that could vote.
+// spares lists the control hosts that could become voters.
 func (c *Controller) spares() []voters.Spare {
 	hosts := c.roster.Hosts(roster.RoleControl)
 	var out []voters.Spare
@@ -209,27 +211,29 @@
 	return out
 }
 
-// ledgerChanged is called by the replica with each new state.
+// ledgerChanged is called by the ledger with each new state.
 func (c *Controller) ledgerChanged(s ledger.State) {
 	c.table.Store(catalog.NewTable(s.Catalog))
-	c.announce()
+	c.notifyChanged()
 	c.Log.Info("ledger applied", zap.Uint64("index", s.Index), zap.Int64("version", s.Catalog.Version), zap.Strings("evacuated", s.Evacuated))
 }
 
-// announce wakes those who wait for news of the ledger.
-func (c *Controller) announce() {
+// notifyChanged wakes the Sync calls that wait for a change of the ledger, or for the
+// first confirmation of its state.
+func (c *Controller) notifyChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// tidy is the duty that notices who has fallen silent.
-func (c *Controller) tidy(ctx context.Context) error {
-	duty.Every(ctx, tidyEvery, func() {
+// expireHostsAndEngines periodically removes hosts that have timed out from the roster,
+// and marks engines without recent heartbeats as silent.
+func (c *Controller) expireHostsAndEngines(ctx context.Context) error {
+	duty.Every(ctx, expiryInterval, func() {
 		c.roster.Hear(c.self())
-		for _, h := range c.roster.Expire(hostSilence) {
-			c.Log.Warn("host silent", zap.String("host", h.Name), zap.String("role", string(h.Role)), zap.Duration("silent_for", c.Clock().Sub(h.Heard)))
+		for _, h := range c.roster.Expire(hostTimeout) {
+			c.Log.Warn("host timed out, removed from the roster", zap.String("host", h.Name), zap.String("role", string(h.Role)), zap.Duration("silent_for", c.Clock().Sub(h.Heard)))
 		}
 		for _, e := range c.engines.Expire() {
 			c.Log.Warn("engine silent", zap.String("engine", e.ID), zap.String("service", e.Service), zap.String("address", e.Address), zap.Int64("sequence", e.Sequence), zap.Duration("silent_for", c.Clock().Sub(e.Heard)))
@@ -238,6 +242,6 @@
 	return nil
 }
 
-// PeerOf gives the address of net/rpc of the host that a replica runs on: its
-// identity begins with it.
+// PeerOf returns the net/rpc address of the host that a replica runs on: its ID begins
+// with it.
 func PeerOf(id raft.ID) string { return voters.HostOf(id) }
--- a/controller/entries.go
+++ b/controller/entries.go
@@ -1,4 +1,4 @@
-// This file defines which gateways callers are sent to.
+// This file chooses the gateways that callers are directed to.
 
 package controller
 
@@ -11,13 +11,13 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// rosterSettles is how long a control host that has just started leaves callers
-// of other regions to the others: hosts of its own region are heard at once, those
-// of others only a round trip and a question later.
-const rosterSettles = time.Second
+// rosterSettleTime is how long after its start a control host names no gateways to
+// callers of other regions. Hosts of its own region call it at once, those of other
+// regions only after a round trip and a Sync call.
+const rosterSettleTime = time.Second
 
-// Entries gives the gateways that a caller in a data centre should use for a
-// host name, or none where this control host can't tell yet.
+// Entries returns the addresses of the gateways that a caller in a data centre should use
+// for a host name, or none if this control host doesn't know enough gateways yet.
 func (c *Controller) Entries(name, region, dataCentre string) []string {
 	gateways := c.roster.Hosts(roster.RoleGateway)
 	homes := c.table.Load().Homes(name)
@@ -25,49 +25,49 @@
 	if why == SameDataCentre || why == SameRegion {
 		return chosen
 	}
-	if c.Clock().Sub(c.began) < rosterSettles {
+	if c.Clock().Sub(c.startedAt) < rosterSettleTime {
 		chosen = nil
 	}
-	c.Log.Info("far gateways named", zap.String("name", name), zap.String("for_region", region), zap.Stringer("why", why), zap.Int("gateways", len(chosen)))
+	c.Log.Info("caller directed to gateways outside its region", zap.String("name", name), zap.String("for_region", region), zap.Stringer("why", why), zap.Int("gateways", len(chosen)))
 	return chosen
 }
 
-// Proximity says why gateways were chosen for a caller.
+// Proximity is why gateways were chosen for a caller.
 type Proximity uint8
 
-// The reasons, the best first.
+// From the closest to the most distant.
 const (
-	SameDataCentre Proximity = iota // they stand in the caller's data centre
-	SameRegion                      // they stand in the caller's region
-	HomeRegion                      // requests bound to regions may run there
-	AnyGateway                      // any is better than none
+	SameDataCentre Proximity = iota // in the caller's data centre
+	SameRegion                      // in the caller's region
+	HomeRegion                      // in a region where most of the bound routes may run
+	AnyGateway                      // anywhere
 )
 
-// String gives the word used in logs.
-func (n Proximity) String() string {
-	return [...]string{"data_centre", "region", "home", "none"}[n]
+// String returns the word used in logs.
+func (p Proximity) String() string {
+	return [...]string{"data_centre", "region", "home", "none"}[p]
 }
 
-// ChooseGateways gives the addresses of the gateways for a caller: those of its data
-// centre, else those of its region, else those of the regions where most of the
-// host name's bound routes may run, else all. homes counts these routes by
-// region. Gateways that are stopping aren't named.
+// ChooseGateways returns the addresses of the gateways for a caller: those in its data
+// centre, else those in its region, else those in the regions where most of the host
+// name's bound routes may run, else all. homes counts the bound routes by region.
+// Gateways that are stopping are left out.
 func ChooseGateways(gateways []roster.Host, homes map[string]int, region, dataCentre string) ([]string, Proximity) {
-	takes := slices.DeleteFunc(slices.Clone(gateways), func(h roster.Host) bool { return h.Stopping || h.Callers == "" })
+	eligible := slices.DeleteFunc(slices.Clone(gateways), func(h roster.Host) bool { return h.Stopping || h.Callers == "" })
 	most := 0
-	for _, h := range takes {
+	for _, h := range eligible {
 		most = max(most, homes[h.Region])
 	}
-	choices := [...]func(roster.Host) bool{
+	preferences := [...]func(roster.Host) bool{
 		SameDataCentre: func(h roster.Host) bool { return h.DataCentre == dataCentre },
 		SameRegion:     func(h roster.Host) bool { return h.Region == region },
 		HomeRegion:     func(h roster.Host) bool { return most > 0 && homes[h.Region] == most },
 		AnyGateway:     func(roster.Host) bool { return true },
 	}
-	for why, choice := range choices {
+	for why, matches := range preferences {
 		var out []string
-		for _, h := range takes {
-			if choice(h) {
+		for _, h := range eligible {
+			if matches(h) {
 				out = append(out, h.Callers)
 			}
 		}
--- a/controller/hosts_test.go
+++ b/controller/hosts_test.go
@@ -26,86 +26,86 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// regions of every test: a data centre each.
+// regions maps each data centre to its region.
 var regions = map[string]string{"a": "lagos", "b": "abuja", "c": "kano"}
 
-// network lets a test cut hosts off from each other. Hosts are known by the IP
-// number that they listen on and dial from.
+// network partitions hosts from each other. Hosts are identified by the IP address that
+// they listen on and dial from.
 type network struct {
-	mu    sync.Mutex
-	cut   map[string]bool
-	conns map[net.Conn][2]string
-	held  map[string]bool // hosts whose packets arrive only later
-	late  []func()        // what is to arrive then
+	mu       sync.Mutex
+	isolated map[string]bool
+	conns    map[net.Conn][2]string
+	delayed  map[string]bool // hosts whose packets are delayed
+	pending  []func()        // the delayed packets
 }
 
 func newNetwork() *network {
-	return &network{cut: make(map[string]bool), conns: make(map[net.Conn][2]string), held: make(map[string]bool)}
+	return &network{isolated: make(map[string]bool), conns: make(map[net.Conn][2]string), delayed: make(map[string]bool)}
 }
 
-// isolate cuts a host off from all others, or joins it again.
-func (n *network) isolate(ip string, cut bool) {
+// isolate partitions a host from all others, or ends the partition.
+func (n *network) isolate(ip string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[ip] = cut
+	n.isolated[ip] = isolated
 	for conn, ends := range n.conns {
-		if cut && (ends[0] == ip || ends[1] == ip) {
+		if isolated && (ends[0] == ip || ends[1] == ip) {
 			conn.Close()
 			delete(n.conns, conn)
 		}
 	}
 }
 
-// hold lets what a host sends on its connections arrive only once it is released, also after
-// the connection was closed: the kernel goes on sending.
-func (n *network) hold(ip string) {
+// delayPackets delays what a host sends until deliverDelayed, even if the connection is
+// closed meanwhile: the kernel goes on sending.
+func (n *network) delayPackets(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held[ip] = true
+	n.delayed[ip] = true
 }
 
-func (n *network) release(ip string) {
+func (n *network) deliverDelayed(ip string) {
 	n.mu.Lock()
-	late := n.late
-	n.held[ip], n.late = false, nil
+	pending := n.pending
+	n.delayed[ip], n.pending = false, nil
 	n.mu.Unlock()
-	for _, arrive := range late {
-		arrive()
+	for _, deliver := range pending {
+		deliver()
 	}
 }
 
-// unless runs do now, or at the release of a host that is held.
-func (n *network) unless(ip string, do func()) {
+// send runs deliver now, or in deliverDelayed if the host's packets are delayed.
+func (n *network) send(ip string, deliver func()) {
 	n.mu.Lock()
-	held := n.held[ip]
-	if held {
-		n.late = append(n.late, do)
+	delayed := n.delayed[ip]
+	if delayed {
+		n.pending = append(n.pending, deliver)
 	}
 	n.mu.Unlock()
-	if !held {
-		do()
+	if !delayed {
+		deliver()
 	}
 }
 
-// lateConn is a connection of a host that may be held.
-type lateConn struct {
+// delayedConn is a connection of a host whose packets may be delayed.
+type delayedConn struct {
 	net.Conn
 	network *network
 	ip      string
 }
 
-func (c *lateConn) Write(data []byte) (int, error) {
+func (c *delayedConn) Write(data []byte) (int, error) {
 	data = slices.Clone(data)
-	c.network.unless(c.ip, func() { _, _ = c.Conn.Write(data) }) // a broken connection is seen by reads
+	c.network.send(c.ip, func() { _, _ = c.Conn.Write(data) }) // reads detect a broken connection
 	return len(data), nil
 }
 
-func (c *lateConn) Close() error {
-	c.network.unless(c.ip, func() { c.Conn.Close() })
+func (c *delayedConn) Close() error {
+	c.network.send(c.ip, func() { c.Conn.Close() })
 	return nil
 }
 
-// dialer dials from a host.
+// dialer dials from one host.
 type dialer struct {
 	network *network
 	ip      string
@@ -117,10 +117,10 @@
 		return nil, err
 	}
 	d.network.mu.Lock()
-	cut := d.network.cut[d.ip] || d.network.cut[to]
+	isolated := d.network.isolated[d.ip] || d.network.isolated[to]
 	d.network.mu.Unlock()
-	if cut {
-		return nil, errors.New("cut off")
+	if isolated {
+		return nil, errors.New("host is isolated")
 	}
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, kind, address)
 	if err != nil {
@@ -129,21 +129,21 @@
 	d.network.mu.Lock()
 	defer d.network.mu.Unlock()
 	d.network.conns[conn] = [2]string{d.ip, to}
-	return &lateConn{conn, d.network, d.ip}, nil
+	return &delayedConn{conn, d.network, d.ip}, nil
 }
 
-// host is one control host that can be stopped and started.
+// host is a control host that can be stopped and restarted.
 type host struct {
-	t       *testing.T
-	network *network
-	ip      string
-	centre  string
-	seeds   []string
-	folder  *disk.Memory
-	life    int
-	gather  time.Duration
-	told    time.Duration
-	log     *zap.Logger
+	t            *testing.T
+	network      *network
+	ip           string
+	dataCentre   string
+	seeds        []string
+	folder       *disk.Memory
+	incarnation  int
+	gatherTime   time.Duration
+	drainTimeout time.Duration
+	log          *zap.Logger
 
 	id     raft.ID
 	c      *controller.Controller
@@ -151,7 +151,7 @@
 	group  *pool.Pool
 }
 
-// claimNetwork gives a test loopback addresses of its own.
+// claimNetwork reserves loopback addresses for a test.
 func claimNetwork(t *testing.T) *loopback.Network {
 	t.Helper()
 	network, err := loopback.Claim()
@@ -174,7 +174,7 @@
 	}
 	var hosts []*host
 	for i, centre := range []string{"a", "b", "c"} {
-		h := &host{t: t, network: n, ip: addresses.IP(i + 1), centre: centre, seeds: seeds, folder: disk.NewMemory(), gather: controller.GatherTime, told: patience, log: zap.NewNop()}
+		h := &host{t: t, network: n, ip: addresses.IP(i + 1), dataCentre: centre, seeds: seeds, folder: disk.NewMemory(), gatherTime: controller.GatherTime, drainTimeout: stepTimeout, log: zap.NewNop()}
 		h.id = raft.ID(peer(h.ip) + "#1")
 		var voters []raft.ID
 		for _, seed := range seeds {
@@ -189,20 +189,20 @@
 
 func (h *host) start() {
 	h.t.Helper()
-	h.life++
+	h.incarnation++
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.group = cancel, pool.New()
 	sender := wire.NewSender[raft.Envelope](dialer{h.network, h.ip}, follow.Service+".Deliver")
 	var err error
 	h.c, err = controller.New(controller.Deps{
 		Self: roster.Host{
-			Name: h.ip, Role: roster.RoleControl, Region: regions[h.centre], DataCentre: h.centre,
-			Life: fmt.Sprintf("%s-%d", h.ip, h.life), Peer: peer(h.ip), Operators: h.ip + ":1",
+			Name: h.ip, Role: roster.RoleControl, Region: regions[h.dataCentre], DataCentre: h.dataCentre,
+			Life: fmt.Sprintf("%s-%d", h.ip, h.incarnation), Peer: peer(h.ip), Operators: h.ip + ":1",
 		},
-		Replica: h.id, Folder: h.folder, Voters: 3, Regions: regions, Heartbeat: 300 * time.Millisecond, Gather: h.gather, Told: h.told,
+		Replica: h.id, Folder: h.folder, Voters: 3, Regions: regions, Heartbeat: 300 * time.Millisecond, Gather: h.gatherTime, Told: h.drainTimeout,
 		Seeds: func() []string { return h.seeds }, Calls: wire.NewClient(dialer{h.network, h.ip}), Commands: wire.NewClient(dialer{h.network, h.ip}),
 		Send: func(e raft.Envelope) { sender.Post(controller.PeerOf(e.To), e) },
-		Log:  h.log, Clock: time.Now, Steady: steady.Now, Strict: true, Seed: uint64(h.life),
+		Log:  h.log, Clock: time.Now, Steady: steady.Now, Strict: true, Seed: uint64(h.incarnation),
 	})
 	must.NoError(h.t, err)
 	server := wire.NewServer()
@@ -215,7 +215,7 @@
 	h.t.Cleanup(h.stop)
 }
 
-// stop ends the host as a kill does.
+// stop ends the host like a kill.
 func (h *host) stop() {
 	if h.cancel != nil {
 		h.cancel()
@@ -224,51 +224,51 @@
 	}
 }
 
-// losePower ends the host; what was not synced is gone.
+// losePower stops the host, and drops what wasn't synced to its disk.
 func (h *host) losePower() {
 	h.stop()
 	h.folder.Crash(0)
 }
 
-// loseDisk ends the host and its folder; it comes back under a new identity.
+// loseDisk stops the host and wipes its disk; it restarts under a new identity.
 func (h *host) loseDisk() {
 	h.stop()
 	h.folder.Lose()
-	h.id = raft.ID(fmt.Sprintf("%s#new%d", peer(h.ip), h.life))
+	h.id = raft.ID(fmt.Sprintf("%s#new%d", peer(h.ip), h.incarnation))
 }
 
-// within tries until it holds, for so long.
-func within(t *testing.T, limit time.Duration, what string, holds func() bool) {
+// eventually waits until the condition is true, and fails the test after the limit.
+func eventually(t *testing.T, limit time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
 	t.Fatalf("%s: not within %v", what, limit)
 }
 
-// patience is far more than any step takes: the tests assert no time.
-const patience = 30 * time.Second
+// stepTimeout is far more than any step takes: the tests assert no time.
+const stepTimeout = 30 * time.Second
 
-func version(v int64) (catalog.Catalog, []byte) {
+func testCatalog(v int64) (catalog.Catalog, []byte) {
 	return catalog.Catalog{Version: v}, []byte(fmt.Sprintf("source of %d", v))
 }
 
-// put puts a version at a host until it is accepted.
-func put(t *testing.T, h *host, v int64) {
+// putCatalog puts a version on a host, and retries until it is accepted.
+func putCatalog(t *testing.T, h *host, v int64) {
 	t.Helper()
-	within(t, patience, fmt.Sprintf("version %d accepted", v), func() bool {
-		c, source := version(v)
+	eventually(t, stepTimeout, fmt.Sprintf("version %d accepted", v), func() bool {
+		c, source := testCatalog(v)
 		_, err := h.c.Put(context.Background(), c, source)
 		return err == nil
 	})
 }
 
-// reads reads at a host until it answers, and expects the version.
-func reads(t *testing.T, h *host, v int64) {
+// expectRead reads from a host until it answers, and checks the version.
+func expectRead(t *testing.T, h *host, v int64) {
 	t.Helper()
-	within(t, patience, "a read answered", func() bool {
+	eventually(t, stepTimeout, "a read answered", func() bool {
 		state, err := h.c.Read(context.Background())
 		if err != nil {
 			return false
--- a/controller/remember.go
+++ b/controller/remember.go
@@ -1,4 +1,4 @@
-// This file defines how a control host remembers engines over a restart.
+// This file keeps the known engines on disk across restarts.
 
 package controller
 
@@ -15,52 +15,50 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Engines are soft state: their heartbeats tell all there is. But after the loss
-// of all control hosts at once, heartbeats take seconds to come in, and until
-// then gateways would know no engines. So each control host notes on disk, after
-// the fact, which engines it knows. A note may be old or lost: an engine that has
-// ended since falls silent like any other, and one that has changed says so with
-// its next heartbeat, whose sequence is higher.
+// Engines are soft state that heartbeats rebuild. But after all control hosts have been
+// lost at once, heartbeats take seconds to arrive, and until then gateways would know no
+// engines. So each control host periodically saves the engines it knows to disk. A saved
+// copy may be stale or lost: an engine that has stopped meanwhile times out like any
+// other, and one that has changed sends a heartbeat with a higher sequence number.
 const (
-	noteName = "engines"
-	// notePause bounds how often the engines are noted.
-	notePause = 500 * time.Millisecond
+	savedEnginesName = "engines"
+	// saveInterval is the minimum time between two saves.
+	saveInterval = 500 * time.Millisecond
 )
 
-// recallEngines takes the engines that were noted before the start into the
-// registry.
-func (c *Controller) recallEngines(folder disk.Folder) {
-	pair, data := disk.OpenPair(folder, noteName)
-	c.notes = pair
+// restoreEngines adds the engines saved before the restart to the registry.
+func (c *Controller) restoreEngines(folder disk.Folder) {
+	pair, data := disk.OpenPair(folder, savedEnginesName)
+	c.savedEngines = pair
 	if data == nil {
 		return
 	}
-	var noted []follow.EngineNews
-	if err := ledger.Unpack(data, &noted); err != nil {
-		c.Log.Warn("noted engines can't be read", telemetry.Cause(err))
+	var saved []follow.EngineNews
+	if err := ledger.Unpack(data, &saved); err != nil {
+		c.Log.Warn("saved engines are unreadable, starting without them", telemetry.Cause(err))
 		return
 	}
-	engines := make([]registry.Engine, len(noted))
-	for i, n := range noted {
-		engines[i] = n.Local(c.Clock())
+	engines := make([]registry.Engine, len(saved))
+	for i, update := range saved {
+		engines[i] = update.Local(c.Clock())
 	}
 	c.engines.Recall(engines)
-	c.Log.Info("engines recalled", zap.Int("engines", len(engines)))
+	c.Log.Info("saved engines restored", zap.Int("engines", len(engines)))
 }
 
-// noteEngines is the duty that notes the engines when they have changed.
-func (c *Controller) noteEngines(ctx context.Context) error {
-	noted := uint64(0)
+// saveEngines saves the engines whenever they have changed, until ctx ends.
+func (c *Controller) saveEngines(ctx context.Context) error {
+	saved := uint64(0)
 	for {
 		changed := c.engines.Changed()
-		if number := c.engines.Number(); number != noted {
-			noted = number
-			c.noteOnce()
+		if number := c.engines.Number(); number != saved {
+			saved = number
+			c.saveOnce()
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(notePause):
+		case <-time.After(saveInterval):
 		}
 		select {
 		case <-ctx.Done():
@@ -70,12 +68,12 @@
 	}
 }
 
-func (c *Controller) noteOnce() {
+func (c *Controller) saveOnce() {
 	data, err := ledger.Pack(follow.NewsOf(c.engines.All(), c.Clock()))
 	if err == nil {
-		err = c.notes.Write(data)
+		err = c.savedEngines.Write(data)
 	}
 	if err != nil {
-		c.Log.Warn("engines not noted", telemetry.Cause(err))
+		c.Log.Warn("saving engines failed", telemetry.Cause(err))
 	}
 }
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -21,50 +21,52 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// talk is one host's standing questions to a control host, whose bytes are counted as
-// net/rpc writes them.
-type talk struct {
-	self    roster.Host
-	brief   bool
-	known   follow.SyncReply
-	told    bool
-	buffer  bytes.Buffer
-	encoder *gob.Encoder
-	bytes   int
+// session makes the Sync calls of one host to a control host, and counts their bytes as
+// net/rpc encodes them.
+type session struct {
+	self       roster.Host
+	brief      bool
+	last       follow.SyncReply
+	introduced bool
+	buffer     bytes.Buffer
+	encoder    *gob.Encoder
+	bytes      int
 }
 
-func newTalk(self roster.Host, brief bool) *talk {
-	t := &talk{self: self, brief: brief}
-	t.encoder = gob.NewEncoder(&t.buffer)
-	return t
+func newSession(self roster.Host, brief bool) *session {
+	s := &session{self: self, brief: brief}
+	s.encoder = gob.NewEncoder(&s.buffer)
+	return s
 }
 
-// ask asks once, without waiting.
-func (t *talk) ask(s *controller.Service) error {
+// sync makes one call that doesn't wait.
+func (s *session) sync(service *controller.Service) error {
 	args := follow.SyncArgs{
-		Self: t.self, Life: t.known.Life, Engines: t.known.Number, Roster: t.known.Roster, Brief: t.brief, Index: math.MaxUint64, Sure: true,
+		Self: s.self, Life: s.last.Life, Engines: s.last.Number, Roster: s.last.Roster, Brief: s.brief, Index: math.MaxUint64, Sure: true,
 	}
-	if t.told {
-		args.Self, args.Known = roster.Host{Name: t.self.Name, Life: t.self.Life}, true
+	if s.introduced {
+		args.Self, args.Known = roster.Host{Name: s.self.Name, Life: s.self.Life}, true
 	}
 	var reply follow.SyncReply
-	if err := s.Sync(args, &reply); err != nil {
+	if err := service.Sync(args, &reply); err != nil {
 		return err
 	}
-	t.told, t.known = true, reply
+	s.introduced, s.last = true, reply
 	for _, value := range []any{args, reply} {
-		if err := t.encoder.Encode(value); err != nil {
+		if err := s.encoder.Encode(value); err != nil {
 			return err
 		}
 	}
-	t.bytes += t.buffer.Len()
-	t.buffer.Reset()
+	s.bytes += s.buffer.Len()
+	s.buffer.Reset()
 	return nil
 }
 
-// scaled is a control host of a system of so many gateways in three regions, and ten times
-// as many engines, of which it hears a sixth; near tells it to gateways of its data centre.
-func scaled(t *testing.T, gateways int) (service *controller.Service, near, far []*talk) {
+// newScaledSystem returns a control host in a system with that many gateways in three
+// regions and ten times as many engines, a sixth of which send their heartbeats to it.
+// full are the sessions of the gateways in its data centre, which are sent engines and
+// hosts; brief are those of the others, which make brief calls.
+func newScaledSystem(t *testing.T, gateways int) (service *controller.Service, full, brief []*session) {
 	t.Helper()
 	c, err := controller.New(controller.Deps{
 		Self: roster.Host{Name: "control", Role: roster.RoleControl, Region: "lagos", DataCentre: "a", Life: "life", Peer: "127.0.0.1:1"}, Replica: raft.ID("127.0.0.1:1#1"),
@@ -80,57 +82,57 @@
 	}
 	for i := range gateways {
 		centre := []string{"a", "b", "c"}[i%3]
-		one := newTalk(roster.Host{
+		gateway := newSession(roster.Host{
 			Name: fmt.Sprintf("front-hall-%d", i), Role: roster.RoleGateway, Region: regions[centre], DataCentre: centre, Life: fmt.Sprintf("life-%08d", i),
 			Peer: fmt.Sprintf("10.1.0.%d:7660", i), Callers: fmt.Sprintf("10.1.0.%d:8144", i), Handover: fmt.Sprintf("10.1.0.%d:7661", i),
 		}, centre != "a")
-		if one.brief {
-			far = append(far, one)
+		if gateway.brief {
+			brief = append(brief, gateway)
 		} else {
-			near = append(near, one)
+			full = append(full, gateway)
 		}
 	}
-	for range 20 { // some ten seconds
-		for _, one := range slices.Concat(near, far) {
-			must.NoError(t, one.ask(service))
+	for range 20 { // about ten seconds of calls
+		for _, gateway := range slices.Concat(full, brief) {
+			must.NoError(t, gateway.sync(service))
 		}
 	}
-	return service, near, far
+	return service, full, brief
 }
 
-// TestWhatIsToldGrowsWithHostsAlone counts the bytes between a control host and gateways,
-// with 30, 100 and 300 of these and ten times the engines: a gateway that asks briefly
-// takes the same at any size, and one that is told of all takes no more than in
-// proportion.
-func TestWhatIsToldGrowsWithHostsAlone(t *testing.T) {
-	most := func(talks []*talk) int {
+// TestSyncTrafficGrowsLinearly guards against traffic that grows faster than the system,
+// with 30, 100 and 300 gateways and ten times as many engines. A gateway that makes brief
+// calls must use the same number of bytes at any size, one that makes full calls at most
+// a proportional number.
+func TestSyncTrafficGrowsLinearly(t *testing.T) {
+	most := func(sessions []*session) int {
 		highest := 0
-		for _, one := range talks {
-			highest = max(highest, one.bytes)
+		for _, s := range sessions {
+			highest = max(highest, s.bytes)
 		}
 		return highest
 	}
-	far, near := map[int]int{}, map[int]int{}
+	briefBytes, fullBytes := map[int]int{}, map[int]int{}
 	for _, n := range []int{30, 100, 300} {
-		_, nearTalks, farTalks := scaled(t, n)
-		near[n], far[n] = most(nearTalks), most(farTalks)
-		t.Logf("%d gateways: %d bytes to one that is told of all, %d to one that asks briefly", n, near[n], far[n])
+		_, fullSessions, briefSessions := newScaledSystem(t, n)
+		fullBytes[n], briefBytes[n] = most(fullSessions), most(briefSessions)
+		t.Logf("%d gateways: %d bytes for one that makes full calls, %d for one that makes brief calls", n, fullBytes[n], briefBytes[n])
 	}
-	must.LessEq(t, far[30]*11/10, far[300])
-	power := math.Log(float64(near[300])/float64(near[100])) / math.Log(3)
-	must.LessEq(t, 1.1, power, must.Sprint("the power by which one gateway's bytes grow"))
+	must.LessEq(t, briefBytes[30]*11/10, briefBytes[300])
+	exponent := math.Log(float64(fullBytes[300])/float64(fullBytes[100])) / math.Log(3)
+	must.LessEq(t, 1.1, exponent, must.Sprint("exponent of the growth of one gateway's bytes"))
 }
 
-// TestControlHostsAreToldOfEachOther asks as another control host does: it is told of
-// control hosts, and of no gateway, each of which tells it of itself.
-func TestControlHostsAreToldOfEachOther(t *testing.T) {
-	service, _, _ := scaled(t, 30)
+// TestControlHostsReceiveOnlyControlHosts guards against control hosts that forward
+// gateways to each other, although every gateway calls each of them itself.
+func TestControlHostsReceiveOnlyControlHosts(t *testing.T) {
+	service, _, _ := newScaledSystem(t, 30)
 	for _, name := range []string{"other", "third"} {
-		one := newTalk(roster.Host{Name: name, Role: roster.RoleControl, Region: "kano", DataCentre: "c", Life: name, Peer: "127.0.0.1:2"}, false)
-		must.NoError(t, one.ask(service))
-		for _, h := range one.known.Hosts {
+		s := newSession(roster.Host{Name: name, Role: roster.RoleControl, Region: "kano", DataCentre: "c", Life: name, Peer: "127.0.0.1:2"}, false)
+		must.NoError(t, s.sync(service))
+		for _, h := range s.last.Hosts {
 			must.Eq(t, roster.RoleControl, h.Role, must.Sprint(h.Name))
 		}
-		must.True(t, slices.ContainsFunc(one.known.Hosts, func(h roster.Host) bool { return h.Name == "other" }))
+		must.True(t, slices.ContainsFunc(s.last.Hosts, func(h roster.Host) bool { return h.Name == "other" }))
 	}
 }
--- a/controller/service.go
+++ b/controller/service.go
@@ -1,4 +1,4 @@
-// This file defines what other hosts ask of a control host, by net/rpc.
+// This file defines the net/rpc service that other hosts call on a control host.
 
 package controller
 
@@ -17,16 +17,17 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// Service answers as follow.Service. NewService makes one.
+// Service implements the net/rpc service named follow.Service.
 type Service struct {
-	ctx        context.Context // net/rpc gives its methods none
+	ctx        context.Context // net/rpc passes no context to methods
 	controller *Controller
 }
 
-// NewService makes the receiver; its waits end with ctx.
+// NewService returns the service. Waiting calls end with ctx.
 func NewService(ctx context.Context, c *Controller) *Service { return &Service{ctx, c} }
 
-// Sync hears a host and answers when something is new for it.
+// Sync records the calling host in the roster, and responds when there is a change that
+// the caller doesn't have, or after the wait it asks for.
 func (s *Service) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
 	c := s.controller
 	received := c.Steady()
@@ -37,18 +38,18 @@
 			return nil
 		}
 	}
-	if c.roster.HearFor(args.Self, patience(wait)) {
-		c.Log.Info("host heard", zap.String("host", args.Self.Name), zap.String("role", string(args.Self.Role)), zap.String("life", args.Self.Life), zap.String("replica", args.Self.Replica))
+	if c.roster.HearFor(args.Self, timeoutFor(wait)) {
+		c.Log.Info("host joined or restarted", zap.String("host", args.Self.Name), zap.String("role", string(args.Self.Role)), zap.String("life", args.Self.Life), zap.String("replica", args.Self.Replica))
 	}
 	if args.Life != c.Self.Life {
 		args.Engines, args.Roster = 0, 0
 	}
-	c.noteTold(args)
-	until := time.Now().Add(wait)
+	c.recordAcknowledgement(args)
+	deadline := time.Now().Add(wait)
 	gathered := args.Wait == 0
 	for {
-		news := c.news(args.Brief)
-		*reply = c.sync(args, received)
+		changes := c.changes(args.Brief)
+		*reply = c.buildReply(args, received)
 		switch {
 		case reply.News(args) && (gathered || reply.Urgent(args)):
 			return nil
@@ -60,53 +61,54 @@
 		select {
 		case <-s.ctx.Done():
 			return nil
-		case <-time.After(time.Until(until)):
-			c.roster.HearFor(args.Self, patience(wait))
+		case <-time.After(time.Until(deadline)):
+			c.roster.HearFor(args.Self, timeoutFor(wait))
 			return nil
-		case <-news.roster:
-		case <-news.engines:
-		case <-news.ledger:
+		case <-changes.roster:
+		case <-changes.engines:
+		case <-changes.ledger:
 		}
 	}
 }
 
-// patience gives how long a host that lets its questions stand for so long may be
-// silent: it may just have lost one.
-func patience(wait time.Duration) time.Duration { return max(hostSilence, wait+hostSlack) }
+// timeoutFor returns the roster timeout of a host whose Sync calls wait that long. It
+// allows for the loss of one call.
+func timeoutFor(wait time.Duration) time.Duration { return max(hostTimeout, wait+hostTimeoutSlack) }
 
-// news are channels that are closed with the next change of each kind.
-type news struct{ roster, engines, ledger <-chan struct{} }
+// changeChannels are channels that are closed at the next change of each kind.
+type changeChannels struct{ roster, engines, ledger <-chan struct{} }
 
-// news gives the channels that a question waits for; one that is brief only for the
-// ledger's.
-func (c *Controller) news(brief bool) news {
+// changes returns the channels that a Sync call waits for; a brief one waits for the
+// ledger only.
+func (c *Controller) changes(brief bool) changeChannels {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if brief {
-		return news{ledger: c.changed}
+		return changeChannels{ledger: c.changed}
 	}
-	return news{c.roster.Changed(), c.engines.Changed(), c.changed}
+	return changeChannels{c.roster.Changed(), c.engines.Changed(), c.changed}
 }
 
-// noteTold notes what a host has confirmed by asking for more. Gateways of other
-// regions that ask briefly are told of engines by the control hosts there.
-func (c *Controller) noteTold(args follow.SyncArgs) {
+// recordAcknowledgement records up to which change a gateway has received the engines, as
+// its Sync call says. Gateways that make brief calls are in other regions, and receive
+// engines from the control hosts there.
+func (c *Controller) recordAcknowledgement(args follow.SyncArgs) {
 	if args.Brief || args.Self.Role != roster.RoleGateway {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if args.Self.Stopping {
-		delete(c.told, args.Self.Name)
+		delete(c.acknowledged, args.Self.Name)
 		return
 	}
-	c.told[args.Self.Name] = told{args.Engines, args.Self.Region, c.Clock().Add(patience(args.Wait))}
+	c.acknowledged[args.Self.Name] = acknowledgement{args.Engines, args.Self.Region, c.Clock().Add(timeoutFor(args.Wait))}
 }
 
-// sync gives what is new for the caller.
-func (c *Controller) sync(args follow.SyncArgs, received time.Duration) follow.SyncReply {
+// buildReply returns what has changed for the caller.
+func (c *Controller) buildReply(args follow.SyncArgs, received time.Duration) follow.SyncReply {
 	now := c.Clock()
-	reply := follow.SyncReply{Life: c.Self.Life, Index: c.machine.State().Index, Sure: c.sure.tell(received, c.Steady())}
+	reply := follow.SyncReply{Life: c.Self.Life, Index: c.machine.State().Index, Sure: c.freshness.report(received, c.Steady())}
 	if args.Life != c.Self.Life {
 		reply.Self = c.self()
 	}
@@ -116,23 +118,26 @@
 	if args.Self.Role == roster.RoleGateway {
 		reply.Hears = c.follower.Hears(args.Self.Region)
 	}
-	wanted := func(e registry.Engine) bool {
+	relevant := func(e registry.Engine) bool {
 		if args.Self.Role == roster.RoleControl {
-			return e.Source == c.Self.Life // each control host tells of what it heard itself
+			// Each control host reports only the engines that it receives heartbeats
+			// from.
+			return e.Source == c.Self.Life
 		}
 		return e.DataCentre == "" || c.Regions[e.DataCentre] == args.Self.Region
 	}
-	engines, number := c.engines.Since(args.Engines, wanted)
+	engines, number := c.engines.Since(args.Engines, relevant)
 	reply.Engines, reply.Number = follow.NewsOf(engines, now), number
 	for i := range reply.Engines {
 		if reply.Engines[i].Engine.Source == c.Self.Life {
-			reply.Engines[i].Engine.Source = "" // the reply's own: a third of what an engine takes
+			// The reply's Life implies it; it takes a third of an encoded engine.
+			reply.Engines[i].Engine.Source = ""
 		}
 	}
 	reply.Hosts, reply.Gone, reply.Roster = c.roster.Since(args.Roster)
 	if args.Self.Role == roster.RoleControl {
-		// It hears gateways itself; each of thirty pairs of control hosts told each other of
-		// every start and end of 300 of them.
+		// Gateways call every control host themselves. Forwarding them would send each
+		// start and stop of 300 gateways over each of the thirty pairs of control hosts.
 		reply.Hosts = slices.DeleteFunc(reply.Hosts, func(h roster.Host) bool { return h.Role != roster.RoleControl })
 	}
 	for i := range reply.Hosts {
@@ -141,61 +146,61 @@
 	return reply
 }
 
-// Tell takes what another control host has heard of an engine, and answers when the
-// gateways that this one tells know.
+// Tell merges another control host's update of an engine, and returns once the gateways
+// that follow this host have acknowledged it.
 func (s *Service) Tell(args follow.TellArgs, _ *follow.Nothing) error {
-	ctx, cancel := context.WithTimeout(s.ctx, answerTime)
+	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	e := args.Engine.Local(s.controller.Clock())
 	s.controller.engines.Merge([]registry.Engine{e})
-	s.controller.tellHere(ctx, e.ID, e.DataCentre)
+	s.controller.awaitLocalAcknowledgements(ctx, e.ID, e.DataCentre)
 	return nil
 }
 
-// State gives the ledger's state as it has been applied here.
+// State returns the ledger's state as applied here.
 func (s *Service) State(_ follow.StateArgs, reply *follow.StateReply) error {
 	var err error
-	*reply, err = s.controller.packed()
+	*reply, err = s.controller.encodedState()
 	return err
 }
 
-// packed gives the packed state. It is packed once for each change: every host fetches
-// it, and to compress it takes 1 ms.
-func (c *Controller) packed() (follow.StateReply, error) {
-	c.packing.Lock()
-	defer c.packing.Unlock()
+// encodedState returns the encoded state. It encodes each state only once: every host
+// fetches it, and compressing it takes 1 ms.
+func (c *Controller) encodedState() (follow.StateReply, error) {
+	c.encodeMu.Lock()
+	defer c.encodeMu.Unlock()
 	state := c.machine.State()
-	if c.pack.State != nil && c.pack.Index == state.Index {
-		return c.pack, nil
+	if c.encoded.State != nil && c.encoded.Index == state.Index {
+		return c.encoded, nil
 	}
 	data, err := ledger.Pack(state.WithoutSource())
 	if err != nil {
 		return follow.StateReply{}, errors.Trace(err)
 	}
-	c.pack = follow.StateReply{Index: state.Index, State: data}
-	return c.pack, nil
+	c.encoded = follow.StateReply{Index: state.Index, State: data}
+	return c.encoded, nil
 }
 
-// Propose proposes a command, if this host leads.
+// Propose proposes a command. It fails unless this host leads.
 func (s *Service) Propose(args follow.ProposeArgs, reply *ledger.Result) error {
-	ctx, cancel := context.WithTimeout(s.ctx, answerTime)
+	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var err error
 	*reply, err = s.controller.propose(ctx, args.Command)
 	return err
 }
 
-// ReadIndex gives an index up to which everything accepted so far reaches, if
+// ReadIndex returns an index that covers every command accepted so far. It fails unless
 // this host leads.
 func (s *Service) ReadIndex(_ follow.Nothing, reply *follow.ReadReply) error {
-	ctx, cancel := context.WithTimeout(s.ctx, answerTime)
+	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var err error
 	reply.Index, err = s.controller.readIndex(ctx)
 	return errors.Trace(err)
 }
 
-// Deliver takes messages for this host's replica.
+// Deliver passes Raft messages to this host's replica.
 func (s *Service) Deliver(messages follow.Deliveries, _ *follow.Nothing) error {
 	for _, m := range messages {
 		s.controller.replica.Deliver(m)
--- a/controller/surety.go
+++ b/controller/surety.go
@@ -1,4 +1,4 @@
-// This file defines how a control host knows up to when its state of the ledger holds.
+// This file tracks how fresh a control host's state of the ledger is.
 
 package controller
 
@@ -15,65 +15,67 @@
 )
 
 const (
-	// sureEvery is how often a control host makes sure of its state. With a question
-	// that is held for 0.5 s, a gateway's state is sure to hold up to 1.2 s before at
-	// most, which leaves 3 s of a bound of five for the loss of a leader (2.3 s).
-	sureEvery = 400 * time.Millisecond
-	// surePause is the wait after a failure: leaders are found within a second or two.
-	surePause = 100 * time.Millisecond
+	// confirmInterval is how often a control host confirms that its state is current.
+	// Since a Sync call waits for up to 0.5 s, a gateway's state is known to be current
+	// as of at most 1.2 s ago. Of a bound of five seconds that leaves more than 3 s for
+	// the loss of a leader, which takes 2.3 s.
+	confirmInterval = 400 * time.Millisecond
+	// confirmRetryInterval is the wait after a failure; a new leader is found within a
+	// second or two.
+	confirmRetryInterval = 100 * time.Millisecond
 )
 
-// surety holds the newest confirmation.
-type surety struct{ newest atomic.Pointer[confirmed] }
+// freshness holds the latest confirmation.
+type freshness struct{ latest atomic.Pointer[confirmation] }
 
-// confirmed says that the state of an index held everything accepted by a time of the
-// steady clock.
-type confirmed struct {
+// confirmation means that the state at an index included everything accepted up to a time
+// of the steady clock.
+type confirmation struct {
 	index uint64
 	at    time.Duration
 }
 
-// keepSure is the duty that asks the leader again and again whether this host's state
-// is the newest. Where keys needn't be revoked in time, nobody asks.
-func (c *Controller) keepSure(ctx context.Context) error {
+// confirmPeriodically confirms with the leader that this host's state is current, until
+// ctx ends. It does nothing if keys needn't be revoked in time.
+func (c *Controller) confirmPeriodically(ctx context.Context) error {
 	if !c.Strict {
 		return nil
 	}
-	failing := false
+	wasFailing := false
 	for ctx.Err() == nil {
-		err := c.makeSure(ctx)
-		if failed := err != nil; failed != failing {
-			failing = failed
-			c.Log.Info("sure of the ledger", zap.Bool("sure", !failed), telemetry.Cause(err))
+		err := c.confirmOnce(ctx)
+		if failed := err != nil; failed != wasFailing {
+			wasFailing = failed
+			c.Log.Info("ledger freshness changed", zap.Bool("sure", !failed), telemetry.Cause(err))
 		}
-		pause := sureEvery
+		wait := confirmInterval
 		if err != nil {
-			pause = surePause
+			wait = confirmRetryInterval
 		}
-		duty.Pause(ctx, pause)
+		duty.Pause(ctx, wait)
 	}
 	return nil
 }
 
-// makeSure confirms this host's state with a majority of the voters.
-func (c *Controller) makeSure(ctx context.Context) error {
-	asked := c.Steady()
-	if err := c.confirm(ctx); err != nil {
+// confirmOnce confirms this host's state with a majority of the voters.
+func (c *Controller) confirmOnce(ctx context.Context) error {
+	started := c.Steady()
+	if err := c.waitUntilCurrent(ctx); err != nil {
 		return err
 	}
-	first := c.sure.newest.Swap(&confirmed{c.machine.State().Index, asked}) == nil
+	first := c.freshness.latest.Swap(&confirmation{c.machine.State().Index, started}) == nil
 	if first {
-		c.announce()
+		c.notifyChanged()
 	}
 	return nil
 }
 
-// tell gives what the newest confirmation says in terms that hold on any host. received
-// is when the question came in.
-func (s *surety) tell(received, now time.Duration) follow.Surety {
-	newest := s.newest.Load()
-	if newest == nil {
+// report returns the latest confirmation with its times as durations, which are valid on
+// any host. received is when the call arrived.
+func (f *freshness) report(received, now time.Duration) follow.Surety {
+	latest := f.latest.Load()
+	if latest == nil {
 		return follow.Surety{}
 	}
-	return follow.Surety{Known: true, Index: newest.index, Age: now - newest.at, Held: now - received}
+	return follow.Surety{Known: true, Index: latest.index, Age: now - latest.at, Held: now - received}
 }
--- a/pushback/word.go
+++ b/pushback/word.go
@@ -31,13 +31,13 @@
 func (Nothing) signal() {}
 func (Unclear) signal() {}
 
-// String implements Word.
+// String implements fmt.Stringer.
 func (b Rest) String() string { return b.For.String() }
 
-// String implements Word.
+// String implements fmt.Stringer.
 func (Nothing) String() string { return "none" }
 
-// String implements Word.
+// String implements fmt.Stringer.
 func (m Unclear) String() string { return "unclear: " + strconv.Quote(m.Text) }
 
 // LongestRest limits a backoff. After it the server gets a trial request, and can ask for
