--- a/pushback/word_test.go
+++ b/pushback/word_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// ExampleRead parses the response of a server that is at capacity for three seconds.
-func ExampleRead() {
+// Example parses the response of a server that is at capacity for three seconds.
+func Example() {
 	header := http.Header{"Retry-After": {"3"}}
 	fmt.Println(pushback.Read(true, header, noon))
 	// Output: 3s
