--- a/dispatch/accounts.go
+++ b/dispatch/accounts.go
@@ -16,15 +16,15 @@
 func hashAccount(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // ownUsage returns the account usage of this gateway's callers.
-func (d *Dispatcher) ownUsage(now time.Time) []rollup.AccountUse {
+func (d *Dispatcher) ownUsage(now time.Time) []rollup.AccountUsage {
 	if d.Allowances == nil {
 		return nil
 	}
-	var out []rollup.AccountUse
+	var out []rollup.AccountUsage
 	for name, use := range d.Allowances.Uses(now) {
-		out = append(out, rollup.AccountUse{
-			Account: hashAccount(name), Admitted: encodeRate(use.Admitted), Steady: encodeRate(use.Steady), Asked: encodeRate(use.Asked),
-			Window: int(math.Ceil(use.Window)),
+		out = append(out, rollup.AccountUsage{
+			Account: hashAccount(name), AdmittedRate: encodeRate(use.Admitted), SmoothedRate: encodeRate(use.Steady), RequestedRate: encodeRate(use.Asked),
+			WindowTotal: int(math.Ceil(use.Window)),
 		})
 	}
 	return out
@@ -32,19 +32,19 @@
 
 // regionUsage returns the account usage summed over all gateways of the region. The lock
 // is held.
-func (d *Dispatcher) regionUsage(now time.Time) []rollup.AccountUse {
+func (d *Dispatcher) regionUsage(now time.Time) []rollup.AccountUsage {
 	if d.Allowances == nil {
 		return nil
 	}
-	sums := d.aggregator.Others().Accounts
+	sums := d.aggregator.PeerTotals().Accounts
 	for _, own := range d.ownUsage(now) {
 		others := sums[own.Account]
-		sums[own.Account] = rollup.AccountUse{
-			Account: own.Account, Admitted: others.Admitted + own.Admitted, Steady: others.Steady + own.Steady,
-			Asked: others.Asked + own.Asked, Window: others.Window + own.Window,
+		sums[own.Account] = rollup.AccountUsage{
+			Account: own.Account, AdmittedRate: others.AdmittedRate + own.AdmittedRate, SmoothedRate: others.SmoothedRate + own.SmoothedRate,
+			RequestedRate: others.RequestedRate + own.RequestedRate, WindowTotal: others.WindowTotal + own.WindowTotal,
 		}
 	}
-	out := make([]rollup.AccountUse, 0, len(sums))
+	out := make([]rollup.AccountUsage, 0, len(sums))
 	for _, use := range sums {
 		out = append(out, use)
 	}
@@ -53,13 +53,13 @@
 
 // applyLocalUsage passes the usage reported by the region's other gateways to the meter,
 // with the share of the live gateways that the report covers. The lock is held.
-func (d *Dispatcher) applyLocalUsage(others rollup.Others) {
+func (d *Dispatcher) applyLocalUsage(others rollup.PeerTotals) {
 	if d.Allowances == nil {
 		return
 	}
 	coverage := 1.0
-	if others.Alive > others.Gateways {
-		coverage = float64(1+others.Gateways) / float64(1+others.Alive)
+	if others.Listed > others.Reporting {
+		coverage = float64(1+others.Reporting) / float64(1+others.Listed)
 	}
 	uses := make(map[string]allowance.Use, len(others.Accounts))
 	for _, use := range others.Accounts {
@@ -72,7 +72,7 @@
 
 // applyRemoteUsage passes the usage reported by another region to the meter. The lock is
 // held.
-func (d *Dispatcher) applyRemoteUsage(region string, reported []rollup.AccountUse, at time.Time) {
+func (d *Dispatcher) applyRemoteUsage(region string, reported []rollup.AccountUsage, at time.Time) {
 	if d.Allowances == nil {
 		return
 	}
@@ -85,9 +85,9 @@
 	d.Allowances.HearFar(region, uses, at, d.Clock())
 }
 
-func decodeUsage(use rollup.AccountUse) allowance.Use {
+func decodeUsage(use rollup.AccountUsage) allowance.Use {
 	units := func(encoded int) float64 { return float64(max(0, encoded)) / usageScale }
-	return allowance.Use{Admitted: units(use.Admitted), Steady: units(use.Steady), Asked: units(use.Asked), Window: float64(max(0, use.Window))}
+	return allowance.Use{Admitted: units(use.AdmittedRate), Steady: units(use.SmoothedRate), Asked: units(use.RequestedRate), Window: float64(max(0, use.WindowTotal))}
 }
 
 // usageScale is the number of steps per unit in reported usage. With whole units, an
--- a/dispatch/accounts_test.go
+++ b/dispatch/accounts_test.go
@@ -52,7 +52,7 @@
 			}
 		}
 		w.tell()
-		w.pass(rollup.Every)
+		w.pass(rollup.ReportInterval)
 		if step >= 50 {
 			asked += meters[0].Statuses(w.now)[0].Asked / 50
 		}
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -130,7 +130,7 @@
 }
 
 // mergeRemoteCrashes applies the crashes that another region reports. The lock is held.
-func (d *Dispatcher) mergeRemoteCrashes(r rollup.FarWord, now time.Time) {
+func (d *Dispatcher) mergeRemoteCrashes(r rollup.RegionReport, now time.Time) {
 	for _, f := range d.quarantine.HearFar(r.Crashes, now) {
 		d.logQuarantined(f, r.Region)
 	}
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -97,7 +97,7 @@
 	w.gateways = slices.Delete(w.gateways, 39, 40)
 	for range 10 {
 		w.tell()
-		w.pass(rollup.Every)
+		w.pass(rollup.ReportInterval)
 	}
 	for i, g := range w.gateways {
 		must.True(t, refuses(g, poison), must.Sprint("gateway ", w.hosts[i].Name))
@@ -106,7 +106,7 @@
 	w.hosts, w.gateways = hosts, gateways
 	for range 20 {
 		w.tell()
-		w.pass(rollup.Every)
+		w.pass(rollup.ReportInterval)
 	}
 	must.True(t, refuses(cut, poison))
 	good := long("r9", "p")
@@ -152,7 +152,7 @@
 	}
 	largest, far := 0, 0
 	const seconds = 5
-	for range seconds * int(time.Second/rollup.Every) {
+	for range seconds * int(time.Second/rollup.ReportInterval) {
 		for _, g := range w.gateways {
 			for _, out := range g.Tell() {
 				data, err := cbor.Marshal(out.Message)
@@ -164,7 +164,7 @@
 				w.deliver(out)
 			}
 		}
-		w.pass(rollup.Every)
+		w.pass(rollup.ReportInterval)
 	}
 	t.Log("largest message", largest, "bytes; between regions", far/seconds, "bytes a second")
 	must.LessEq(t, 16<<10, largest)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -50,7 +50,7 @@
 	catalog           *catalog.Table
 	pools             map[string]*pool
 	evacuationEnded   map[string]time.Time     // end of the last evacuation of each data centre
-	aggregator        *rollup.Board            // combines the reports of other gateways
+	aggregator        *rollup.Aggregator       // combines the reports of other gateways
 	gateways          gatewayList              // gateways of this region
 	reportingGateways int                      // gateways of this region with a known load
 	isGroupLeader     bool                     // this gateway aggregates the reports of its group
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -35,28 +35,28 @@
 
 // report returns this gateway's own report. The lock is held.
 func (d *Dispatcher) report(now time.Time) rollup.Report {
-	r := rollup.Report{Parts: d.recentSentBlocks(now), Accounts: d.ownUsage(now), Crashes: d.quarantine.TellNear(now), Limits: d.limits.Tell(now)}
+	r := rollup.Report{SentBlocks: d.recentSentBlocks(now), Accounts: d.ownUsage(now), Crashes: d.quarantine.TellNear(now), Limits: d.limits.Tell(now)}
 	for _, p := range d.pools {
 		for _, e := range p.sorted {
 			if e.connectFailures > 0 && now.Sub(e.connectFailedAt) < unreachableReportTime {
-				r.Dead = append(r.Dead, e.hash)
+				r.Unreachable = append(r.Unreachable, e.hash)
 			}
 			if e.replaced && now.Sub(e.replacedAt) < replacedReportTime {
-				r.Gone = append(r.Gone, e.hash)
+				r.Replaced = append(r.Replaced, e.hash)
 			}
 			switch pushed, excluded := d.pushback.Bar(e.hash, now); {
 			case !excluded:
 			case pushed.Reason == pushback.Leaving && now.Sub(pushed.Since) < replacedReportTime:
-				r.Leaving = append(r.Leaving, e.hash)
+				r.Draining = append(r.Draining, e.hash)
 			case pushed.Reason == pushback.Resting:
-				r.Resting = append(r.Resting, rollup.Resting{Engine: e.hash, Gateways: 1})
+				r.BackingOff = append(r.BackingOff, rollup.Backoff{Engine: e.hash, Gateways: 1})
 			}
 			readRate := int(e.readRate.perSecond(now))
 			if e.ownLoad.Requests == 0 && readRate == 0 {
 				continue
 			}
 			r.Engines = append(r.Engines, rollup.EngineLoad{
-				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Held: e.ownLoad.Reserved, Reading: readRate,
+				Engine: e.hash, Requests: e.ownLoad.Requests, Unread: e.ownLoad.Unread, Reserved: e.ownLoad.Reserved, ReadRate: readRate,
 			})
 		}
 	}
@@ -66,18 +66,18 @@
 func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Tell returns the messages to send to other gateways. The owner calls it every
-// rollup.Every.
-func (d *Dispatcher) Tell() []rollup.Outgoing {
+// rollup.ReportInterval.
+func (d *Dispatcher) Tell() []rollup.OutgoingMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	out := d.aggregator.Tell(d.report(now))
+	out := d.aggregator.Outgoing(d.report(now))
 	d.logLeadership()
 	d.applyPeerReports()
 	if now.Sub(d.regionReportSent) >= regionReportInterval && d.reportsRegion() {
 		d.regionReportSent = now
 		if report, ok := d.regionReport(now); ok {
-			out = append(out, rollup.Outgoing{To: d.regionReportRecipients(), Message: report})
+			out = append(out, rollup.OutgoingMessage{To: d.regionReportRecipients(), Message: report})
 		}
 	}
 	return out
@@ -86,7 +86,7 @@
 // logLeadership logs when this gateway starts or stops aggregating its group. The lock is
 // held.
 func (d *Dispatcher) logLeadership() {
-	leader, members := d.aggregator.Leads()
+	leader, members := d.aggregator.LeaderStatus()
 	if leader != d.isGroupLeader {
 		d.isGroupLeader = leader
 		d.Log.Info("group leadership changed", zap.Bool("leads", leader), zap.Int("members", members))
@@ -98,40 +98,40 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	for _, r := range d.aggregator.Hear(m) {
+	for _, r := range d.aggregator.Receive(m) {
 		d.receiveRegionReport(r, now)
 	}
 	d.mergeLocalCrashes(m, now)
 	d.mergeLimits(m, now)
-	for _, sent := range m.Report.Parts {
+	for _, sent := range m.Report.SentBlocks {
 		if e, ok := d.enginesByHash[sent.Engine]; ok {
-			e.pool.recordBlock(e, sent.Part, now)
+			e.pool.recordBlock(e, sent.Block, now)
 		}
 	}
-	for _, hash := range m.Report.Dead {
+	for _, hash := range m.Report.Unreachable {
 		// This gateway's own reports come back to it in totals.
 		if e, ok := d.enginesByHash[hash]; ok && e.connectFailures == 0 && now.Sub(e.lastHeard) > ownContactTime && now.After(e.excludedUntil) {
 			e.excludedUntil = now.Add(peerExclusionTime)
 		}
 	}
-	for _, hash := range m.Report.Gone {
+	for _, hash := range m.Report.Replaced {
 		if e, ok := d.enginesByHash[hash]; ok && now.Sub(e.lastHeard) > ownContactTime {
 			e.replaced = true
 		}
 	}
-	for _, backoff := range m.Report.Resting {
+	for _, backoff := range m.Report.BackingOff {
 		// The engine may still accept requests from this gateway, which a recent answer
 		// shows.
 		if e, ok := d.enginesByHash[backoff.Engine]; ok && backoff.Gateways >= minBackoffReporters && now.Sub(e.lastHeard) > ownContactTime {
 			e.peerBackoffUntil = now.Add(peerExclusionTime)
 		}
 	}
-	for _, hash := range m.Report.Leaving {
+	for _, hash := range m.Report.Draining {
 		if e, ok := d.enginesByHash[hash]; ok {
 			d.markDraining(e, m.From, now)
 		}
 	}
-	if m.Total || d.aggregator.Few() {
+	if m.Total || d.aggregator.IsFullMesh() {
 		d.applyPeerReports()
 	}
 }
@@ -139,12 +139,12 @@
 // applyPeerReports updates the loads and account usage of the region's other gateways.
 // The lock is held.
 func (d *Dispatcher) applyPeerReports() {
-	others := d.aggregator.Others()
+	others := d.aggregator.PeerTotals()
 	for hash, e := range d.enginesByHash {
 		l := others.Loads[hash]
-		e.peerLoad = Load{Requests: max(0, l.Requests), Unread: max(0, l.Unread), Reserved: max(0, l.Held), ReadRate: float64(max(0, l.Reading))}
+		e.peerLoad = Load{Requests: max(0, l.Requests), Unread: max(0, l.Unread), Reserved: max(0, l.Reserved), ReadRate: float64(max(0, l.ReadRate))}
 	}
-	d.reportingGateways = 1 + others.Gateways
+	d.reportingGateways = 1 + others.Reporting
 	d.applyLocalUsage(others)
 }
 
--- a/dispatch/prompt.go
+++ b/dispatch/prompt.go
@@ -135,11 +135,11 @@
 
 // recentSentBlocks removes blocks that were reported for long enough, and returns the
 // others.
-func (d *Dispatcher) recentSentBlocks(now time.Time) []rollup.SentPart {
+func (d *Dispatcher) recentSentBlocks(now time.Time) []rollup.SentBlock {
 	d.sentBlocks = slices.DeleteFunc(d.sentBlocks, func(s sentBlock) bool { return now.Sub(s.at) > sentBlockTTL })
-	out := make([]rollup.SentPart, len(d.sentBlocks))
+	out := make([]rollup.SentBlock, len(d.sentBlocks))
 	for i, s := range d.sentBlocks {
-		out[i] = rollup.SentPart{Part: s.block, Engine: s.engine}
+		out[i] = rollup.SentBlock{Block: s.block, Engine: s.engine}
 	}
 	return out
 }
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -128,7 +128,7 @@
 func enginesTold(t *testing.T, g *dispatch.Dispatcher, service string) int {
 	t.Helper()
 	var digests []dispatch.Digest
-	must.NoError(t, cbor.Unmarshal(g.RegionReport().Far[0].Body, &digests))
+	must.NoError(t, cbor.Unmarshal(g.RegionReport().Remote[0].Digests, &digests))
 	for _, one := range digests {
 		if one.Service == service {
 			return one.Engines
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -82,7 +82,7 @@
 	for _, h := range hosts {
 		if h.Region != d.Region && !slices.Contains(regions, h.Region) {
 			regions = append(regions, h.Region)
-			out = append(out, rollup.FarLeaders(hosts, h.Region)...)
+			out = append(out, rollup.RemoteLeaders(hosts, h.Region)...)
 		}
 	}
 	return out
@@ -109,7 +109,7 @@
 		d.Log.Error("region report not sent: encoding failed", telemetry.Cause(err))
 		return rollup.Message{}, false
 	}
-	return rollup.Message{From: d.Name, Far: []rollup.FarWord{{Region: d.Region, Body: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.TellFar(now)}}}, true
+	return rollup.Message{From: d.Name, Remote: []rollup.RegionReport{{Region: d.Region, Digests: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.TellFar(now)}}}, true
 }
 
 func (d *Dispatcher) digest(p *pool, now time.Time) Digest {
@@ -160,7 +160,7 @@
 }
 
 // receiveRegionReport applies another region's report. The lock is held.
-func (d *Dispatcher) receiveRegionReport(r rollup.FarWord, now time.Time) {
+func (d *Dispatcher) receiveRegionReport(r rollup.RegionReport, now time.Time) {
 	d.mergeRemoteCrashes(r, now)
 	remote, ok := d.remotes[r.Region]
 	if !ok {
@@ -168,7 +168,7 @@
 		d.remotes[r.Region] = remote
 	}
 	var digests []Digest
-	if err := cbor.Unmarshal(r.Body, &digests); err != nil {
+	if err := cbor.Unmarshal(r.Digests, &digests); err != nil {
 		d.Log.Warn("region report ignored: decoding failed", zap.String("region", r.Region), telemetry.Cause(err))
 		return
 	}
--- a/dispatch/regions_test.go
+++ b/dispatch/regions_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return rollup.Message{From: "far", Far: []rollup.FarWord{{Region: region, Body: body}}}
+	return rollup.Message{From: "far", Remote: []rollup.RegionReport{{Region: region, Digests: body}}}
 }
 
 func plain(id string) dispatch.Ask {
@@ -131,10 +131,10 @@
 		}
 		speak++
 		must.Eq(t, []string{"10.9.0.1:1"}, out[1].To)
-		word := out[1].Message.Far[0]
+		word := out[1].Message.Remote[0]
 		must.Eq(t, "lagos", word.Region)
 		var digests []dispatch.Digest
-		must.NoError(t, cbor.Unmarshal(word.Body, &digests))
+		must.NoError(t, cbor.Unmarshal(word.Digests, &digests))
 		must.Eq(t, 3, digests[0].Engines)
 	}
 	must.Eq(t, 2, speak)
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func (w *world) deliver(out rollup.Outgoing) {
+func (w *world) deliver(out rollup.OutgoingMessage) {
 	for i, to := range w.gateways {
 		if slices.Contains(out.To, w.hosts[i].Peer) {
 			to.Hear(out.Message)
@@ -119,7 +119,7 @@
 func (w *world) tellAll() {
 	for range 4 {
 		w.tell()
-		w.pass(rollup.Every)
+		w.pass(rollup.ReportInterval)
 	}
 }
 
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -81,11 +81,11 @@
 				c.deliver(out)
 			}
 		}
-		time.Sleep(rollup.Every / 2)
+		time.Sleep(rollup.ReportInterval / 2)
 	}
 }
 
-func (c *cluster) deliver(out rollup.Outgoing) {
+func (c *cluster) deliver(out rollup.OutgoingMessage) {
 	for _, to := range out.To {
 		for _, g := range c.gateways {
 			if g.server.Self.Name == to {
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -70,7 +70,7 @@
 	lastExchange := r.elapsed()
 	for until := r.elapsed() + duration; r.elapsed() < until; {
 		r.elapsedNanos.Add(int64(step))
-		if r.elapsed()-lastExchange >= rollup.Every {
+		if r.elapsed()-lastExchange >= rollup.ReportInterval {
 			lastExchange = r.elapsed()
 			r.exchangeReports()
 		}
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -186,7 +186,7 @@
 		g.dispatcher.Tick()
 		return going()
 	})
-	w.time.Every(rollup.Every, func() bool {
+	w.time.Every(rollup.ReportInterval, func() bool {
 		for _, out := range g.dispatcher.Tell() {
 			for _, address := range out.To {
 				w.deliver(g, w.byPeer[address], out.Message)
--- a/rollup/board.go
+++ b/rollup/board.go
@@ -11,9 +11,9 @@
 
 // Intervals and timeouts of the exchange.
 const (
-	// Every is the interval at which gateways send reports. A report takes up to three
+	// ReportInterval is the interval at which gateways send reports. A report takes up to three
 	// hops, one interval each, so that no gateway's data is older than 0.3 s.
-	Every = 100 * time.Millisecond
+	ReportInterval = 100 * time.Millisecond
 	// ReportTTL is how long a received report counts. Six reports arrive within it, so
 	// that the loss of single datagrams does no harm.
 	ReportTTL = 600 * time.Millisecond
@@ -37,9 +37,9 @@
 	Clock func() time.Time
 }
 
-// Board holds the reports that one gateway has received and computes the messages that
+// Aggregator holds the reports that one gateway has received and computes the messages that
 // it sends. It isn't safe for concurrent use. New makes one.
-type Board struct {
+type Aggregator struct {
 	Deps
 	topology      topology
 	topologyAt    time.Time
@@ -65,32 +65,32 @@
 type remoteReport struct {
 	receivedAt time.Time // when it reached this region
 	direct     bool      // received from that region itself, not through another gateway here
-	report     FarWord
+	report     RegionReport
 }
 
-// Outgoing is a message with the peer addresses of its recipients.
-type Outgoing struct {
+// OutgoingMessage is a message with the peer addresses of its recipients.
+type OutgoingMessage struct {
 	To      []string
 	Message Message
 }
 
-// New makes an empty Board, which has received nothing yet.
-func New(deps Deps) *Board {
-	return &Board{
+// New makes an empty Aggregator, which has received nothing yet.
+func New(deps Deps) *Aggregator {
+	return &Aggregator{
 		Deps: deps, memberReports: make(map[uint32]receivedMessage), groupSums: make(map[Group]receivedMessage),
 		leaderSeen: make(map[string]time.Time), remote: make(map[string]remoteReport),
 	}
 }
 
 // refreshTopology recomputes the groups from the current list of gateways.
-func (a *Board) refreshTopology() {
+func (a *Aggregator) refreshTopology() {
 	a.topologyAt = a.Clock()
 	a.topology = newTopology(a.Self, a.Hosts(), a.Self.Region)
 }
 
-// Tell returns the messages that are due, including this gateway's own report. The owner
-// calls it once every Every.
-func (a *Board) Tell(own Report) []Outgoing {
+// OutgoingMessage returns the messages that are due, including this gateway's own report. The owner
+// calls it once every ReportInterval.
+func (a *Aggregator) Outgoing(own Report) []OutgoingMessage {
 	now := a.Clock()
 	if now.Sub(a.topologyAt) >= topologyInterval {
 		a.refreshTopology()
@@ -103,14 +103,14 @@
 		Members: []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}},
 	}
 	if a.topology.fullMesh {
-		return []Outgoing{{a.otherLeaderAddresses(now), self}}
+		return []OutgoingMessage{{a.otherLeaderAddresses(now), self}}
 	}
-	var out []Outgoing
+	var out []OutgoingMessage
 	if a.isLeader(now) {
 		out = a.leaderMessages(own, now)
 	}
 	if first := a.topology.ranked[0]; first.Name != a.Self.Name {
-		out = append(out, Outgoing{a.leaderAddresses(a.topology.ranked, now), self})
+		out = append(out, OutgoingMessage{a.leaderAddresses(a.topology.ranked, now), self})
 	}
 	return out
 }
@@ -118,7 +118,7 @@
 // isLeader reports whether this gateway sums its group: it has received reports of
 // members, or it is a candidate and none of higher rank has sent a sum within
 // leaderTimeout.
-func (a *Board) isLeader(now time.Time) bool {
+func (a *Aggregator) isLeader(now time.Time) bool {
 	if a.topology.fullMesh || len(a.memberReports) > 0 {
 		return !a.topology.fullMesh
 	}
@@ -135,10 +135,10 @@
 
 // leaderMessages returns the messages that a leader sends: the sum of its group to the
 // other leaders, and the sum of the region to its members.
-func (a *Board) leaderMessages(own Report, now time.Time) []Outgoing {
+func (a *Aggregator) leaderMessages(own Report, now time.Time) []OutgoingMessage {
 	acc := newSum()
 	acc.add(own, 1)
-	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Far: a.remoteReports(true, now)}
+	message := Message{From: a.Self.Name, Group: a.topology.ownGroup, Remote: a.remoteReports(true, now)}
 	message.Members = []Member{{NameHash: hashOf(a.Self.Name), ReportNumber: a.lastNumber}}
 	for _, m := range a.memberReports {
 		acc.add(m.Report.aged(now.Sub(m.receivedAt)), 1)
@@ -147,7 +147,7 @@
 	message.Report = acc.report()
 	total := message
 	total.Total = true
-	total.Far = a.remoteReports(false, now)
+	total.Remote = a.remoteReports(false, now)
 	for _, s := range a.groupSums {
 		acc.add(s.Report.aged(now.Sub(s.receivedAt)), 1)
 		total.OtherGateways += len(s.Members)
@@ -159,11 +159,11 @@
 			memberAddresses = append(memberAddresses, h.Peer)
 		}
 	}
-	return []Outgoing{{a.otherLeaderAddresses(now), message}, {memberAddresses, total}}
+	return []OutgoingMessage{{a.otherLeaderAddresses(now), message}, {memberAddresses, total}}
 }
 
 // otherLeaderAddresses returns the addresses of the leaders of the other groups.
-func (a *Board) otherLeaderAddresses(now time.Time) []string {
+func (a *Aggregator) otherLeaderAddresses(now time.Time) []string {
 	var out []string
 	for _, g := range a.topology.otherGroups {
 		out = append(out, a.leaderAddresses(g.hosts, now)...)
@@ -173,7 +173,7 @@
 
 // leaderAddresses returns the address of the group's highest-ranked candidate, and those
 // of the next ones up to the first that has sent a message as leader within leaderTimeout.
-func (a *Board) leaderAddresses(ranked []roster.Host, now time.Time) []string {
+func (a *Aggregator) leaderAddresses(ranked []roster.Host, now time.Time) []string {
 	var out []string
 	for _, h := range ranked[:min(len(ranked), leaderCandidates)] {
 		if h.Name == a.Self.Name {
@@ -187,11 +187,11 @@
 	return out
 }
 
-// Hear applies a received message. It returns the reports of other regions that are newer
+// Receive applies a received message. It returns the reports of other regions that are newer
 // than those received before.
-func (a *Board) Hear(m Message) (newer []FarWord) {
+func (a *Aggregator) Receive(m Message) (newer []RegionReport) {
 	now := a.Clock()
-	for _, report := range m.Far {
+	for _, report := range m.Remote {
 		if a.receiveRemote(report, len(m.Members) == 0, now) {
 			newer = append(newer, report)
 		}
@@ -201,7 +201,7 @@
 }
 
 // receiveReport applies the report of a message.
-func (a *Board) receiveReport(msg receivedMessage, now time.Time) {
+func (a *Aggregator) receiveReport(msg receivedMessage, now time.Time) {
 	m := msg.Message
 	if m.From == a.Self.Name || len(m.Members) == 0 {
 		return
@@ -222,7 +222,7 @@
 
 // receiveTotal applies the sum of the region. If two leaders send one, the one that
 // covers more members of the group wins.
-func (a *Board) receiveTotal(msg receivedMessage, now time.Time) {
+func (a *Aggregator) receiveTotal(msg receivedMessage, now time.Time) {
 	if !msg.Group.contains(singletonGroup(a.Self)) {
 		return
 	}
@@ -233,7 +233,7 @@
 
 // receiveGroupSum applies the sum of another group and replaces every sum that it
 // overlaps. If two leaders send one, the one that covers more members wins.
-func (a *Board) receiveGroupSum(msg receivedMessage, now time.Time) {
+func (a *Aggregator) receiveGroupSum(msg receivedMessage, now time.Time) {
 	for group, known := range a.groupSums {
 		if group.overlaps(msg.Group) && known.From != msg.From && known.isFresh(now) && len(known.Members) >= len(msg.Members) {
 			return
@@ -249,13 +249,13 @@
 
 // receiveRemote applies another region's report and reports whether it was accepted: it
 // must not be older than the last one.
-func (a *Board) receiveRemote(report FarWord, direct bool, now time.Time) bool {
+func (a *Aggregator) receiveRemote(report RegionReport, direct bool, now time.Time) bool {
 	receivedAt := now.Add(-report.Age)
 	known, ok := a.remote[report.Region]
 	if report.Region == a.Self.Region || (ok && receivedAt.Before(known.receivedAt)) {
 		return false
 	}
-	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < Every // forwarded by another leader as well
+	sameReport := known.direct && receivedAt.Sub(known.receivedAt) < ReportInterval // forwarded by another leader as well
 	a.remote[report.Region] = remoteReport{receivedAt, direct || sameReport, report}
 	return true
 }
@@ -263,8 +263,8 @@
 // remoteReports returns the reports of other regions to forward. Other leaders get only
 // those that came directly from that region: a report that came through another leader
 // has been sent to them by that one.
-func (a *Board) remoteReports(directOnly bool, now time.Time) []FarWord {
-	var out []FarWord
+func (a *Aggregator) remoteReports(directOnly bool, now time.Time) []RegionReport {
+	var out []RegionReport
 	for _, entry := range a.remote {
 		if directOnly && !entry.direct {
 			continue
@@ -277,7 +277,7 @@
 }
 
 // expire drops reports and leaders that were last heard from too long ago.
-func (a *Board) expire(now time.Time) {
+func (a *Aggregator) expire(now time.Time) {
 	for hash, msg := range a.memberReports {
 		if !msg.isValid(now) || !a.topology.ownGroup.contains(msg.Group) {
 			delete(a.memberReports, hash)
@@ -300,22 +300,22 @@
 	}
 }
 
-// Others is the sum of what the other gateways of the region do.
-type Others struct {
-	Loads    map[uint64]EngineLoad // by the hash of the engine's incarnation
-	Accounts map[uint32]AccountUse // by the hash of the account's name
-	Gateways int                   // gateways whose reports are included
-	Alive    int                   // other gateways in the list of gateways
+// PeerTotals is the sum of what the other gateways of the region do.
+type PeerTotals struct {
+	Loads     map[uint64]EngineLoad   // by the hash of the engine's incarnation
+	Accounts  map[uint32]AccountUsage // by the hash of the account's name
+	Reporting int                     // gateways whose reports are included
+	Listed    int                     // other gateways in the list of gateways
 }
 
-// Others returns the sum of what the other gateways of the region do.
-func (a *Board) Others() Others {
+// PeerTotals returns the sum of what the other gateways of the region do.
+func (a *Aggregator) PeerTotals() PeerTotals {
 	s, gateways := a.sumOthers()
-	return Others{Loads: s.loads, Accounts: s.uses, Gateways: gateways, Alive: a.topology.size() - 1}
+	return PeerTotals{Loads: s.loads, Accounts: s.uses, Reporting: gateways, Listed: a.topology.size() - 1}
 }
 
 // sumOthers sums the latest valid reports, and counts the gateways that they cover.
-func (a *Board) sumOthers() (s *sum, gateways int) {
+func (a *Aggregator) sumOthers() (s *sum, gateways int) {
 	now := a.Clock()
 	s = newSum()
 	if a.regionTotal.isValid(now) && len(a.regionTotal.Members) > 1+len(a.memberReports) {
@@ -332,7 +332,7 @@
 
 // addValid adds a message's report unless it has expired, and returns the number of
 // gateways that it covers.
-func (a *Board) addValid(s *sum, msg receivedMessage, now time.Time) int {
+func (a *Aggregator) addValid(s *sum, msg receivedMessage, now time.Time) int {
 	if !msg.isValid(now) {
 		return 0
 	}
@@ -341,7 +341,7 @@
 }
 
 // totalWithoutSelf adds the region's total to s, without this gateway's own report.
-func (a *Board) totalWithoutSelf(s *sum) (*sum, int) {
+func (a *Aggregator) totalWithoutSelf(s *sum) (*sum, int) {
 	s.add(a.regionTotal.Report.additiveFields(), 1)
 	gateways := a.regionTotal.OtherGateways + len(a.regionTotal.Members)
 	self := hashOf(a.Self.Name)
@@ -355,10 +355,12 @@
 	return s, gateways
 }
 
-// Leads reports whether this gateway sums its group, and how many other members' reports
+// LeaderStatus reports whether this gateway sums its group, and how many other members' reports
 // it has.
-func (a *Board) Leads() (leads bool, members int) { return a.isLeader(a.Clock()), len(a.memberReports) }
+func (a *Aggregator) LeaderStatus() (leads bool, members int) {
+	return a.isLeader(a.Clock()), len(a.memberReports)
+}
 
-// Few reports whether the region has so few gateways that each sends its reports to all
+// IsFullMesh reports whether the region has so few gateways that each sends its reports to all
 // others directly.
-func (a *Board) Few() bool { return a.topology.fullMesh }
+func (a *Aggregator) IsFullMesh() bool { return a.topology.fullMesh }
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -139,10 +139,10 @@
 	return t
 }
 
-// FarLeaders returns the peer addresses of those gateways of another region that forward
+// RemoteLeaders returns the peer addresses of those gateways of another region that forward
 // reports to the others there. They are spread over the region's groups, and so over its
 // data centres.
-func FarLeaders(hosts []roster.Host, region string) []string {
+func RemoteLeaders(hosts []roster.Host, region string) []string {
 	t := newTopology(roster.Host{}, hosts, region)
 	count := min(len(t.otherGroups), maxRemoteLeaders)
 	if t.fullMesh {
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -15,40 +15,40 @@
 type Report struct {
 	Engines []EngineLoad `cbor:"1,keyasint,omitempty"`
 	// Prompt blocks that were recently sent to engines.
-	Parts []SentPart `cbor:"2,keyasint,omitempty"`
+	SentBlocks []SentBlock `cbor:"2,keyasint,omitempty"`
 	// Hashes of engines that recently couldn't be reached.
-	Dead []uint64 `cbor:"3,keyasint,omitempty"`
+	Unreachable []uint64 `cbor:"3,keyasint,omitempty"`
 	// Hashes of engines at whose addresses another engine answered.
-	Gone []uint64 `cbor:"4,keyasint,omitempty"`
+	Replaced []uint64 `cbor:"4,keyasint,omitempty"`
 	// The client accounts whose callers currently send requests.
-	Accounts []AccountUse `cbor:"5,keyasint,omitempty"`
+	Accounts []AccountUsage `cbor:"5,keyasint,omitempty"`
 	// Recent changes of the crash records of requests.
 	Crashes []quarantine.Note `cbor:"6,keyasint,omitempty"`
 	// Recent changes of the rate limits that engines announce, and a few of the unchanged
 	// ones in rotation.
 	Limits []ratelimit.Note `cbor:"7,keyasint,omitempty"`
 	// Hashes of engines that recently announced in an answer that they drain.
-	Leaving []uint64 `cbor:"8,keyasint,omitempty"`
+	Draining []uint64 `cbor:"8,keyasint,omitempty"`
 	// Engines that have asked gateways to back off, until that time is over.
-	Resting []Resting `cbor:"9,keyasint,omitempty"`
+	BackingOff []Backoff `cbor:"9,keyasint,omitempty"`
 }
 
-// Resting is an engine that asks for backoff, with the number of gateways that it asked.
-type Resting struct {
+// Backoff is an engine that asks for backoff, with the number of gateways that it asked.
+type Backoff struct {
 	_        struct{} `cbor:",toarray"`
 	Engine   uint64   // hash of its incarnation
 	Gateways int
 }
 
-// AccountUse is what the callers of one client account do. All but Window are in
+// AccountUsage is what the callers of one client account do. All but WindowTotal are in
 // hundredths of a unit per second.
-type AccountUse struct {
-	_        struct{} `cbor:",toarray"`
-	Account  uint32   // hash of its name
-	Admitted int      // over the last 0.2 s
-	Steady   int      // admitted, averaged over the last 0.5 s
-	Asked    int      // requested, whether admitted or not
-	Window   int      // whole units admitted within the last window of the allowance
+type AccountUsage struct {
+	_             struct{} `cbor:",toarray"`
+	Account       uint32   // hash of its name
+	AdmittedRate  int      // over the last 0.2 s
+	SmoothedRate  int      // admitted, averaged over the last 0.5 s
+	RequestedRate int      // requested, whether admitted or not
+	WindowTotal   int      // whole units admitted within the last window of the allowance
 }
 
 // EngineLoad is the load of one engine.
@@ -57,14 +57,14 @@
 	Engine   uint64   // hash of its incarnation
 	Requests int      // in flight
 	Unread   int      // prompt tokens of requests that have produced no event yet
-	Held     int      // tokens of memory: prompts, and what their answers may grow to
-	Reading  int      // prompt tokens per second, recently
+	Reserved int      // tokens of memory: prompts, and what their answers may grow to
+	ReadRate int      // prompt tokens per second, recently
 }
 
-// SentPart is a shared prompt block that was sent to an engine.
-type SentPart struct {
+// SentBlock is a shared prompt block that was sent to an engine.
+type SentBlock struct {
 	_      struct{} `cbor:",toarray"`
-	Part   uint32   // hash of the block
+	Block  uint32   // hash of the block
 	Engine uint64   // hash of the engine's incarnation
 }
 
@@ -75,29 +75,29 @@
 	ReportNumber uint32   // counts the gateway's reports
 }
 
-// FarWord is the report that a region sends to the gateways of other regions, which
+// RegionReport is the report that a region sends to the gateways of other regions, which
 // forward it among themselves.
-type FarWord struct {
-	Region string        `cbor:"1,keyasint"`
-	Age    time.Duration `cbor:"2,keyasint,omitempty"` // since it reached the receiving region
-	Body   []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Board
+type RegionReport struct {
+	Region  string        `cbor:"1,keyasint"`
+	Age     time.Duration `cbor:"2,keyasint,omitempty"` // since it reached the receiving region
+	Digests []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Board
 	// What the region's callers do.
-	Accounts []AccountUse `cbor:"4,keyasint,omitempty"`
+	Accounts []AccountUsage `cbor:"4,keyasint,omitempty"`
 	// The crash records of requests that the region's gateways report.
 	Crashes []quarantine.Note `cbor:"5,keyasint,omitempty"`
 }
 
 // Message is what gateways send to each other: the Report of a group, to other leaders;
 // the Report of the whole region, to the members of a group; or just a region's report
-// in Far, where From is a gateway of another region.
+// in Remote, where From is a gateway of another region.
 type Message struct {
-	From          string    `cbor:"1,keyasint"`
-	Group         Group     `cbor:"2,keyasint"`
-	Members       []Member  `cbor:"3,keyasint,omitempty"` // gateways of the group that the report includes
-	Total         bool      `cbor:"4,keyasint,omitempty"` // the report covers the whole region
-	OtherGateways int       `cbor:"5,keyasint,omitempty"` // number of gateways of other groups in a total
-	Report        Report    `cbor:"6,keyasint,omitempty"`
-	Far           []FarWord `cbor:"7,keyasint,omitempty"`
+	From          string         `cbor:"1,keyasint"`
+	Group         Group          `cbor:"2,keyasint"`
+	Members       []Member       `cbor:"3,keyasint,omitempty"` // gateways of the group that the report includes
+	Total         bool           `cbor:"4,keyasint,omitempty"` // the report covers the whole region
+	OtherGateways int            `cbor:"5,keyasint,omitempty"` // number of gateways of other groups in a total
+	Report        Report         `cbor:"6,keyasint,omitempty"`
+	Remote        []RegionReport `cbor:"7,keyasint,omitempty"`
 }
 
 // additiveFields returns the report with only those fields that can be summed and
@@ -107,12 +107,12 @@
 // sum accumulates reports.
 type sum struct {
 	loads       map[uint64]EngineLoad
-	blocks      map[SentPart]bool
+	blocks      map[SentBlock]bool
 	unreachable map[uint64]bool
 	replaced    map[uint64]bool
 	draining    map[uint64]bool
 	backingOff  map[uint64]int // number of gateways that the engine asked for backoff
-	uses        map[uint32]AccountUse
+	uses        map[uint32]AccountUsage
 	// crashes keeps the greatest age reported for each crash: a report that is forwarded
 	// appears younger than it is.
 	crashes map[crashKey]quarantine.Note
@@ -140,7 +140,7 @@
 }
 
 func newSum() *sum {
-	return &sum{make(map[uint64]EngineLoad), make(map[SentPart]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUse), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.Note)}
+	return &sum{make(map[uint64]EngineLoad), make(map[SentBlock]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUsage), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.Note)}
 }
 
 // add adds the report factor times; -1 subtracts it.
@@ -150,32 +150,32 @@
 		l.Engine = e.Engine
 		l.Requests += factor * e.Requests
 		l.Unread += factor * e.Unread
-		l.Held += factor * e.Held
-		l.Reading += factor * e.Reading
+		l.Reserved += factor * e.Reserved
+		l.ReadRate += factor * e.ReadRate
 		s.loads[e.Engine] = l
 	}
 	for _, a := range r.Accounts {
 		u := s.uses[a.Account]
 		u.Account = a.Account
-		u.Admitted += factor * a.Admitted
-		u.Steady += factor * a.Steady
-		u.Window += factor * a.Window
-		u.Asked += factor * a.Asked
+		u.AdmittedRate += factor * a.AdmittedRate
+		u.SmoothedRate += factor * a.SmoothedRate
+		u.WindowTotal += factor * a.WindowTotal
+		u.RequestedRate += factor * a.RequestedRate
 		s.uses[a.Account] = u
 	}
-	for _, p := range r.Parts {
+	for _, p := range r.SentBlocks {
 		s.blocks[p] = true
 	}
-	for _, hash := range r.Dead {
+	for _, hash := range r.Unreachable {
 		s.unreachable[hash] = true
 	}
-	for _, hash := range r.Gone {
+	for _, hash := range r.Replaced {
 		s.replaced[hash] = true
 	}
-	for _, hash := range r.Leaving {
+	for _, hash := range r.Draining {
 		s.draining[hash] = true
 	}
-	for _, b := range r.Resting {
+	for _, b := range r.BackingOff {
 		s.backingOff[b.Engine] += b.Gateways
 	}
 	for _, n := range r.Crashes {
@@ -192,24 +192,24 @@
 }
 
 func (s *sum) report() Report {
-	r := Report{Engines: make([]EngineLoad, 0, len(s.loads)), Parts: make([]SentPart, 0, len(s.blocks))}
+	r := Report{Engines: make([]EngineLoad, 0, len(s.loads)), SentBlocks: make([]SentBlock, 0, len(s.blocks))}
 	for _, l := range s.loads {
 		r.Engines = append(r.Engines, l)
 	}
 	for p := range s.blocks {
-		r.Parts = append(r.Parts, p)
+		r.SentBlocks = append(r.SentBlocks, p)
 	}
 	for hash := range s.unreachable {
-		r.Dead = append(r.Dead, hash)
+		r.Unreachable = append(r.Unreachable, hash)
 	}
 	for hash := range s.replaced {
-		r.Gone = append(r.Gone, hash)
+		r.Replaced = append(r.Replaced, hash)
 	}
 	for hash := range s.draining {
-		r.Leaving = append(r.Leaving, hash)
+		r.Draining = append(r.Draining, hash)
 	}
 	for hash, gateways := range s.backingOff {
-		r.Resting = append(r.Resting, Resting{Engine: hash, Gateways: gateways})
+		r.BackingOff = append(r.BackingOff, Backoff{Engine: hash, Gateways: gateways})
 	}
 	for _, u := range s.uses {
 		r.Accounts = append(r.Accounts, u)
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -18,9 +18,9 @@
 type testRegion struct {
 	now          time.Time
 	hosts        []roster.Host
-	aggregators  map[string]*rollup.Board // by address
-	loads        map[string]int           // requests of each gateway, by address
-	down         map[string]bool          // gateways that neither send nor receive, by address
+	aggregators  map[string]*rollup.Aggregator // by address
+	loads        map[string]int                // requests of each gateway, by address
+	down         map[string]bool               // gateways that neither send nor receive, by address
 	dropped      func(from, to string) bool
 	bytes        map[string]int // sent and received, by address
 	extraEngines int            // engines that each gateway uses besides the common one
@@ -34,7 +34,7 @@
 // newTestRegion makes a region of that many gateways in two data centres.
 func newTestRegion(gateways int) *testRegion {
 	r := &testRegion{
-		now: time.Unix(1000, 0), aggregators: make(map[string]*rollup.Board), loads: make(map[string]int),
+		now: time.Unix(1000, 0), aggregators: make(map[string]*rollup.Aggregator), loads: make(map[string]int),
 		down: make(map[string]bool), dropped: func(string, string) bool { return false }, bytes: make(map[string]int),
 	}
 	for i := range gateways {
@@ -50,9 +50,9 @@
 // advance runs the gateways for d. Each sends at its own offset in the interval.
 func (r *testRegion) advance(d time.Duration) {
 	for until := r.now.Add(d); r.now.Before(until); r.now = r.now.Add(step) {
-		slot := int(r.now.UnixNano()/int64(step)) % int(rollup.Every/step)
+		slot := int(r.now.UnixNano()/int64(step)) % int(rollup.ReportInterval/step)
 		for i, h := range r.hosts {
-			if i%int(rollup.Every/step) == slot && !r.down[h.Peer] {
+			if i%int(rollup.ReportInterval/step) == slot && !r.down[h.Peer] {
 				r.sendReport(h.Peer)
 			}
 		}
@@ -62,9 +62,9 @@
 func (r *testRegion) sendReport(from string) {
 	report := rollup.Report{Engines: []rollup.EngineLoad{{Engine: engine, Requests: r.loads[from]}}}
 	for i := range r.extraEngines {
-		report.Engines = append(report.Engines, rollup.EngineLoad{Engine: math.MaxUint64 - uint64(i+len(from)*int(from[len(from)-1]))%72, Requests: 1, Unread: 3000, Held: 9000, Reading: 9000})
+		report.Engines = append(report.Engines, rollup.EngineLoad{Engine: math.MaxUint64 - uint64(i+len(from)*int(from[len(from)-1]))%72, Requests: 1, Unread: 3000, Reserved: 9000, ReadRate: 9000})
 	}
-	for _, out := range r.aggregators[from].Tell(report) {
+	for _, out := range r.aggregators[from].Outgoing(report) {
 		data, err := cbor.Marshal(out.Message)
 		if err != nil {
 			panic(err)
@@ -79,21 +79,21 @@
 			if err := cbor.Unmarshal(data, &m); err != nil {
 				panic(err)
 			}
-			r.aggregators[to].Hear(m)
+			r.aggregators[to].Receive(m)
 		}
 	}
 }
 
 // peerRequests returns how many requests of other gateways a gateway counts.
 func (r *testRegion) peerRequests(gateway string) int {
-	return r.aggregators[gateway].Others().Loads[engine].Requests
+	return r.aggregators[gateway].PeerTotals().Loads[engine].Requests
 }
 
 // leaders lists the gateways that sum their groups.
 func (r *testRegion) leaders() []string {
 	var out []string
 	for _, h := range r.hosts {
-		if leads, _ := r.aggregators[h.Peer].Leads(); leads && !r.down[h.Peer] {
+		if leads, _ := r.aggregators[h.Peer].LeaderStatus(); leads && !r.down[h.Peer] {
 			out = append(out, h.Peer)
 		}
 	}
@@ -226,11 +226,11 @@
 }
 
 // TestRemoteReportReachesAllGateways delivers another region's report to the gateways that
-// FarLeaders names. They must forward it to every other gateway.
+// RemoteLeaders names. They must forward it to every other gateway.
 func TestRemoteReportReachesAllGateways(t *testing.T) {
 	r := newTestRegion(100)
 	r.advance(500 * time.Millisecond)
-	to := rollup.FarLeaders(r.hosts, "here")
+	to := rollup.RemoteLeaders(r.hosts, "here")
 	must.SliceLen(t, 3, to)
 	centres := map[string]bool{}
 	for _, h := range r.hosts {
@@ -239,20 +239,20 @@
 		}
 	}
 	must.MapLen(t, 2, centres, must.Sprint("the recipients must survive the loss of a data centre"))
-	report := rollup.Message{From: "far", Far: []rollup.FarWord{{Region: "there", Body: []byte("x")}}}
+	report := rollup.Message{From: "far", Remote: []rollup.RegionReport{{Region: "there", Digests: []byte("x")}}}
 	for _, peer := range to {
-		must.SliceLen(t, 1, r.aggregators[peer].Hear(report))
+		must.SliceLen(t, 1, r.aggregators[peer].Receive(report))
 	}
 	received := map[string]int{}
 	for range 3 {
 		for _, h := range r.hosts {
-			for _, out := range r.aggregators[h.Peer].Tell(rollup.Report{}) {
+			for _, out := range r.aggregators[h.Peer].Outgoing(rollup.Report{}) {
 				for _, peer := range out.To {
-					received[peer] += len(r.aggregators[peer].Hear(out.Message))
+					received[peer] += len(r.aggregators[peer].Receive(out.Message))
 				}
 			}
 		}
-		r.now = r.now.Add(rollup.Every)
+		r.now = r.now.Add(rollup.ReportInterval)
 	}
 	for _, h := range r.hosts {
 		must.Positive(t, received[h.Peer], must.Sprint(h.Peer))
