--- a/cmd/linenscale/engines.go
+++ b/cmd/linenscale/engines.go
@@ -46,7 +46,7 @@
 		for _, e := range g.Engines {
 			rows = append(rows, []string{
 				g.Gateway, e.Engine, e.Service, e.Why, span(e.For), span(e.Ends), strconv.Itoa(e.Requests), strconv.Itoa(e.Others),
-				strconv.Itoa(e.Asked), strconv.Itoa(e.KeptAway), strconv.Itoa(e.Sent),
+				strconv.Itoa(e.Backoffs), strconv.Itoa(e.Excluded), strconv.Itoa(e.Overridden),
 			})
 		}
 	}
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -77,7 +77,7 @@
 // TestAKeeperThatWantsNothingIsNotCopiedFrom has the keeper ask for rest, or leave.
 func TestAKeeperThatWantsNothingIsNotCopiedFrom(t *testing.T) {
 	for name, says := range map[string]func(answered *dispatch.Ticket){
-		"resting": func(answered *dispatch.Ticket) { answered.HeardPushback(pushback.Rest{For: time.Second}) },
+		"resting": func(answered *dispatch.Ticket) { answered.HeardPushback(pushback.Backoff{Duration: time.Second}) },
 		"leaving": func(answered *dispatch.Ticket) { answered.HeardLeaving() },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -84,7 +84,7 @@
 		return known
 	}
 	d.limits.Forget(known, now)
-	d.pushback.Forget(known, now)
+	d.pushback.Expire(known, now)
 }
 
 // LimitStatus describes one engine with a rate limit to operators.
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -44,11 +44,11 @@
 			if e.replaced && now.Sub(e.replacedAt) < replacedReportTime {
 				r.Replaced = append(r.Replaced, e.hash)
 			}
-			switch pushed, excluded := d.pushback.Bar(e.hash, now); {
+			switch pushed, excluded := d.pushback.Exclusion(e.hash, now); {
 			case !excluded:
-			case pushed.Reason == pushback.Leaving && now.Sub(pushed.Since) < replacedReportTime:
+			case pushed.Reason == pushback.Draining && now.Sub(pushed.Since) < replacedReportTime:
 				r.Draining = append(r.Draining, e.hash)
-			case pushed.Reason == pushback.Resting:
+			case pushed.Reason == pushback.BackingOff:
 				r.BackingOff = append(r.BackingOff, rollup.Backoff{Engine: e.hash, Gateways: 1})
 			}
 			readRate := int(e.readRate.perSecond(now))
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -13,12 +13,12 @@
 
 // HeardPushback applies the backoff in the header of the engine's answer. It is called
 // when the header arrives: other requests may be dispatched before the answer ends.
-func (t *Ticket) HeardPushback(signal pushback.Word) {
+func (t *Ticket) HeardPushback(signal pushback.Signal) {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	if d.pushback.Hear(e.hash, signal, now) {
+	if d.pushback.ApplySignal(e.hash, signal, now) {
 		d.Log.Info("engine asked for backoff", zap.String("engine", e.ID), zap.Stringer("for", signal))
 	}
 }
@@ -35,7 +35,7 @@
 
 // markDraining records that an engine is draining. The lock is held.
 func (d *Dispatcher) markDraining(e *engine, source string, now time.Time) {
-	if d.pushback.HearLeaving(e.hash, now) {
+	if d.pushback.RecordDraining(e.hash, now) {
 		d.Log.Info("engine draining", zap.String("engine", e.ID), zap.String("told_by", source))
 	}
 }
@@ -43,8 +43,8 @@
 // isDraining reports whether an engine has announced draining in its answers. The lock is
 // held.
 func (d *Dispatcher) isDraining(hash uint64, now time.Time) bool {
-	pushed, excluded := d.pushback.Bar(hash, now)
-	return excluded && pushed.Reason == pushback.Leaving
+	pushed, excluded := d.pushback.Exclusion(hash, now)
+	return excluded && pushed.Reason == pushback.Draining
 }
 
 // Unwanted is the error for an engine that, since it was chosen, has become unable to
@@ -75,7 +75,7 @@
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pushback.Taken(t.engine.hash, t.sentAt)
+	d.pushback.RecordAccepted(t.engine.hash, t.sentAt)
 }
 
 // beginPushback counts a ticket in the pushback statistics, and makes it the trial
@@ -83,7 +83,7 @@
 func (d *Dispatcher) beginPushback(t *Ticket, now time.Time) {
 	for _, e := range t.pool.pushedBack {
 		if e != t.engine && d.exclusionOf(t.pool, e, now).isPushback() {
-			d.pushback.KeptAway(e.hash)
+			d.pushback.CountExcluded(e.hash)
 			d.countPushback(e, "kept_away")
 		}
 	}
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -32,7 +32,7 @@
 	ask.Tried = w.others("review", engine)
 	ticket := acquire(t, w.gateways[gateway], ask)
 	must.Eq(t, engine, ticket.Engine)
-	ticket.HeardPushback(pushback.Rest{For: length})
+	ticket.HeardPushback(pushback.Backoff{Duration: length})
 	ticket.Done(dispatch.Shed)
 }
 
@@ -85,7 +85,7 @@
 		_, err := w.gateways[0].Acquire(plain(fmt.Sprint(i)))
 		must.StrContains(t, notRun(t, err).Message, "1 trying")
 	}
-	first.HeardPushback(pushback.Rest{For: time.Second})
+	first.HeardPushback(pushback.Backoff{Duration: time.Second})
 	first.Done(dispatch.Shed)
 	w.pass(999 * time.Millisecond)
 	_, err := w.gateways[0].Acquire(plain("early"))
@@ -197,10 +197,10 @@
 		shown[s.Engine] = s
 	}
 	must.Eq(t, dispatch.EngineStatus{
-		Engine: "i-0", Service: "review", Why: "resting", For: time.Second, Ends: 2 * time.Second, Counts: pushback.Counts{Asked: 1, KeptAway: 1},
+		Engine: "i-0", Service: "review", Why: "resting", For: time.Second, Ends: 2 * time.Second, Counts: pushback.Counts{Backoffs: 1, Excluded: 1},
 	}, shown["i-0"])
 	must.Eq(t, "leaving", shown["i-1"].Why)
-	must.Eq(t, pushback.Counts{KeptAway: 1}, shown["i-1"].Counts)
+	must.Eq(t, pushback.Counts{Excluded: 1}, shown["i-1"].Counts)
 	must.Eq(t, "", shown["i-2"].Why)
 	must.Eq(t, 1, shown["i-2"].Requests)
 	must.MapLen(t, 4, shown)
@@ -228,7 +228,7 @@
 			ticket.Done(dispatch.Answered)
 		case refuses(gateway):
 			refused++
-			ticket.HeardPushback(pushback.Rest{For: 3 * time.Second})
+			ticket.HeardPushback(pushback.Backoff{Duration: 3 * time.Second})
 			ticket.Done(dispatch.Shed)
 		default:
 			served++
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -55,7 +55,7 @@
 // estimates, which alone can be overridden. It is called for each engine and request. The
 // lock is held.
 func (d *Dispatcher) exclusionOf(p *pool, e *engine, now time.Time) exclusion {
-	pushed, pushedBack := d.pushback.Bar(e.hash, now)
+	pushed, pushedBack := d.pushback.Exclusion(e.hash, now)
 	switch {
 	case e.Phase >= registry.Draining:
 		return exclusion(e.Phase.String())
@@ -88,7 +88,7 @@
 	case excludedReplaced:
 		return e.replacedAt
 	case excludedDraining, excludedBackoff, excludedTrial:
-		pushed, _ := d.pushback.Bar(e.hash, now)
+		pushed, _ := d.pushback.Exclusion(e.hash, now)
 		return pushed.Since
 	default:
 		return time.Time{}
@@ -102,7 +102,7 @@
 	case "":
 		return now
 	case excludedBackoff, excludedTrial:
-		pushed, _ := d.pushback.Bar(e.hash, now)
+		pushed, _ := d.pushback.Exclusion(e.hash, now)
 		return pushed.Until
 	case excludedLimited:
 		return d.limitEnd(e, now)
@@ -137,9 +137,9 @@
 
 func pushbackExclusion(reason pushback.Reason) exclusion {
 	switch reason {
-	case pushback.Leaving:
+	case pushback.Draining:
 		return excludedDraining
-	case pushback.Trying:
+	case pushback.OnTrial:
 		return excludedTrial
 	default:
 		return excludedBackoff
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -26,7 +26,7 @@
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		key := engineKey(p.service, e.Name)
-		bar, _ := f.pushback.Bar(key, now)
+		bar, _ := f.pushback.Exclusion(key, now)
 		e.Asked, e.Limited = bar.Reason, !f.limits.Allows(key, now)
 	}
 }
@@ -41,10 +41,10 @@
 			continue
 		}
 		key := engineKey(p.service, e.Name)
-		bar, barred := f.pushback.Bar(key, now)
+		bar, barred := f.pushback.Exclusion(key, now)
 		wait, shares := f.limits.Next(key, now)
 		switch {
-		case barred && bar.Reason == pushback.Leaving, !shares:
+		case barred && bar.Reason == pushback.Draining, !shares:
 		case barred:
 			soonest = min(soonest, max(wait, bar.Until.Sub(now)))
 		default:
@@ -83,12 +83,12 @@
 
 // HeardPushback takes what the head of the engine's answer asks for, and whether the engine says
 // that it leaves. Others in the queue must not be sent there.
-func (t *Ticket) HeardPushback(word pushback.Word, leaving bool) {
+func (t *Ticket) HeardPushback(word pushback.Signal, leaving bool) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key, now := engineKey(t.pool.service, t.Engine), f.clock()
-	f.pushback.Hear(key, word, now)
+	f.pushback.ApplySignal(key, word, now)
 	f.hearLeaving(key, leaving, t.began, now)
 	f.markAsked(t.pool, now)
 }
@@ -97,10 +97,10 @@
 // that doesn't, of an engine that did before, comes from its next life. The lock is held.
 func (f *Fleet) hearLeaving(key uint64, leaving bool, sent, now time.Time) {
 	if leaving {
-		f.pushback.HearLeaving(key, now)
+		f.pushback.RecordDraining(key, now)
 		return
 	}
-	f.pushback.Stays(key, sent)
+	f.pushback.EndDraining(key, sent)
 }
 
 // Taken notes that the engine has not refused the request.
@@ -108,7 +108,7 @@
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pushback.Taken(engineKey(t.pool.service, t.Engine), t.began)
+	f.pushback.RecordAccepted(engineKey(t.pool.service, t.Engine), t.began)
 }
 
 // ProbedLeaving takes whether the answer to a probe that was sent at a time says that the engine
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -25,19 +25,19 @@
 // for rest: a plain service's 429 and 503 are words to its caller.
 func (s *Server) hearPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
 	refused := resp.Header.Get(relay.HeaderNotRun) == "true"
-	word := pushback.Read(refused, resp.Header, time.Now())
+	word := pushback.Parse(refused, resp.Header, time.Now())
 	leaving := resp.Header.Get(relay.HeaderLeaving) == "true"
 	ticket.HeardPushback(word, leaving)
 	if !refused {
 		ticket.Taken()
 	}
-	if _, asks := word.(pushback.Rest); asks {
+	if _, asks := word.(pushback.Backoff); asks {
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
 	}
 	if leaving {
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 	}
-	if _, nothing := word.(pushback.Nothing); !nothing || leaving {
+	if _, nothing := word.(pushback.NoSignal); !nothing || leaving {
 		s.Log.Info("engine pushes back", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", word), zap.Bool("leaving", leaving))
 	}
 }
--- a/ingress/hear.go
+++ b/ingress/hear.go
@@ -33,12 +33,12 @@
 		ticket.Taken()
 	}
 	switch signal := v.Pushback.(type) {
-	case pushback.Rest:
+	case pushback.Backoff:
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
-		s.Log.Info("engine asked for backoff", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("for", signal.For), zap.Int("status", resp.StatusCode))...)
-	case pushback.Unclear:
+		s.Log.Info("engine asked for backoff", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("for", signal.Duration), zap.Int("status", resp.StatusCode))...)
+	case pushback.Malformed:
 		s.Log.Warn("ignoring malformed Retry-After of engine", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("word", signal))...)
-	case pushback.Nothing:
+	case pushback.NoSignal:
 	}
 	if v.Leaving {
 		ticket.HeardLeaving()
--- a/pushback/table.go
+++ b/pushback/table.go
@@ -19,16 +19,16 @@
 
 // Reasons of an exclusion.
 const (
-	Resting Reason = iota + 1 // it asked for backoff
-	Trying                    // its backoff is over, and the trial request is in flight
-	Leaving                   // it announced that it is draining
+	BackingOff Reason = iota + 1 // it asked for backoff
+	OnTrial                      // its backoff is over, and the trial request is in flight
+	Draining                     // it announced that it is draining
 )
 
 // String returns the word used in logs.
 func (r Reason) String() string { return [...]string{"", "resting", "trying", "leaving"}[r] }
 
-// Bar says why a server is excluded, since when and until when.
-type Bar struct {
+// Exclusion says why a server is excluded, since when and until when.
+type Exclusion struct {
 	Reason Reason
 	Since  time.Time
 	Until  time.Time // zero if permanent
@@ -64,25 +64,25 @@
 	return s
 }
 
-// Hear applies the signal of a response that has just arrived. It reports whether it
+// ApplySignal applies the signal of a response that has just arrived. It reports whether it
 // extends the server's backoff; a shorter backoff than the current one changes nothing.
-func (t *Table) Hear(id uint64, signal Word, now time.Time) (longer bool) {
-	backoff, ok := signal.(Rest)
+func (t *Table) ApplySignal(id uint64, signal Signal, now time.Time) (longer bool) {
+	backoff, ok := signal.(Backoff)
 	if !ok {
 		return false
 	}
 	s := t.server(id)
 	s.lastSeen, s.recovering = now, true
 	s.backoffs++
-	if until := now.Add(backoff.For); until.After(s.backoffUntil) {
+	if until := now.Add(backoff.Duration); until.After(s.backoffUntil) {
 		s.backoffSince, s.backoffUntil = now, until
 		return true
 	}
 	return false
 }
 
-// HearLeaving records that a server is draining. It reports whether that is new.
-func (t *Table) HearLeaving(id uint64, now time.Time) (first bool) {
+// RecordDraining records that a server is draining. It reports whether that is new.
+func (t *Table) RecordDraining(id uint64, now time.Time) (first bool) {
 	s := t.server(id)
 	s.lastSeen = now
 	if !s.drainingSince.IsZero() {
@@ -92,10 +92,10 @@
 	return true
 }
 
-// Stays ends the draining of a server whose incarnations can't be told apart: its
+// EndDraining ends the draining of a server whose incarnations can't be told apart: its
 // response to a request sent after it began to drain doesn't announce draining any more,
 // so it has restarted.
-func (t *Table) Stays(id uint64, sent time.Time) {
+func (t *Table) EndDraining(id uint64, sent time.Time) {
 	if s, known := t.servers[id]; known && !s.drainingSince.IsZero() && sent.After(s.drainingSince) {
 		s.drainingSince = time.Time{}
 	}
@@ -119,9 +119,9 @@
 	return false
 }
 
-// Taken records that a server has accepted a request, which ends the trial. A request
+// RecordAccepted records that a server has accepted a request, which ends the trial. A request
 // sent before the end of the backoff doesn't count.
-func (t *Table) Taken(id uint64, sent time.Time) {
+func (t *Table) RecordAccepted(id uint64, sent time.Time) {
 	if s, known := t.servers[id]; known && !sent.Before(s.backoffUntil) {
 		s.recovering = false
 	}
@@ -135,38 +135,38 @@
 	}
 }
 
-// KeptAway counts a request that a server didn't get because of its signals.
-func (t *Table) KeptAway(id uint64) {
+// CountExcluded counts a request that a server didn't get because of its signals.
+func (t *Table) CountExcluded(id uint64) {
 	if s, known := t.servers[id]; known {
 		s.excluded++
 	}
 }
 
-// Bar returns why a server is excluded now; false if it may get requests.
-func (t *Table) Bar(id uint64, now time.Time) (Bar, bool) {
+// Exclusion returns why a server is excluded now; false if it may get requests.
+func (t *Table) Exclusion(id uint64, now time.Time) (Exclusion, bool) {
 	s, known := t.servers[id]
 	if !known {
-		return Bar{}, false
+		return Exclusion{}, false
 	}
 	return s.exclusion(now)
 }
 
-func (s *server) exclusion(now time.Time) (Bar, bool) {
+func (s *server) exclusion(now time.Time) (Exclusion, bool) {
 	switch {
 	case !s.drainingSince.IsZero():
-		return Bar{Reason: Leaving, Since: s.drainingSince}, true
+		return Exclusion{Reason: Draining, Since: s.drainingSince}, true
 	case now.Before(s.backoffUntil):
-		return Bar{Reason: Resting, Since: s.backoffSince, Until: s.backoffUntil}, true
+		return Exclusion{Reason: BackingOff, Since: s.backoffSince, Until: s.backoffUntil}, true
 	case s.recovering && now.Before(s.trialUntil):
-		return Bar{Reason: Trying, Since: s.trialUntil.Add(-trialTimeout), Until: s.trialUntil}, true
+		return Exclusion{Reason: OnTrial, Since: s.trialUntil.Add(-trialTimeout), Until: s.trialUntil}, true
 	default:
-		return Bar{}, false
+		return Exclusion{}, false
 	}
 }
 
-// Forget drops the servers that have asked for nothing for entryTTL, and the draining
+// Expire drops the servers that have asked for nothing for entryTTL, and the draining
 // ones among them only if known returns false. The owner calls it periodically.
-func (t *Table) Forget(known func(id uint64) bool, now time.Time) {
+func (t *Table) Expire(known func(id uint64) bool, now time.Time) {
 	for id, s := range t.servers {
 		last := s.lastSeen
 		if s.backoffUntil.After(last) {
@@ -180,9 +180,9 @@
 
 // Counts are statistics about the pushback of one server.
 type Counts struct {
-	Asked    int `json:"rests_asked"`   // backoffs it has asked for
-	Sent     int `json:"sent_in_spite"` // requests sent although it was excluded
-	KeptAway int `json:"kept_away"`     // requests not sent because of its signals
+	Backoffs   int `json:"rests_asked"`   // backoffs it has asked for
+	Overridden int `json:"sent_in_spite"` // requests sent although it was excluded
+	Excluded   int `json:"kept_away"`     // requests not sent because of its signals
 }
 
 // Counts returns the statistics of a server.
--- a/pushback/word.go
+++ b/pushback/word.go
@@ -10,56 +10,56 @@
 	"time"
 )
 
-// Word is what one response asks for: backoff, nothing, or something that can't be
+// Signal is what one response asks for: backoff, nothing, or something that can't be
 // parsed.
-type Word interface {
+type Signal interface {
 	// String returns the text used in logs.
 	String() string
 	signal()
 }
 
-// Rest asks for no requests during a time that begins with the response.
-type Rest struct{ For time.Duration }
+// Backoff asks for no requests during a time that begins with the response.
+type Backoff struct{ Duration time.Duration }
 
-// Nothing means that the response asks for nothing.
-type Nothing struct{}
+// NoSignal means that the response asks for nothing.
+type NoSignal struct{}
 
-// Unclear is a Retry-After that can't be parsed. It is logged and otherwise ignored.
-type Unclear struct{ Text string }
+// Malformed is a Retry-After that can't be parsed. It is logged and otherwise ignored.
+type Malformed struct{ Text string }
 
-func (Rest) signal()    {}
-func (Nothing) signal() {}
-func (Unclear) signal() {}
+func (Backoff) signal()   {}
+func (NoSignal) signal()  {}
+func (Malformed) signal() {}
 
 // String implements fmt.Stringer.
-func (b Rest) String() string { return b.For.String() }
+func (b Backoff) String() string { return b.Duration.String() }
 
 // String implements fmt.Stringer.
-func (Nothing) String() string { return "none" }
+func (NoSignal) String() string { return "none" }
 
 // String implements fmt.Stringer.
-func (m Unclear) String() string { return "unclear: " + strconv.Quote(m.Text) }
+func (m Malformed) String() string { return "unclear: " + strconv.Quote(m.Text) }
 
-// LongestRest limits a backoff. After it the server gets a trial request, and can ask for
+// MaxBackoff limits a backoff. After it the server gets a trial request, and can ask for
 // the same again; without a limit, an error of its clock would exclude it for good.
-const LongestRest = time.Hour
+const MaxBackoff = time.Hour
 
-// Read returns what the header of a backend server's response asks for. Only a response
+// Parse returns what the header of a backend server's response asks for. Only a response
 // that rejects the request because of the server's own state can ask for backoff: in
 // others, Retry-After (RFC 9110, 10.2.3) is meant for the caller, or has no meaning. now
 // is the time of day, used for a Retry-After date if the response has no Date.
-func Read(rejected bool, header http.Header, now time.Time) Word {
+func Parse(rejected bool, header http.Header, now time.Time) Signal {
 	if !rejected {
-		return Nothing{}
+		return NoSignal{}
 	}
-	var longest Word = Nothing{}
+	var longest Signal = NoSignal{}
 	for _, text := range header.Values("Retry-After") {
 		wait, ok := parseRetryAfter(strings.TrimSpace(text), header, now)
 		if !ok {
-			return Unclear{Text: text}
+			return Malformed{Text: text}
 		}
-		if backoff, found := longest.(Rest); wait > 0 && (!found || wait > backoff.For) {
-			longest = Rest{For: wait}
+		if backoff, found := longest.(Backoff); wait > 0 && (!found || wait > backoff.Duration) {
+			longest = Backoff{Duration: wait}
 		}
 	}
 	return longest
@@ -73,7 +73,7 @@
 		if math.IsNaN(seconds) || seconds < 0 {
 			return 0, false
 		}
-		return time.Duration(min(seconds, LongestRest.Seconds()) * float64(time.Second)), true
+		return time.Duration(min(seconds, MaxBackoff.Seconds()) * float64(time.Second)), true
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
@@ -82,5 +82,5 @@
 	if serverTime, err := http.ParseTime(header.Get("Date")); err == nil {
 		now = serverTime
 	}
-	return min(max(0, until.Sub(now)), LongestRest), true
+	return min(max(0, until.Sub(now)), MaxBackoff), true
 }
--- a/pushback/word_test.go
+++ b/pushback/word_test.go
@@ -22,26 +22,26 @@
 		rejected bool
 		values   []string
 		date     string
-		want     pushback.Word
+		want     pushback.Signal
 	}{
-		{"seconds", true, []string{"3"}, "", pushback.Rest{For: 3 * time.Second}},
-		{"a fraction", true, []string{"0.25"}, "", pushback.Rest{For: 250 * time.Millisecond}},
-		{"blanks", true, []string{" 2 "}, "", pushback.Rest{For: 2 * time.Second}},
-		{"no header", true, nil, "", pushback.Nothing{}},
-		{"zero", true, []string{"0"}, "", pushback.Nothing{}},
-		{"a success", false, []string{"3"}, "", pushback.Nothing{}},
-		{"a rejection caused by the caller", false, []string{"3"}, "", pushback.Nothing{}},
-		{"two headers: the longer", true, []string{"1", "3"}, "", pushback.Rest{For: 3 * time.Second}},
-		{"negative", true, []string{"-3"}, "", pushback.Unclear{Text: "-3"}},
-		{"words", true, []string{"soon"}, "", pushback.Unclear{Text: "soon"}},
-		{"empty", true, []string{""}, "", pushback.Unclear{Text: ""}},
-		{"no number", true, []string{"NaN"}, "", pushback.Unclear{Text: "NaN"}},
-		{"one malformed header", true, []string{"3", "x"}, "", pushback.Unclear{Text: "x"}},
-		{"endless", true, []string{"Inf"}, "", pushback.Rest{For: pushback.LongestRest}},
-		{"absurd", true, []string{"1e300"}, "", pushback.Rest{For: pushback.LongestRest}},
-		{"a date by the gateway's clock", true, []string{date(noon.Add(4 * time.Second))}, "", pushback.Rest{For: 4 * time.Second}},
-		{"a date by the server's clock", true, []string{date(noon.Add(time.Minute))}, date(noon.Add(58 * time.Second)), pushback.Rest{For: 2 * time.Second}},
-		{"a date that has passed", true, []string{date(noon.Add(-time.Second))}, "", pushback.Nothing{}},
+		{"seconds", true, []string{"3"}, "", pushback.Backoff{Duration: 3 * time.Second}},
+		{"a fraction", true, []string{"0.25"}, "", pushback.Backoff{Duration: 250 * time.Millisecond}},
+		{"blanks", true, []string{" 2 "}, "", pushback.Backoff{Duration: 2 * time.Second}},
+		{"no header", true, nil, "", pushback.NoSignal{}},
+		{"zero", true, []string{"0"}, "", pushback.NoSignal{}},
+		{"a success", false, []string{"3"}, "", pushback.NoSignal{}},
+		{"a rejection caused by the caller", false, []string{"3"}, "", pushback.NoSignal{}},
+		{"two headers: the longer", true, []string{"1", "3"}, "", pushback.Backoff{Duration: 3 * time.Second}},
+		{"negative", true, []string{"-3"}, "", pushback.Malformed{Text: "-3"}},
+		{"words", true, []string{"soon"}, "", pushback.Malformed{Text: "soon"}},
+		{"empty", true, []string{""}, "", pushback.Malformed{Text: ""}},
+		{"no number", true, []string{"NaN"}, "", pushback.Malformed{Text: "NaN"}},
+		{"one malformed header", true, []string{"3", "x"}, "", pushback.Malformed{Text: "x"}},
+		{"endless", true, []string{"Inf"}, "", pushback.Backoff{Duration: pushback.MaxBackoff}},
+		{"absurd", true, []string{"1e300"}, "", pushback.Backoff{Duration: pushback.MaxBackoff}},
+		{"a date by the gateway's clock", true, []string{date(noon.Add(4 * time.Second))}, "", pushback.Backoff{Duration: 4 * time.Second}},
+		{"a date by the server's clock", true, []string{date(noon.Add(time.Minute))}, date(noon.Add(58 * time.Second)), pushback.Backoff{Duration: 2 * time.Second}},
+		{"a date that has passed", true, []string{date(noon.Add(-time.Second))}, "", pushback.NoSignal{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			if c.date != "" {
 				header.Set("Date", c.date)
 			}
-			must.Eq(t, c.want, pushback.Read(c.rejected, header, noon))
+			must.Eq(t, c.want, pushback.Parse(c.rejected, header, noon))
 		})
 	}
 }
@@ -60,6 +60,6 @@
 // Example parses the response of a server that is at capacity for three seconds.
 func Example() {
 	header := http.Header{"Retry-After": {"3"}}
-	fmt.Println(pushback.Read(true, header, noon))
+	fmt.Println(pushback.Parse(true, header, noon))
 	// Output: 3s
 }
--- a/route/route.go
+++ b/route/route.go
@@ -204,7 +204,7 @@
 		return RefusedSelector
 	}
 	switch {
-	case e.Asked == pushback.Leaving:
+	case e.Asked == pushback.Draining:
 		return RefusedLeaving
 	case e.Asked != 0:
 		return RefusedResting
