--- a/cmd/linenscale/limits.go
+++ b/cmd/linenscale/limits.go
@@ -41,7 +41,7 @@
 			rate := func(perSecond float64) string { return strconv.FormatFloat(perSecond, 'f', 2, 64) }
 			rows = append(rows, []string{
 				g.Gateway, l.Engine, l.Service, rate(l.PerSecond), rate(l.Share), strconv.Itoa(l.Sharers),
-				l.Age.Round(time.Millisecond).String(), strconv.Itoa(l.Sent), strconv.Itoa(l.KeptAway),
+				l.Age.Round(time.Millisecond).String(), strconv.Itoa(l.Sent), strconv.Itoa(l.Excluded),
 			})
 		}
 	}
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -226,7 +226,7 @@
 		if reason.isPushback() {
 			p.pushedBack = append(p.pushedBack, e)
 		}
-		limited := d.limits.Limited(e.hash)
+		limited := d.limits.HasLimit(e.hash)
 		if reason == "" && !limited && !d.isCold(p, e, now) {
 			p.readyEngines++
 		}
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -14,12 +14,12 @@
 
 // HeardLimit applies the rate limit in the header of the engine's answer. It is called
 // when the header arrives: other requests may be dispatched before the answer ends.
-func (t *Ticket) HeardLimit(signal ratelimit.Word) {
+func (t *Ticket) HeardLimit(signal ratelimit.Signal) {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
-	if d.limits.Hear(t.engine.hash, signal, t.sentAt, now) {
+	if d.limits.ApplySignal(t.engine.hash, signal, t.sentAt, now) {
 		d.logLimit(t.engine, "its answer", now)
 	}
 }
@@ -38,13 +38,13 @@
 func (d *Dispatcher) chargeLimits(t *Ticket, now time.Time) {
 	for _, e := range t.pool.limited {
 		if e != t.engine && !d.limits.Allows(e.hash, now) {
-			d.limits.KeptAway(e.hash, now)
+			d.limits.CountExcluded(e.hash, now)
 			d.countLimited(e, "kept_away")
 		}
 	}
 	if status, limited := d.limits.Status(t.engine.hash, now); limited {
 		t.limit = &status
-		d.limits.Take(t.engine.hash, now)
+		d.limits.TakeToken(t.engine.hash, now)
 		d.countLimited(t.engine, "sent")
 	}
 }
@@ -58,7 +58,7 @@
 // mergeLimits applies the limits that another gateway of the region reports. The lock is
 // held.
 func (d *Dispatcher) mergeLimits(m rollup.Message, now time.Time) {
-	for _, hash := range d.limits.HearNotes(m.Report.Limits, now) {
+	for _, hash := range d.limits.Receive(m.Report.Limits, now) {
 		if e, ok := d.enginesByHash[hash]; ok {
 			d.logLimit(e, m.From, now)
 		}
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -16,7 +16,7 @@
 
 // name has an engine's answer to a gateway's next request name a limit. The others are tried
 // already.
-func (w *world) name(t *testing.T, gateway int, engine string, word ratelimit.Word) {
+func (w *world) name(t *testing.T, gateway int, engine string, word ratelimit.Signal) {
 	t.Helper()
 	ask := plain("named")
 	for _, e := range w.engines.All() {
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -142,7 +142,7 @@
 		reason := d.exclusionOf(p, e, now)
 		switch {
 		case reason != "" && reason != excludedLimited, d.isCold(p, e, now):
-		case d.limits.Limited(e.hash):
+		case d.limits.HasLimit(e.hash):
 			limited = append(limited, e)
 		default:
 			unlimited = append(unlimited, e)
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -149,7 +149,7 @@
 // limitEnd returns when this gateway may send the engine a request again; zero if it has
 // no share of the engine's rate limit.
 func (d *Dispatcher) limitEnd(e *engine, now time.Time) time.Time {
-	wait, shares := d.limits.Next(e.hash, now)
+	wait, shares := d.limits.Delay(e.hash, now)
 	if !shares {
 		return time.Time{}
 	}
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -158,7 +158,7 @@
 		d.engineCrashed(e.Incarnation(), "address answered by another incarnation", now)
 		d.Log.Warn("engine replaced", zap.String("engine", e.ID), zap.String("address", e.Address))
 	case Unsent:
-		d.limits.GiveBack(e.hash, now)
+		d.limits.ReturnToken(e.hash, now)
 	case Abandoned:
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -201,7 +201,7 @@
 	p.started(now)
 	f.suspects.Begin(w.Tag.fingerprint)
 	key := engineKey(p.service, e.Name)
-	f.limits.Take(key, now)
+	f.limits.TakeToken(key, now)
 	return &Ticket{
 		Engine: e.Name, Address: e.Address, Choice: choice,
 		pool: p, fleet: f, index: choice.Index, began: now, chain: w.Tag.ask.PrefixChain, fingerprint: w.Tag.fingerprint,
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -22,23 +22,23 @@
 }
 
 // HeardLimit takes what the head of the engine's answer says of how many requests it takes.
-func (t *Ticket) HeardLimit(word ratelimit.Word) {
+func (t *Ticket) HeardLimit(word ratelimit.Signal) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.Hear(engineKey(t.pool.service, t.Engine), word, t.began, f.clock())
+	f.limits.ApplySignal(engineKey(t.pool.service, t.Engine), word, t.began, f.clock())
 }
 
 // TellLimits gives what this host knows of limits, for the others.
-func (f *Fleet) TellLimits() []ratelimit.Note {
+func (f *Fleet) TellLimits() []ratelimit.LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.limits.Standing(f.clock())
+	return f.limits.LatestReports(f.clock())
 }
 
 // HearLimits takes what another host of this region told of limits so long ago.
-func (f *Fleet) HearLimits(notes []ratelimit.Note, age time.Duration) {
+func (f *Fleet) HearLimits(notes []ratelimit.LimitReport, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.HearNotes(ratelimit.Older(notes, age), f.clock())
+	f.limits.Receive(ratelimit.AddAge(notes, age), f.clock())
 }
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -47,7 +47,7 @@
 		f.pushback.End(engineKey(t.pool.service, t.Engine))
 	}
 	if result.Outcome == Unsent {
-		f.limits.GiveBack(engineKey(t.pool.service, t.Engine), now)
+		f.limits.ReturnToken(engineKey(t.pool.service, t.Engine), now)
 	}
 	if result.Outcome == Broken {
 		f.watch.Broke(t.Engine, t.fingerprint, now)
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -42,7 +42,7 @@
 		}
 		key := engineKey(p.service, e.Name)
 		bar, barred := f.pushback.Exclusion(key, now)
-		wait, shares := f.limits.Next(key, now)
+		wait, shares := f.limits.Delay(key, now)
 		switch {
 		case barred && bar.Reason == pushback.Draining, !shares:
 		case barred:
--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -39,14 +39,14 @@
 
 // Verdict is the metadata in the head of an engine's answer.
 type Verdict struct {
-	ID          string          // of the request that it answers
-	Engine      string          // incarnation that answered; "" if not stated
-	NotRun      bool            // the engine states that it did not run the request
-	Misdirected bool            // another engine answers at this address
-	Cold        time.Duration   // cold time that the answer states; not used by this package
-	Limit       ratelimit.Word  // the engine's rate limit, over all gateways together
-	Pushback    pushback.Signal // backoff that the engine asks this gateway for
-	Leaving     bool            // the engine is draining and accepts no more requests
+	ID          string           // of the request that it answers
+	Engine      string           // incarnation that answered; "" if not stated
+	NotRun      bool             // the engine states that it did not run the request
+	Misdirected bool             // another engine answers at this address
+	Cold        time.Duration    // cold time that the answer states; not used by this package
+	Limit       ratelimit.Signal // the engine's rate limit, over all gateways together
+	Pushback    pushback.Signal  // backoff that the engine asks this gateway for
+	Leaving     bool             // the engine is draining and accepts no more requests
 }
 
 // Dialect encodes and decodes the platform's headers of callers and engines. This package
--- a/internal/dispatchbench/limit.go
+++ b/internal/dispatchbench/limit.go
@@ -24,7 +24,7 @@
 	arrivals  []time.Duration
 }
 
-func (l *namedLimit) word() ratelimit.Word {
+func (l *namedLimit) word() ratelimit.Signal {
 	if l.since == 0 {
 		return ratelimit.Unlimited{}
 	}
--- a/internal/dispatchbench/ways.go
+++ b/internal/dispatchbench/ways.go
@@ -17,7 +17,7 @@
 
 // ticket is what a way wants to be told of a request.
 type ticket struct {
-	heard func(ratelimit.Word) // what the answer's head says of the engine's limit
+	heard func(ratelimit.Signal) // what the answer's head says of the engine's limit
 	begun func()
 	end   func(dispatch.Outcome)
 }
@@ -83,7 +83,7 @@
 	e := b.choose(w, g, x.a, up)
 	g.own[e.id]++
 	ended := false
-	return e.id, ticket{heard: func(ratelimit.Word) {}, begun: func() {}, end: func(dispatch.Outcome) {
+	return e.id, ticket{heard: func(ratelimit.Signal) {}, begun: func() {}, end: func(dispatch.Outcome) {
 		if !ended {
 			ended = true
 			g.own[e.id]--
--- a/leader/types.go
+++ b/leader/types.go
@@ -36,7 +36,7 @@
 	// Crashes are what is new to the host of requests under which engines crashed.
 	Crashes []quarantine.Note
 	// Limits are what the host knows of limits that engines of its region name.
-	Limits []ratelimit.Note
+	Limits []ratelimit.LimitReport
 }
 
 // ServiceLoad is the state of one service's engines in a region.
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -23,7 +23,7 @@
 	table := ratelimit.New(names[0])
 	table.SetMembers(names, now)
 	for n := range engines {
-		table.Hear(engineHash(n), ratelimit.Limited{PerSecond: 20}, now, now)
+		table.ApplySignal(engineHash(n), ratelimit.Limited{PerSecond: 20}, now, now)
 	}
 	return table
 }
@@ -45,11 +45,11 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			table := tableOf(engines, now)
 			for range 100 {
-				table.Tell(now)
+				table.Outgoing(now)
 			}
 			bytes := 0
 			for b.Loop() {
-				data, err := cbor.Marshal(table.Tell(now))
+				data, err := cbor.Marshal(table.Outgoing(now))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/ratelimit/notes.go
+++ b/ratelimit/notes.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Note reports an engine's limit to another gateway.
-type Note struct {
+// LimitReport reports an engine's limit to another gateway.
+type LimitReport struct {
 	_      struct{} `cbor:",toarray"`
 	Engine uint64   // hash of its incarnation
 	// PerSecond is the limit in thousandths of a request per second, or lifted.
@@ -35,13 +35,13 @@
 	maxAgeMillis = math.MaxUint16
 )
 
-// Tell returns the reports for the next message to the gateways of this region.
-func (t *Table) Tell(now time.Time) []Note {
+// Outgoing returns the reports for the next message to the gateways of this region.
+func (t *Table) Outgoing(now time.Time) []LimitReport {
 	if len(t.engines) == 0 {
 		return nil
 	}
 	engines := t.sortedEngines()
-	var out []Note
+	var out []LimitReport
 	for _, id := range engines {
 		if e := t.engines[id]; e.sendsLeft > 0 && len(out) < maxReports {
 			e.sendsLeft--
@@ -56,20 +56,20 @@
 	return out
 }
 
-// Standing returns the most recently updated limits, as many as fit one message, for a
+// LatestReports returns the most recently updated limits, as many as fit one message, for a
 // host that is polled for them.
-func (t *Table) Standing(now time.Time) []Note {
+func (t *Table) LatestReports(now time.Time) []LimitReport {
 	engines := t.sortedEngines()
 	slices.SortStableFunc(engines, func(a, b uint64) int { return t.engines[b].since.Compare(t.engines[a].since) })
-	var out []Note
+	var out []LimitReport
 	for _, id := range engines[:min(len(engines), maxReports)] {
 		out = append(out, t.engines[id].report(id, now))
 	}
 	return out
 }
 
-func (e *engineLimit) report(id uint64, now time.Time) Note {
-	n := Note{Engine: id, PerSecond: lifted, Age: uint16(min(maxAgeMillis, max(0, now.Sub(e.since).Milliseconds())))}
+func (e *engineLimit) report(id uint64, now time.Time) LimitReport {
+	n := LimitReport{Engine: id, PerSecond: lifted, Age: uint16(min(maxAgeMillis, max(0, now.Sub(e.since).Milliseconds())))}
 	if limit, ok := e.signal.(Limited); ok {
 		n.PerSecond = int64(math.Round(min(limit.PerSecond, math.MaxInt32) * milli))
 	}
@@ -77,16 +77,16 @@
 }
 
 // signal returns the reported limit as a signal.
-func (n Note) signal() Word {
+func (n LimitReport) signal() Signal {
 	if n.PerSecond < 0 {
 		return Unlimited{}
 	}
 	return Limited{PerSecond: float64(n.PerSecond) / milli}
 }
 
-// Older returns a copy of reports with age added to each. Two reports of one engine are
+// AddAge returns a copy of reports with age added to each. Two reports of one engine are
 // ordered by their ages.
-func Older(reports []Note, age time.Duration) []Note {
+func AddAge(reports []LimitReport, age time.Duration) []LimitReport {
 	out := slices.Clone(reports)
 	for i := range out {
 		out[i].Age = uint16(min(maxAgeMillis, int64(out[i].Age)+age.Milliseconds()))
@@ -94,13 +94,13 @@
 	return out
 }
 
-// HearNotes applies the reports of another gateway. It returns the engines whose limits
+// Receive applies the reports of another gateway. It returns the engines whose limits
 // changed.
 //
 // A report of the signal that is already effective changes nothing, not even its age.
 // Network delay makes reports seem younger than they are: if gateways adopted the lower
 // ages and sent them on, a signal would never age, and no later one could replace it.
-func (t *Table) HearNotes(reports []Note, now time.Time) []uint64 {
+func (t *Table) Receive(reports []LimitReport, now time.Time) []uint64 {
 	var changed []uint64
 	for _, n := range reports {
 		since := now.Add(-time.Duration(n.Age) * time.Millisecond)
@@ -123,7 +123,7 @@
 }
 
 // matches reports whether the report has the same limit as a signal, in its precision.
-func (n Note) matches(signal Word) bool {
+func (n LimitReport) matches(signal Signal) bool {
 	limit, limited := signal.(Limited)
 	if !limited {
 		return n.PerSecond == lifted
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -26,7 +26,7 @@
 // engineLimit is the limit of one incarnation of an engine, and this gateway's share of
 // it.
 type engineLimit struct {
-	signal         Word      // Limited or Unlimited
+	signal         Signal    // Limited or Unlimited
 	since          time.Time // when the signal became effective or was last confirmed here
 	sendsLeft      int       // how many more messages include it as a change
 	membersVersion int       // of the members from which share was computed
@@ -47,10 +47,10 @@
 	t.members.update(names, now)
 }
 
-// Hear applies the signal of a response that was received at the given time, to a request
+// ApplySignal applies the signal of a response that was received at the given time, to a request
 // sent at the given time. It reports whether the limit changed.
-func (t *Table) Hear(id uint64, signal Word, sent, received time.Time) (changed bool) {
-	if _, malformed := signal.(Unclear); malformed || signal == nil {
+func (t *Table) ApplySignal(id uint64, signal Signal, sent, received time.Time) (changed bool) {
+	if _, malformed := signal.(Malformed); malformed || signal == nil {
 		return false
 	}
 	e, known := t.engines[id]
@@ -72,7 +72,7 @@
 	case known && !since.After(e.since):
 		return false
 	case known && signal == e.signal:
-		if t.Limited(id) { // Forget drops lifted limits, so their age must grow
+		if t.HasLimit(id) { // Forget drops lifted limits, so their age must grow
 			e.since = since
 		}
 		return false
@@ -82,7 +82,7 @@
 }
 
 // raisesLimit reports whether a signal allows more requests than the one before.
-func raisesLimit(before, after Word) bool {
+func raisesLimit(before, after Signal) bool {
 	old, limited := before.(Limited)
 	if !limited {
 		return false
@@ -91,7 +91,7 @@
 	return !limited || updated.PerSecond > old.PerSecond
 }
 
-func (t *Table) set(e *engineLimit, id uint64, signal Word, since, now time.Time) {
+func (t *Table) set(e *engineLimit, id uint64, signal Signal, since, now time.Time) {
 	e.signal, e.since, e.sendsLeft = signal, since, sendsPerChange
 	t.updateShare(e, id, now)
 }
@@ -130,8 +130,8 @@
 	return e
 }
 
-// Limited reports whether an engine currently names a limit.
-func (t *Table) Limited(id uint64) bool {
+// HasLimit reports whether an engine currently names a limit.
+func (t *Table) HasLimit(id uint64) bool {
 	e, ok := t.engines[id]
 	if !ok {
 		return false
@@ -146,32 +146,32 @@
 	return e == nil || e.share.allows(now)
 }
 
-// Take takes a token for a request that is sent to an engine.
-func (t *Table) Take(id uint64, now time.Time) {
+// TakeToken takes a token for a request that is sent to an engine.
+func (t *Table) TakeToken(id uint64, now time.Time) {
 	if e := t.limitedEngine(id, now); e != nil {
 		e.share.take(now)
 		e.sent++
 	}
 }
 
-// GiveBack returns the token of a request that wasn't sent after all.
-func (t *Table) GiveBack(id uint64, now time.Time) {
+// ReturnToken returns the token of a request that wasn't sent after all.
+func (t *Table) ReturnToken(id uint64, now time.Time) {
 	if e := t.limitedEngine(id, now); e != nil {
 		e.share.refund(now)
 		e.sent--
 	}
 }
 
-// KeptAway counts a request for which an engine is excluded because its share is used up.
-func (t *Table) KeptAway(id uint64, now time.Time) {
+// CountExcluded counts a request for which an engine is excluded because its share is used up.
+func (t *Table) CountExcluded(id uint64, now time.Time) {
 	if e := t.limitedEngine(id, now); e != nil {
 		e.excluded++
 	}
 }
 
-// Next returns how long it takes until this gateway may send a request to an engine;
+// Delay returns how long it takes until this gateway may send a request to an engine;
 // false if it has no share.
-func (t *Table) Next(id uint64, now time.Time) (time.Duration, bool) {
+func (t *Table) Delay(id uint64, now time.Time) (time.Duration, bool) {
 	e := t.limitedEngine(id, now)
 	if e == nil {
 		return 0, true
@@ -183,7 +183,7 @@
 // are no longer known. The owner calls it periodically.
 func (t *Table) Forget(known func(id uint64) bool, now time.Time) {
 	for id, e := range t.engines {
-		if now.Sub(e.since) > retention && (!t.Limited(id) || !known(id)) {
+		if now.Sub(e.since) > retention && (!t.HasLimit(id) || !known(id)) {
 			delete(t.engines, id)
 		}
 	}
@@ -196,7 +196,7 @@
 	Sharers   int           `json:"sharers"`    // gateways that have a share
 	Age       time.Duration `json:"age_ns"`     // of the latest signal
 	Sent      int           `json:"sent"`       // requests sent while limited
-	KeptAway  int           `json:"kept_away"`  // requests for which the engine was excluded
+	Excluded  int           `json:"kept_away"`  // requests for which the engine was excluded
 }
 
 // String returns the status as logs show it.
@@ -211,7 +211,7 @@
 		return Status{}, false
 	}
 	return Status{
-		PerSecond: e.signal.(Limited).PerSecond, Share: e.share.rate, Sharers: e.sharers, Age: now.Sub(e.since), Sent: e.sent, KeptAway: e.excluded,
+		PerSecond: e.signal.(Limited).PerSecond, Share: e.share.rate, Sharers: e.sharers, Age: now.Sub(e.since), Sent: e.sent, Excluded: e.excluded,
 	}, true
 }
 
--- a/ratelimit/table_test.go
+++ b/ratelimit/table_test.go
@@ -152,7 +152,7 @@
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	one, five, none := ratelimit.Limited{PerSecond: 1}, ratelimit.Limited{PerSecond: 5}, ratelimit.Unlimited{}
 	type response struct {
-		signal         ratelimit.Word
+		signal         ratelimit.Signal
 		sent, received int
 	}
 	for name, test := range map[string]struct {
@@ -165,8 +165,8 @@
 		"an older response doesn't raise it": {[]response{{one, 0, 10}, {five, 5, 20}}, 1},
 		"a newer response raises it":         {[]response{{one, 0, 10}, {five, 11, 20}}, 5},
 		"any response may lower it":          {[]response{{five, 10, 20}, {one, 0, 30}}, 1},
-		"a malformed limit changes nothing":  {[]response{{five, 0, 10}, {ratelimit.Unclear{Text: "x"}, 11, 20}}, 5},
-		"a malformed limit sets none":        {[]response{{ratelimit.Unclear{Text: "x"}, 0, 10}}, -1},
+		"a malformed limit changes nothing":  {[]response{{five, 0, 10}, {ratelimit.Malformed{Text: "x"}, 11, 20}}, 5},
+		"a malformed limit sets none":        {[]response{{ratelimit.Malformed{Text: "x"}, 0, 10}}, -1},
 		"a missing response changes nothing": {[]response{{one, 0, 10}, {nil, 20, 30}}, 1},
 		"a limit is set again":               {[]response{{one, 0, 10}, {none, 11, 20}, {one, 5, 30}}, 1},
 		"a limit is confirmed in between":    {[]response{{one, 0, 10}, {one, 11, 30}, {none, 20, 40}}, 1},
@@ -175,7 +175,7 @@
 			table := ratelimit.New("g")
 			table.SetMembers([]string{"g"}, at(0))
 			for _, r := range test.responses {
-				table.Hear(engineID, r.signal, at(r.sent), at(r.received))
+				table.ApplySignal(engineID, r.signal, at(r.sent), at(r.received))
 			}
 			status, limited := table.Status(engineID, at(100))
 			if !limited {
@@ -195,41 +195,41 @@
 		for _, table := range []*ratelimit.Table{sender, receiver} {
 			table.SetMembers([]string{"a", "b"}, at(0))
 		}
-		sender.Hear(engineID, ratelimit.Limited{PerSecond: 1}, at(0), at(10))
+		sender.ApplySignal(engineID, ratelimit.Limited{PerSecond: 1}, at(0), at(10))
 		return sender, receiver
 	}
 
 	sender, receiver := pair()
-	must.Eq(t, []uint64{engineID}, receiver.HearNotes(sender.Tell(at(20)), at(30)))
-	must.True(t, receiver.Limited(engineID))
-	must.SliceEmpty(t, receiver.HearNotes(sender.Tell(at(120)), at(130)), must.Sprint("the report repeats the effective limit"))
+	must.Eq(t, []uint64{engineID}, receiver.Receive(sender.Outgoing(at(20)), at(30)))
+	must.True(t, receiver.HasLimit(engineID))
+	must.SliceEmpty(t, receiver.Receive(sender.Outgoing(at(120)), at(130)), must.Sprint("the report repeats the effective limit"))
 
-	sender.Hear(engineID, ratelimit.Unlimited{}, at(200), at(250))
-	must.Eq(t, []uint64{engineID}, receiver.HearNotes(sender.Tell(at(300)), at(310)))
-	must.False(t, receiver.Limited(engineID))
+	sender.ApplySignal(engineID, ratelimit.Unlimited{}, at(200), at(250))
+	must.Eq(t, []uint64{engineID}, receiver.Receive(sender.Outgoing(at(300)), at(310)))
+	must.False(t, receiver.HasLimit(engineID))
 
 	// A delayed report doesn't undo a later one.
 	sender, receiver = pair()
-	staleReports := sender.Tell(at(20))
-	sender.Hear(engineID, ratelimit.Unlimited{}, at(200), at(250))
-	receiver.HearNotes(sender.Tell(at(300)), at(310))
-	must.SliceEmpty(t, receiver.HearNotes(ratelimit.Older(staleReports, 300*time.Millisecond), at(320)))
-	must.False(t, receiver.Limited(engineID))
+	staleReports := sender.Outgoing(at(20))
+	sender.ApplySignal(engineID, ratelimit.Unlimited{}, at(200), at(250))
+	receiver.Receive(sender.Outgoing(at(300)), at(310))
+	must.SliceEmpty(t, receiver.Receive(ratelimit.AddAge(staleReports, 300*time.Millisecond), at(320)))
+	must.False(t, receiver.HasLimit(engineID))
 
 	// A limit that two gateways keep sending to each other still ages, so that a later
 	// response replaces it.
 	sender, receiver = pair()
 	for ms := 20; ms < 5000; ms += 100 {
-		receiver.HearNotes(sender.Tell(at(ms)), at(ms+90))
-		sender.HearNotes(receiver.Tell(at(ms+90)), at(ms+180))
+		receiver.Receive(sender.Outgoing(at(ms)), at(ms+90))
+		sender.Receive(receiver.Outgoing(at(ms+90)), at(ms+180))
 	}
-	receiver.Hear(engineID, ratelimit.Unlimited{}, at(300), at(5000))
-	must.False(t, receiver.Limited(engineID))
+	receiver.ApplySignal(engineID, ratelimit.Unlimited{}, at(300), at(5000))
+	must.False(t, receiver.HasLimit(engineID))
 
 	sender.Forget(func(uint64) bool { return true }, at(120_000))
-	must.True(t, sender.Limited(engineID), must.Sprint("no response lifted the limit"))
+	must.True(t, sender.HasLimit(engineID), must.Sprint("no response lifted the limit"))
 	sender.Forget(func(uint64) bool { return false }, at(120_000))
-	must.False(t, sender.Limited(engineID), must.Sprint("the engine no longer exists"))
+	must.False(t, sender.HasLimit(engineID), must.Sprint("the engine no longer exists"))
 }
 
 // Example shares an engine's limit between two gateways.
@@ -239,14 +239,14 @@
 	for _, table := range tables {
 		table.SetMembers([]string{"a", "b"}, start)
 	}
-	tables[0].Hear(engineID, ratelimit.Limited{PerSecond: 4}, start, start)
-	tables[1].HearNotes(tables[0].Tell(start), start)
+	tables[0].ApplySignal(engineID, ratelimit.Limited{PerSecond: 4}, start, start)
+	tables[1].Receive(tables[0].Outgoing(start), start)
 	sent := 0
 	for ms := range 10_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for _, table := range tables {
 			if table.Allows(engineID, now) {
-				table.Take(engineID, now)
+				table.TakeToken(engineID, now)
 				sent++
 			}
 		}
--- a/ratelimit/word_test.go
+++ b/ratelimit/word_test.go
@@ -22,7 +22,7 @@
 func TestParse(t *testing.T) {
 	for _, test := range []struct {
 		values []string
-		want   ratelimit.Word
+		want   ratelimit.Signal
 	}{
 		{nil, ratelimit.Unlimited{}},
 		{[]string{"1"}, ratelimit.Limited{PerSecond: 1}},
@@ -31,12 +31,12 @@
 		{[]string{"1e3"}, ratelimit.Limited{PerSecond: 1000}},
 		{[]string{"20", "3"}, ratelimit.Limited{PerSecond: 3}},
 		{[]string{"20, 3"}, ratelimit.Limited{PerSecond: 3}},
-		{[]string{""}, ratelimit.Unclear{}},
-		{[]string{"-1"}, ratelimit.Unclear{Text: "-1"}},
-		{[]string{"NaN"}, ratelimit.Unclear{Text: "NaN"}},
-		{[]string{"Inf"}, ratelimit.Unclear{Text: "Inf"}},
-		{[]string{"5/s"}, ratelimit.Unclear{Text: "5/s"}},
-		{[]string{"3", "many"}, ratelimit.Unclear{Text: "many"}},
+		{[]string{""}, ratelimit.Malformed{}},
+		{[]string{"-1"}, ratelimit.Malformed{Text: "-1"}},
+		{[]string{"NaN"}, ratelimit.Malformed{Text: "NaN"}},
+		{[]string{"Inf"}, ratelimit.Malformed{Text: "Inf"}},
+		{[]string{"5/s"}, ratelimit.Malformed{Text: "5/s"}},
+		{[]string{"3", "many"}, ratelimit.Malformed{Text: "many"}},
 	} {
 		must.Eq(t, test.want, ratelimit.Parse(test.values), must.Sprint(test.values))
 	}
--- a/ratelimit/world_test.go
+++ b/ratelimit/world_test.go
@@ -27,7 +27,7 @@
 // limiter is one strategy to enforce an engine's limit at one gateway.
 type limiter interface {
 	setMembers(names []string, now time.Time)
-	applySignal(signal ratelimit.Word, sent, received time.Time)
+	applySignal(signal ratelimit.Signal, sent, received time.Time)
 	allows(now time.Time) bool
 	takeToken(now time.Time)
 	outgoing(now time.Time) any
@@ -40,14 +40,14 @@
 func newTableLimiter(name string) limiter { return tableLimiter{ratelimit.New(name)} }
 
 func (s tableLimiter) setMembers(names []string, now time.Time) { s.table.SetMembers(names, now) }
-func (s tableLimiter) applySignal(signal ratelimit.Word, sent, received time.Time) {
-	s.table.Hear(engineID, signal, sent, received)
+func (s tableLimiter) applySignal(signal ratelimit.Signal, sent, received time.Time) {
+	s.table.ApplySignal(engineID, signal, sent, received)
 }
 func (s tableLimiter) allows(now time.Time) bool  { return s.table.Allows(engineID, now) }
-func (s tableLimiter) takeToken(now time.Time)    { s.table.Take(engineID, now) }
-func (s tableLimiter) outgoing(now time.Time) any { return s.table.Tell(now) }
+func (s tableLimiter) takeToken(now time.Time)    { s.table.TakeToken(engineID, now) }
+func (s tableLimiter) outgoing(now time.Time) any { return s.table.Outgoing(now) }
 func (s tableLimiter) receive(_ int, reports any, now time.Time) {
-	s.table.HearNotes(reports.([]ratelimit.Note), now)
+	s.table.Receive(reports.([]ratelimit.LimitReport), now)
 }
 
 // sums is a strategy that sends while the requests that this gateway sent within the
@@ -62,7 +62,7 @@
 
 func (s *sums) setMembers([]string, time.Time) {}
 
-func (s *sums) applySignal(signal ratelimit.Word, _, _ time.Time) {
+func (s *sums) applySignal(signal ratelimit.Signal, _, _ time.Time) {
 	if limit, ok := signal.(ratelimit.Limited); ok {
 		s.limit = limit.PerSecond
 	}
@@ -98,7 +98,7 @@
 
 func (e *equalLimiter) setMembers([]string, time.Time) {}
 
-func (e *equalLimiter) applySignal(signal ratelimit.Word, _, received time.Time) {
+func (e *equalLimiter) applySignal(signal ratelimit.Signal, _, received time.Time) {
 	limit, ok := signal.(ratelimit.Limited)
 	if ok && e.limit == 0 {
 		e.tokens, e.refilledAt = 0, received
@@ -145,7 +145,7 @@
 }
 
 // signal returns the signal of the engine's responses at a time.
-func (s scenario) signal(at time.Duration) ratelimit.Word {
+func (s scenario) signal(at time.Duration) ratelimit.Signal {
 	if limit := s.limit(at); limit >= 0 {
 		return ratelimit.Limited{PerSecond: limit}
 	}
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -26,7 +26,7 @@
 	Crashes []quarantine.Note `cbor:"6,keyasint,omitempty"`
 	// Recent changes of the rate limits that engines announce, and a few of the unchanged
 	// ones in rotation.
-	Limits []ratelimit.Note `cbor:"7,keyasint,omitempty"`
+	Limits []ratelimit.LimitReport `cbor:"7,keyasint,omitempty"`
 	// Hashes of engines that recently announced in an answer that they drain.
 	Draining []uint64 `cbor:"8,keyasint,omitempty"`
 	// Engines that have asked gateways to back off, until that time is over.
@@ -116,7 +116,7 @@
 	// crashes keeps the greatest age reported for each crash: a report that is forwarded
 	// appears younger than it is.
 	crashes map[crashKey]quarantine.Note
-	limits  map[uint64]ratelimit.Note // by engine, the youngest report
+	limits  map[uint64]ratelimit.LimitReport // by engine, the youngest report
 }
 
 // maxCrashes bounds the crash reports in one sum to about 4 KB, those of twelve engines
@@ -129,7 +129,7 @@
 
 // aged returns a report that was received that long ago, ready to be forwarded.
 func (r Report) aged(by time.Duration) Report {
-	r.Limits = ratelimit.Older(r.Limits, by)
+	r.Limits = ratelimit.AddAge(r.Limits, by)
 	return r
 }
 
@@ -140,7 +140,7 @@
 }
 
 func newSum() *sum {
-	return &sum{make(map[uint64]EngineLoad), make(map[SentBlock]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUsage), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.Note)}
+	return &sum{make(map[uint64]EngineLoad), make(map[SentBlock]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUsage), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.LimitReport)}
 }
 
 // add adds the report factor times; -1 subtracts it.
