--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -36,7 +36,7 @@
 // held.
 func (t *Ticket) recordBroken(now time.Time) {
 	d, e := t.dispatcher, t.engine
-	if !d.crashDetector.Broke(e.Incarnation(), t.fingerprint, now) {
+	if !d.crashDetector.RecordBreak(e.Incarnation(), t.fingerprint, now) {
 		return
 	}
 	select {
@@ -53,7 +53,7 @@
 	now := d.Clock()
 	e, known := d.enginesByHash[hashString(suspect.Incarnation)]
 	if (known && e.Phase != registry.Ready) || d.isDraining(hashString(suspect.Incarnation), now) {
-		d.crashDetector.Crashed(suspect.Incarnation) // it was shutting down
+		d.crashDetector.ConfirmCrash(suspect.Incarnation) // it was shutting down
 		return
 	}
 	d.engineCrashed(suspect.Incarnation, "connection refused", now)
@@ -62,7 +62,7 @@
 // resolveSuspects decides for each suspect engine, by its state in the registry, whether
 // it crashed or shut down. The lock is held.
 func (d *Dispatcher) resolveSuspects(engines []registry.Engine, now time.Time) {
-	suspects := d.crashDetector.Doubted()
+	suspects := d.crashDetector.Suspects()
 	if len(suspects) == 0 {
 		return
 	}
@@ -73,13 +73,13 @@
 	for _, incarnation := range suspects {
 		switch phase, registered := phases[incarnation]; {
 		case d.isDraining(hashString(incarnation), now) && (!registered || phase >= registry.Silent):
-			d.crashDetector.Crashed(incarnation) // it announced draining in its answers
+			d.crashDetector.ConfirmCrash(incarnation) // it announced draining in its answers
 		case !registered:
 			d.engineCrashed(incarnation, "no longer registered", now)
 		case phase == registry.Silent:
 			d.engineCrashed(incarnation, "no heartbeat", now)
 		case phase == registry.Left:
-			d.crashDetector.Crashed(incarnation) // it shut down as announced
+			d.crashDetector.ConfirmCrash(incarnation) // it shut down as announced
 		}
 	}
 }
@@ -87,7 +87,7 @@
 // engineCrashed records that an engine has ended, and counts the crash against the
 // requests whose connections to it broke. The lock is held.
 func (d *Dispatcher) engineCrashed(incarnation, evidence string, now time.Time) {
-	requests := d.crashDetector.Crashed(incarnation)
+	requests := d.crashDetector.ConfirmCrash(incarnation)
 	if len(requests) == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 		d.Metrics.EngineCrash(len(requests))
 	}
 	for _, f := range requests {
-		if d.quarantine.Crashed(f, incarnation, now) {
+		if d.quarantine.RecordCrash(f, incarnation, now) {
 			d.logQuarantined(f, "this gateway")
 		}
 	}
@@ -111,7 +111,7 @@
 // they ran it. The lock is held.
 func (d *Dispatcher) checkQuarantine(req Ask, now time.Time) error {
 	err := d.quarantine.Check(req.Fingerprint, now)
-	var refused *quarantine.Refused
+	var refused *quarantine.RejectedError
 	if !errors.As(err, &refused) {
 		return nil
 	}
@@ -124,14 +124,14 @@
 // mergeLocalCrashes applies the crashes that another gateway of the region reports. The
 // lock is held.
 func (d *Dispatcher) mergeLocalCrashes(m rollup.Message, now time.Time) {
-	for _, f := range d.quarantine.HearNear(m.Report.Crashes, now) {
+	for _, f := range d.quarantine.ReceiveLocal(m.Report.Crashes, now) {
 		d.logQuarantined(f, m.From)
 	}
 }
 
 // mergeRemoteCrashes applies the crashes that another region reports. The lock is held.
 func (d *Dispatcher) mergeRemoteCrashes(r rollup.RegionReport, now time.Time) {
-	for _, f := range d.quarantine.HearFar(r.Crashes, now) {
+	for _, f := range d.quarantine.ReceiveRemote(r.Crashes, now) {
 		d.logQuarantined(f, r.Region)
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -57,10 +57,10 @@
 	regionReportSent  time.Time                // when the last report went to other regions
 	remotes           map[string]*remoteRegion // other regions by name
 	enginesByHash     map[uint64]*engine
-	accountNames      map[uint32]string // account names by hash
-	sentBlocks        []sentBlock       // recently sent prompt blocks, for the next reports
-	lastCleanup       time.Time         // when expired blocks were last removed
-	crashDetector     *quarantine.Watch // distinguishes crashes from broken connections
+	accountNames      map[uint32]string         // account names by hash
+	sentBlocks        []sentBlock               // recently sent prompt blocks, for the next reports
+	lastCleanup       time.Time                 // when expired blocks were last removed
+	crashDetector     *quarantine.CrashDetector // distinguishes crashes from broken connections
 	suspectEngines    chan Doubt
 	// quarantine holds the requests that were running when engines crashed.
 	quarantine *quarantine.Table
@@ -75,7 +75,7 @@
 		Deps: deps, catalog: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
 		aggregator:      rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
 		evacuationEnded: make(map[string]time.Time), reportingGateways: 1, remotes: make(map[string]*remoteRegion), enginesByHash: make(map[uint64]*engine), accountNames: make(map[uint32]string),
-		crashDetector: quarantine.NewWatch(), suspectEngines: make(chan Doubt, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
+		crashDetector: quarantine.NewCrashDetector(), suspectEngines: make(chan Doubt, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
 	}
 }
 
@@ -135,7 +135,7 @@
 	}
 	if cleanup {
 		d.forgetRemoteBlocks(now)
-		d.quarantine.Forget(now)
+		d.quarantine.Expire(now)
 	}
 	d.resolveSuspects(engines, now)
 	d.updateGateways(now)
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -35,7 +35,7 @@
 
 // report returns this gateway's own report. The lock is held.
 func (d *Dispatcher) report(now time.Time) rollup.Report {
-	r := rollup.Report{SentBlocks: d.recentSentBlocks(now), Accounts: d.ownUsage(now), Crashes: d.quarantine.TellNear(now), Limits: d.limits.Outgoing(now)}
+	r := rollup.Report{SentBlocks: d.recentSentBlocks(now), Accounts: d.ownUsage(now), Crashes: d.quarantine.OutgoingLocal(now), Limits: d.limits.Outgoing(now)}
 	for _, p := range d.pools {
 		for _, e := range p.sorted {
 			if e.connectFailures > 0 && now.Sub(e.connectFailedAt) < unreachableReportTime {
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -109,7 +109,7 @@
 		d.Log.Error("region report not sent: encoding failed", telemetry.Cause(err))
 		return rollup.Message{}, false
 	}
-	return rollup.Message{From: d.Name, Remote: []rollup.RegionReport{{Region: d.Region, Digests: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.TellFar(now)}}}, true
+	return rollup.Message{From: d.Name, Remote: []rollup.RegionReport{{Region: d.Region, Digests: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.OutgoingRemote(now)}}}, true
 }
 
 func (d *Dispatcher) digest(p *pool, now time.Time) Digest {
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -83,7 +83,7 @@
 	defer d.mu.Unlock()
 	now := d.Clock()
 	t.engine.lastHeard = now
-	d.crashDetector.Answers(t.engine.Incarnation(), t.sentAt)
+	d.crashDetector.RecordAnswer(t.engine.Incarnation(), t.sentAt)
 	t.engine.ownLoad.Unread -= t.load.Unread
 	t.load.Unread = 0
 	if served {
--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -24,7 +24,7 @@
 
 // checkSuspect refuses a request under which engines crashed. The lock is held.
 func (f *Fleet) checkSuspect(p quarantine.Fingerprint, now time.Time) error {
-	var refused *quarantine.Refused
+	var refused *quarantine.RejectedError
 	if !errors.As(f.suspects.Check(p, now), &refused) {
 		return nil
 	}
@@ -36,23 +36,23 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, p := range f.watch.Crashed(engine) {
-		f.suspects.Crashed(p, incarnation(engine, now), now)
+	for _, p := range f.watch.ConfirmCrash(engine) {
+		f.suspects.RecordCrash(p, incarnation(engine, now), now)
 	}
 }
 
 // TellCrashes gives what this host knows of crashes, for the others.
-func (f *Fleet) TellCrashes() []quarantine.Note {
+func (f *Fleet) TellCrashes() []quarantine.CrashReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.suspects.Standing(f.clock())
+	return f.suspects.Summary(f.clock())
 }
 
 // HearCrashes takes what another host told of crashes so long ago. It gives the requests
 // that are refused from now on.
-func (f *Fleet) HearCrashes(notes []quarantine.Note, age time.Duration) []quarantine.Fingerprint {
+func (f *Fleet) HearCrashes(notes []quarantine.CrashReport, age time.Duration) []quarantine.Fingerprint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	return f.suspects.HearNear(quarantine.Older(notes, age), now)
+	return f.suspects.ReceiveLocal(quarantine.AddAge(notes, age), now)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -38,7 +38,7 @@
 	mu       sync.Mutex
 	pools    map[string]*pool
 	suspects *quarantine.Table
-	watch    *quarantine.Watch
+	watch    *quarantine.CrashDetector
 	limits   *ratelimit.Table // that engines name
 	pushback *pushback.Table  // what engines ask of this host
 	sharing  []string         // the hosts of this region that share them, as declared
@@ -58,7 +58,7 @@
 		pools:  make(map[string]*pool),
 
 		suspects: quarantine.New(),
-		watch:    quarantine.NewWatch(),
+		watch:    quarantine.NewCrashDetector(),
 		limits:   ratelimit.New(host),
 		pushback: pushback.New(),
 	}
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -50,11 +50,11 @@
 		f.limits.ReturnToken(engineKey(t.pool.service, t.Engine), now)
 	}
 	if result.Outcome == Broken {
-		f.watch.Broke(t.Engine, t.fingerprint, now)
+		f.watch.RecordBreak(t.Engine, t.fingerprint, now)
 	}
 	switch result.Outcome {
 	case Answered:
-		f.watch.Answers(t.Engine, t.began)
+		f.watch.RecordAnswer(t.Engine, t.began)
 		h.Observe(health.Succeeded, result.First)
 		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.began))
 	case Failed, Broken:
@@ -105,7 +105,7 @@
 func (f *Fleet) Probe(service, engine string, sent time.Time, ok bool) {
 	f.each(service, engine, func(p *pool, i int) {
 		if ok {
-			f.watch.Answers(engine, sent)
+			f.watch.RecordAnswer(engine, sent)
 		}
 		p.health[i].Probe(ok)
 		p.judge(f.clock())
--- a/leader/types.go
+++ b/leader/types.go
@@ -34,7 +34,7 @@
 	// They go to the leader, which passes on one word for each region.
 	Services []ServiceLoad
 	// Crashes are what is new to the host of requests under which engines crashed.
-	Crashes []quarantine.Note
+	Crashes []quarantine.CrashReport
 	// Limits are what the host knows of limits that engines of its region name.
 	Limits []ratelimit.LimitReport
 }
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -23,9 +23,9 @@
 func BenchmarkOutgoing(b *testing.B) {
 	table := quarantine.New()
 	for f := range quarantine.Fingerprint(1024) {
-		table.Crashed(1+f, "e", start)
+		table.RecordCrash(1+f, "e", start)
 	}
 	for b.Loop() {
-		table.TellNear(start)
+		table.OutgoingLocal(start)
 	}
 }
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Note reports one crash of an engine under a request, or that an engine answered the
+// CrashReport reports one crash of an engine under a request, or that an engine answered the
 // request.
-type Note struct {
+type CrashReport struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
 	Engine  uint32 // engineHash of the incarnation that crashed; 0 if the request was answered
@@ -83,18 +83,18 @@
 	})
 }
 
-// TellNear returns the reports for the next message to the gateways of this region: the
+// OutgoingLocal returns the reports for the next message to the gateways of this region: the
 // changes seen by this gateway, and some of the quarantined requests in rotation.
-func (t *Table) TellNear(now time.Time) []Note { return t.outgoing(&t.localQueue, now) }
+func (t *Table) OutgoingLocal(now time.Time) []CrashReport { return t.outgoing(&t.localQueue, now) }
 
-// TellFar returns the reports for the next message to other regions: the changes seen
+// OutgoingRemote returns the reports for the next message to other regions: the changes seen
 // anywhere in this region, and some of the quarantined requests in rotation, including
 // those reported by other regions, because two regions may be partitioned from each other
 // while both reach this one.
-func (t *Table) TellFar(now time.Time) []Note { return t.outgoing(&t.remoteQueue, now) }
+func (t *Table) OutgoingRemote(now time.Time) []CrashReport { return t.outgoing(&t.remoteQueue, now) }
 
-func (t *Table) outgoing(q *queue, now time.Time) []Note {
-	var out []Note
+func (t *Table) outgoing(q *queue, now time.Time) []CrashReport {
+	var out []CrashReport
 	if len(t.entries) == 0 {
 		return nil
 	}
@@ -113,14 +113,14 @@
 	return out
 }
 
-// Standing returns as many reports as one message holds, for hosts that are polled
+// Summary returns as many reports as one message holds, for hosts that are polled
 // periodically: the requests with the most crashes first, and of those the ones with the
 // latest crash.
-func (t *Table) Standing(now time.Time) []Note {
+func (t *Table) Summary(now time.Time) []CrashReport {
 	order := slices.SortedFunc(maps.Keys(t.entries), func(a, b Fingerprint) int {
 		return cmp.Or(cmp.Compare(t.crashCount(b), t.crashCount(a)), t.entries[b].lastCrash().Compare(t.entries[a].lastCrash()), cmp.Compare(a, b))
 	})
-	var out []Note
+	var out []CrashReport
 	for _, f := range order {
 		if len(out) >= maxReports {
 			break
@@ -138,17 +138,17 @@
 }
 
 // reports returns everything recorded for a request.
-func (t *Table) reports(f Fingerprint, now time.Time) []Note {
+func (t *Table) reports(f Fingerprint, now time.Time) []CrashReport {
 	e, ok := t.entries[f]
 	if !ok {
 		return nil
 	}
-	var out []Note
+	var out []CrashReport
 	if !e.answeredAt.IsZero() {
-		out = append(out, Note{Request: f, Age: encodeAge(e.answeredAt, now)})
+		out = append(out, CrashReport{Request: f, Age: encodeAge(e.answeredAt, now)})
 	}
 	for _, c := range e.crashes {
-		out = append(out, Note{Request: f, Engine: c.engine, Age: encodeAge(c.at, now)})
+		out = append(out, CrashReport{Request: f, Engine: c.engine, Age: encodeAge(c.at, now)})
 	}
 	return out
 }
@@ -160,10 +160,10 @@
 // maxAge is the highest age of a report, in units of ageUnit: 1.8 hours.
 const maxAge = 1<<16 - 1
 
-// Older returns reports that were received earlier, with the time since then added to
+// AddAge returns reports that were received earlier, with the time since then added to
 // their ages. It drops those that become older than a report can say.
-func Older(reports []Note, d time.Duration) []Note {
-	var out []Note
+func AddAge(reports []CrashReport, d time.Duration) []CrashReport {
+	var out []CrashReport
 	for _, r := range reports {
 		if age := time.Duration(r.Age)*ageUnit + d; age/ageUnit < maxAge {
 			r.Age = uint16(age / ageUnit)
@@ -173,20 +173,20 @@
 	return out
 }
 
-// HearNear applies the reports of a gateway of this region, and queues what is new for
+// ReceiveLocal applies the reports of a gateway of this region, and queues what is new for
 // other regions. It returns the requests that have become quarantined.
-func (t *Table) HearNear(reports []Note, now time.Time) []Fingerprint {
+func (t *Table) ReceiveLocal(reports []CrashReport, now time.Time) []Fingerprint {
 	return t.receive(reports, now, func(f Fingerprint) { t.remoteQueue.push(f) })
 }
 
-// HearFar applies the reports of another region. It doesn't forward them: that region
+// ReceiveRemote applies the reports of another region. It doesn't forward them: that region
 // sends its reports to all regions itself. It returns the requests that have become
 // quarantined.
-func (t *Table) HearFar(reports []Note, now time.Time) []Fingerprint {
+func (t *Table) ReceiveRemote(reports []CrashReport, now time.Time) []Fingerprint {
 	return t.receive(reports, now, func(Fingerprint) {})
 }
 
-func (t *Table) receive(reports []Note, now time.Time, onChange func(Fingerprint)) []Fingerprint {
+func (t *Table) receive(reports []CrashReport, now time.Time, onChange func(Fingerprint)) []Fingerprint {
 	var quarantined []Fingerprint
 	for _, r := range reports {
 		if r.Request == 0 {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -42,8 +42,8 @@
 	maxCrashesPerEntry = 8
 )
 
-// Refused is the error for a request that must not be sent to an engine.
-type Refused struct {
+// RejectedError is the error for a request that must not be sent to an engine.
+type RejectedError struct {
 	Crashes    int // engines that have crashed under it
 	RetryAfter time.Duration
 	// Running is true if the request isn't quarantined, but engines have crashed under it
@@ -52,7 +52,7 @@
 }
 
 // Error implements error.
-func (r *Refused) Error() string {
+func (r *RejectedError) Error() string {
 	if r.Running {
 		return "engines have crashed under it, and it is running"
 	}
@@ -121,12 +121,12 @@
 		return nil
 	}
 	if until, quarantined := e.quarantinedUntil(); quarantined && now.Before(until) {
-		return &Refused{Crashes: len(e.crashes), RetryAfter: until.Sub(now)}
+		return &RejectedError{Crashes: len(e.crashes), RetryAfter: until.Sub(now)}
 	}
 	// Only one at a time: a caller that sends the request ten times a second would
 	// otherwise crash as many engines before the next crash is detected.
 	if t.running[f] > 0 {
-		return &Refused{Crashes: len(e.crashes), RetryAfter: concurrentRetryAfter, Running: true}
+		return &RejectedError{Crashes: len(e.crashes), RetryAfter: concurrentRetryAfter, Running: true}
 	}
 	return nil
 }
@@ -189,9 +189,9 @@
 	return len(e.crashes) < count
 }
 
-// Crashed records that an engine crashed under a request of this gateway. It reports
+// RecordCrash records that an engine crashed under a request of this gateway. It reports
 // whether the request has become quarantined.
-func (t *Table) Crashed(f Fingerprint, incarnation string, now time.Time) (quarantined bool) {
+func (t *Table) RecordCrash(f Fingerprint, incarnation string, now time.Time) (quarantined bool) {
 	if f == 0 || t.answeredRecently(f, now) || !t.addCrash(f, crash{engineHash(incarnation), now}, now) {
 		return false
 	}
@@ -234,7 +234,7 @@
 	if len(t.entries) < maxEntries {
 		return
 	}
-	t.Forget(now)
+	t.Expire(now)
 	if len(t.entries) < maxEntries {
 		return
 	}
@@ -248,8 +248,8 @@
 	delete(t.entries, victim)
 }
 
-// Forget removes expired entries. The owner calls it periodically.
-func (t *Table) Forget(now time.Time) {
+// Expire removes expired entries. The owner calls it periodically.
+func (t *Table) Expire(now time.Time) {
 	for f, e := range t.entries {
 		if now.Sub(e.lastCrash()) > crashTTL && now.Sub(e.answeredAt) > answeredTTL {
 			delete(t.entries, f)
@@ -257,8 +257,8 @@
 	}
 }
 
-// Refused returns the number of quarantined requests.
-func (t *Table) Refused(now time.Time) int { return len(t.quarantined(now)) }
+// QuarantinedCount returns the number of quarantined requests.
+func (t *Table) QuarantinedCount(now time.Time) int { return len(t.quarantined(now)) }
 
 // quarantined lists the quarantined requests, sorted so that their rotation is stable.
 func (t *Table) quarantined(now time.Time) []Fingerprint {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,13 +15,13 @@
 const testRequest quarantine.Fingerprint = 7
 
 // rejection returns the error of Check; nil if the request may run.
-func rejection(t *testing.T, table *quarantine.Table, f quarantine.Fingerprint, now time.Time) *quarantine.Refused {
+func rejection(t *testing.T, table *quarantine.Table, f quarantine.Fingerprint, now time.Time) *quarantine.RejectedError {
 	t.Helper()
 	err := table.Check(f, now)
 	if err == nil {
 		return nil
 	}
-	rejected, ok := err.(*quarantine.Refused)
+	rejected, ok := err.(*quarantine.RejectedError)
 	must.True(t, ok)
 	return rejected
 }
@@ -36,7 +36,7 @@
 		}
 		table.Begin(testRequest)
 		table.End(testRequest, false, now)
-		table.Crashed(testRequest, engine, now)
+		table.RecordCrash(testRequest, engine, now)
 		fmt.Println("engine", engine, "crashed")
 	}
 	// Output:
@@ -49,7 +49,7 @@
 // TestCheck applies crashes and answers in various orders, and calls Check 5 s later.
 func TestCheck(t *testing.T) {
 	crash := func(engine string) func(*quarantine.Table) {
-		return func(table *quarantine.Table) { table.Crashed(testRequest, engine, start) }
+		return func(table *quarantine.Table) { table.RecordCrash(testRequest, engine, start) }
 	}
 	begin := func(table *quarantine.Table) { table.Begin(testRequest) }
 	answered := func(table *quarantine.Table) { table.End(testRequest, true, start.Add(time.Millisecond)) }
@@ -89,9 +89,9 @@
 	var crashes []time.Duration
 	for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
 		now := start.Add(at)
-		table.Forget(now)
+		table.Expire(now)
 		if table.Check(testRequest, now) == nil {
-			table.Crashed(testRequest, fmt.Sprint(len(crashes)), now)
+			table.RecordCrash(testRequest, fmt.Sprint(len(crashes)), now)
 			crashes = append(crashes, at)
 		}
 	}
@@ -131,17 +131,17 @@
 			if !down[engineOf[f]] {
 				continue
 			}
-			table.Crashed(quarantine.Fingerprint(f), fmt.Sprint(generation, engineOf[f]), now)
+			table.RecordCrash(quarantine.Fingerprint(f), fmt.Sprint(generation, engineOf[f]), now)
 			for down[engineOf[f]] {
 				engineOf[f] = random.IntN(engines)
 			}
 		}
 		if outage < 2 {
-			must.Eq(t, 0, table.Refused(now), must.Sprint("after power loss ", outage+1))
+			must.Eq(t, 0, table.QuarantinedCount(now), must.Sprint("after power loss ", outage+1))
 			continue
 		}
-		t.Log(table.Refused(now), "of", requests, "would be quarantined if all of them were still running at the third power loss")
-		must.Less(t, requests/8, table.Refused(now))
+		t.Log(table.QuarantinedCount(now), "of", requests, "would be quarantined if all of them were still running at the third power loss")
+		must.Less(t, requests/8, table.QuarantinedCount(now))
 	}
 }
 
@@ -150,36 +150,36 @@
 func TestTableSizeIsBounded(t *testing.T) {
 	table := quarantine.New()
 	for _, engine := range []string{"a", "b", "c"} {
-		table.Crashed(testRequest, engine, start)
+		table.RecordCrash(testRequest, engine, start)
 	}
 	for f := range quarantine.Fingerprint(10_000) {
-		table.Crashed(1000+f, "z", start.Add(time.Second))
+		table.RecordCrash(1000+f, "z", start.Add(time.Second))
 	}
 	must.NotNil(t, rejection(t, table, testRequest, start.Add(2*time.Second)))
-	must.LessEq(t, 100, len(table.TellNear(start)), must.Sprint("the message is bounded too"))
+	must.LessEq(t, 100, len(table.OutgoingLocal(start)), must.Sprint("the message is bounded too"))
 }
 
 // pair is two tables that exchange their reports as gateways of one region.
 type pair struct{ a, b *quarantine.Table }
 
 func (p pair) exchange(now time.Time) {
-	p.b.HearNear(p.a.TellNear(now), now)
-	p.a.HearNear(p.b.TellNear(now), now)
+	p.b.ReceiveLocal(p.a.OutgoingLocal(now), now)
+	p.a.ReceiveLocal(p.b.OutgoingLocal(now), now)
 }
 
 // TestCrashesAddUpAcrossGateways guards against losing or double-counting crashes that
 // different gateways see: both must count every crash once, however often it is reported.
 func TestCrashesAddUpAcrossGateways(t *testing.T) {
 	p := pair{quarantine.New(), quarantine.New()}
-	p.a.Crashed(testRequest, "1", start)
-	p.b.Crashed(testRequest, "1", start) // engine 1 was running the request for both gateways
-	p.b.Crashed(testRequest, "2", start)
+	p.a.RecordCrash(testRequest, "1", start)
+	p.b.RecordCrash(testRequest, "1", start) // engine 1 was running the request for both gateways
+	p.b.RecordCrash(testRequest, "2", start)
 	for i := range 20 {
 		p.exchange(start.Add(time.Duration(i) * 100 * time.Millisecond))
 	}
 	now := start.Add(3 * time.Second)
 	must.Nil(t, rejection(t, p.a, testRequest, now))
-	p.b.Crashed(testRequest, "3", now)
+	p.b.RecordCrash(testRequest, "3", now)
 	p.exchange(now)
 	must.Eq(t, 3, rejection(t, p.a, testRequest, now).Crashes)
 	must.Between(t, 599*time.Second, rejection(t, p.a, testRequest, now).RetryAfter, 600*time.Second)
@@ -189,14 +189,14 @@
 // another gateway received. The crashes must no longer count at the first.
 func TestAnswerIsReported(t *testing.T) {
 	p := pair{quarantine.New(), quarantine.New()}
-	p.a.Crashed(testRequest, "1", start)
-	p.a.Crashed(testRequest, "2", start)
+	p.a.RecordCrash(testRequest, "1", start)
+	p.a.RecordCrash(testRequest, "2", start)
 	p.exchange(start)
 	p.b.Begin(testRequest)
 	p.b.End(testRequest, true, start.Add(time.Second))
 	p.exchange(start.Add(time.Second))
 	p.exchange(start.Add(time.Second))
-	p.a.Crashed(testRequest, "3", start.Add(2*time.Second))
+	p.a.RecordCrash(testRequest, "3", start.Add(2*time.Second))
 	must.Nil(t, rejection(t, p.a, testRequest, start.Add(3*time.Second)))
 }
 
@@ -207,21 +207,21 @@
 	sender := quarantine.New()
 	for f := range quarantine.Fingerprint(100) {
 		for _, engine := range []string{"a", "b", "c"} {
-			sender.Crashed(1+f, engine, start)
+			sender.RecordCrash(1+f, engine, start)
 		}
 	}
 	now := start.Add(time.Minute)
 	for range 100 { // all changes have been sent
-		sender.TellNear(now)
-		sender.TellFar(now)
+		sender.OutgoingLocal(now)
+		sender.OutgoingRemote(now)
 	}
 	local, remote := quarantine.New(), quarantine.New()
 	for range 30 {
-		local.HearNear(sender.TellNear(now), now)
+		local.ReceiveLocal(sender.OutgoingLocal(now), now)
 	}
 	for range 30 {
-		remote.HearFar(sender.TellFar(now), now)
+		remote.ReceiveRemote(sender.OutgoingRemote(now), now)
 	}
-	must.Eq(t, 100, local.Refused(now))
-	must.Eq(t, 100, remote.Refused(now))
+	must.Eq(t, 100, local.QuarantinedCount(now))
+	must.Eq(t, 100, remote.QuarantinedCount(now))
 }
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -20,7 +20,7 @@
 	maxSuspects = 128
 )
 
-// Watch records the requests whose connections to an engine broke before their answers
+// CrashDetector records the requests whose connections to an engine broke before their answers
 // were complete, until it is clear whether the engine crashed. An engine that answers a
 // request sent later is alive; one that refuses connections, restarts or sends no
 // heartbeats has crashed. Single answers also break off on unhealthy engines and bad
@@ -28,7 +28,7 @@
 // crashes.
 //
 // It isn't safe for concurrent use.
-type Watch struct {
+type CrashDetector struct {
 	suspects map[string]*suspect // by incarnation of the engine
 }
 
@@ -38,12 +38,12 @@
 	requests  []Fingerprint
 }
 
-// NewWatch returns a detector without suspects.
-func NewWatch() *Watch { return &Watch{suspects: make(map[string]*suspect)} }
+// NewCrashDetector returns a detector without suspects.
+func NewCrashDetector() *CrashDetector { return &CrashDetector{suspects: make(map[string]*suspect)} }
 
-// Broke records that the connection of a request to an engine broke. It reports whether
+// RecordBreak records that the connection of a request to an engine broke. It reports whether
 // the engine wasn't suspected before, so that the caller should check on it.
-func (w *Watch) Broke(engine string, f Fingerprint, now time.Time) (first bool) {
+func (w *CrashDetector) RecordBreak(engine string, f Fingerprint, now time.Time) (first bool) {
 	w.expire(now)
 	s, ok := w.suspects[engine]
 	if !ok {
@@ -60,17 +60,17 @@
 	return !ok
 }
 
-// Answers records that an engine answered a request sent at the given time. If all
+// RecordAnswer records that an engine answered a request sent at the given time. If all
 // connections broke before that, the engine didn't crash and is no longer suspected.
-func (w *Watch) Answers(engine string, sent time.Time) {
+func (w *CrashDetector) RecordAnswer(engine string, sent time.Time) {
 	if s, ok := w.suspects[engine]; ok && s.lastBreak.Before(sent) {
 		delete(w.suspects, engine)
 	}
 }
 
-// Crashed reports that an engine has crashed. It returns the requests whose connections
+// ConfirmCrash reports that an engine has crashed. It returns the requests whose connections
 // broke with it, once.
-func (w *Watch) Crashed(engine string) []Fingerprint {
+func (w *CrashDetector) ConfirmCrash(engine string) []Fingerprint {
 	s, ok := w.suspects[engine]
 	if !ok {
 		return nil
@@ -79,12 +79,12 @@
 	return s.requests
 }
 
-// Doubted lists the suspected engines.
-func (w *Watch) Doubted() []string { return slices.Collect(maps.Keys(w.suspects)) }
+// Suspects lists the suspected engines.
+func (w *CrashDetector) Suspects() []string { return slices.Collect(maps.Keys(w.suspects)) }
 
 // expire removes the suspects that neither crashed nor answered in time: they are still
 // registered, but get no request that would show whether they are alive.
-func (w *Watch) expire(now time.Time) {
+func (w *CrashDetector) expire(now time.Time) {
 	for engine, s := range w.suspects {
 		if now.Sub(s.lastBreak) > suspicionTTL {
 			delete(w.suspects, engine)
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -47,34 +47,34 @@
 // the event didn't show that the engine was alive.
 func TestBreakCountsOnlyIfEngineCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
-		event   func(w *quarantine.Watch)
+		event   func(w *quarantine.CrashDetector)
 		crashed []quarantine.Fingerprint
 	}{
-		"no event": {func(*quarantine.Watch) {}, []quarantine.Fingerprint{1, 2}},
-		"answers a request sent after the breaks":  {func(w *quarantine.Watch) { w.Answers("e", start.Add(2*time.Second)) }, nil},
-		"answers a request sent before the breaks": {func(w *quarantine.Watch) { w.Answers("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"another engine answers":                   {func(w *quarantine.Watch) { w.Answers("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"no answer or crash for a minute":          {func(w *quarantine.Watch) { w.Broke("f", 3, start.Add(time.Minute)) }, nil},
+		"no event": {func(*quarantine.CrashDetector) {}, []quarantine.Fingerprint{1, 2}},
+		"answers a request sent after the breaks":  {func(w *quarantine.CrashDetector) { w.RecordAnswer("e", start.Add(2*time.Second)) }, nil},
+		"answers a request sent before the breaks": {func(w *quarantine.CrashDetector) { w.RecordAnswer("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"another engine answers":                   {func(w *quarantine.CrashDetector) { w.RecordAnswer("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"no answer or crash for a minute":          {func(w *quarantine.CrashDetector) { w.RecordBreak("f", 3, start.Add(time.Minute)) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := quarantine.NewWatch()
-			must.True(t, w.Broke("e", 1, start))
-			must.False(t, w.Broke("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
+			w := quarantine.NewCrashDetector()
+			must.True(t, w.RecordBreak("e", 1, start))
+			must.False(t, w.RecordBreak("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
 			test.event(w)
-			must.Eq(t, test.crashed, w.Crashed("e"))
-			must.SliceEmpty(t, w.Crashed("e"), must.Sprint("each crash returns its requests once"))
+			must.Eq(t, test.crashed, w.ConfirmCrash("e"))
+			must.SliceEmpty(t, w.ConfirmCrash("e"), must.Sprint("each crash returns its requests once"))
 		})
 	}
 }
 
 // TestSuspectsAreBounded breaks more connections than the detector records.
 func TestSuspectsAreBounded(t *testing.T) {
-	w := quarantine.NewWatch()
+	w := quarantine.NewCrashDetector()
 	for engine := range 1000 {
 		for f := range quarantine.Fingerprint(200) {
-			w.Broke(fmt.Sprint(engine), f, start)
+			w.RecordBreak(fmt.Sprint(engine), f, start)
 		}
 	}
-	must.SliceLen(t, 128, w.Doubted())
-	must.SliceLen(t, 128, w.Crashed("0"))
+	must.SliceLen(t, 128, w.Suspects())
+	must.SliceLen(t, 128, w.ConfirmCrash("0"))
 }
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -23,7 +23,7 @@
 	// The client accounts whose callers currently send requests.
 	Accounts []AccountUsage `cbor:"5,keyasint,omitempty"`
 	// Recent changes of the crash records of requests.
-	Crashes []quarantine.Note `cbor:"6,keyasint,omitempty"`
+	Crashes []quarantine.CrashReport `cbor:"6,keyasint,omitempty"`
 	// Recent changes of the rate limits that engines announce, and a few of the unchanged
 	// ones in rotation.
 	Limits []ratelimit.LimitReport `cbor:"7,keyasint,omitempty"`
@@ -84,7 +84,7 @@
 	// What the region's callers do.
 	Accounts []AccountUsage `cbor:"4,keyasint,omitempty"`
 	// The crash records of requests that the region's gateways report.
-	Crashes []quarantine.Note `cbor:"5,keyasint,omitempty"`
+	Crashes []quarantine.CrashReport `cbor:"5,keyasint,omitempty"`
 }
 
 // Message is what gateways send to each other: the Report of a group, to other leaders;
@@ -115,7 +115,7 @@
 	uses        map[uint32]AccountUsage
 	// crashes keeps the greatest age reported for each crash: a report that is forwarded
 	// appears younger than it is.
-	crashes map[crashKey]quarantine.Note
+	crashes map[crashKey]quarantine.CrashReport
 	limits  map[uint64]ratelimit.LimitReport // by engine, the youngest report
 }
 
@@ -140,7 +140,7 @@
 }
 
 func newSum() *sum {
-	return &sum{make(map[uint64]EngineLoad), make(map[SentBlock]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUsage), make(map[crashKey]quarantine.Note), make(map[uint64]ratelimit.LimitReport)}
+	return &sum{make(map[uint64]EngineLoad), make(map[SentBlock]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]bool), make(map[uint64]int), make(map[uint32]AccountUsage), make(map[crashKey]quarantine.CrashReport), make(map[uint64]ratelimit.LimitReport)}
 }
 
 // add adds the report factor times; -1 subtracts it.
