--- a/controller/commands.go
+++ b/controller/commands.go
@@ -129,13 +129,13 @@
 func (c *Controller) waitUntilCurrent(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var reply follow.ReadReply
+	var reply follow.ReadIndexReply
 	err := c.callLeader(ctx, func() error {
 		var err error
 		reply.Index, err = c.readIndex(ctx)
 		return err
 	}, func(address string) error {
-		return c.Commands.Call(ctx, address, follow.Service+".ReadIndex", follow.Nothing{}, &reply)
+		return c.Commands.Call(ctx, address, follow.Service+".ReadIndex", follow.Empty{}, &reply)
 	})
 	for err == nil && c.replica.Status().Applied < reply.Index {
 		duty.Pause(ctx, leaderRetryInterval/5)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -146,7 +146,7 @@
 		return nil, errors.Annotate(err, "ledger")
 	}
 	c.follower = follow.New(follow.Deps{
-		Self: c.self, Seeds: deps.Seeds, Calls: deps.Calls, Engines: c.engines, Log: deps.Log, Clock: deps.Clock, Steady: deps.Steady,
+		Self: c.self, Seeds: deps.Seeds, Client: deps.Calls, Engines: c.engines, Log: deps.Log, Clock: deps.Clock, Steady: deps.Steady,
 	})
 	return c, nil
 }
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -61,8 +61,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Told)
 	defer cancel()
-	args := follow.TellArgs{Engine: follow.NewsOf([]registry.Engine{e}, c.Clock())[0]}
-	if err := c.Commands.Call(ctx, host.Peer, follow.Service+".Tell", args, &follow.Nothing{}); err != nil {
+	args := follow.TellArgs{Engine: follow.NewEngineUpdates([]registry.Engine{e}, c.Clock())[0]}
+	if err := c.Commands.Call(ctx, host.Peer, follow.Service+".Tell", args, &follow.Empty{}); err != nil {
 		c.Log.Warn("engine answered before all gateways acknowledged its state", zap.String("engine", engine), zap.String("through", host.Name), telemetry.Cause(err))
 		return
 	}
--- a/controller/entries_test.go
+++ b/controller/entries_test.go
@@ -58,7 +58,7 @@
 	t.Parallel()
 	n, hosts := newHosts(t)
 	g := newGateway(t, n, hosts[0].ip+"0", "a", hosts[0].seeds)
-	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.InTouch() == 3 })
+	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.ConnectedCount() == 3 })
 	eventually(t, stepTimeout, "it is named", func() bool { return len(hosts[0].c.Entries("h", "kano", "c")) == 1 })
 	hosts[0].losePower()
 	hosts[0].start()
--- a/controller/gateways_test.go
+++ b/controller/gateways_test.go
@@ -46,8 +46,8 @@
 			defer g.mu.Unlock()
 			return roster.Host{Name: ip, Role: roster.RoleGateway, Region: regions[centre], DataCentre: centre, Life: ip, Peer: peer(ip), Callers: ip + ":80", Stopping: g.stopping}
 		},
-		Seeds: func() []string { return seeds }, Calls: wire.NewClient(dialer{n, ip}), Engines: g.engines,
-		Took: func(s ledger.State) {
+		Seeds: func() []string { return seeds }, Client: wire.NewClient(dialer{n, ip}), Engines: g.engines,
+		OnState: func(s ledger.State) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			g.states = append(g.states, s)
@@ -89,7 +89,7 @@
 	// acknowledged it.
 	draining := beat("i-1", "a", 2)
 	draining.Phase = registry.Draining
-	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.InTouch() == 3 })
+	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.ConnectedCount() == 3 })
 	hosts[1].c.Beat(context.Background(), draining)
 	e, _ := g.engines.Get("i-1")
 	must.Eq(t, registry.Draining, e.Phase)
@@ -116,7 +116,7 @@
 	prefix := strings.TrimSuffix(hosts[0].ip, "1")
 	g := newGateway(t, n, prefix+"100", "a", hosts[0].seeds)
 	putCatalog(t, hosts[1], 1)
-	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.InTouch() == 3 && g.version() == 1 })
+	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.ConnectedCount() == 3 && g.version() == 1 })
 	core, logs := observer.New(zap.WarnLevel)
 	hosts[1].losePower()
 	hosts[1].drainTimeout, hosts[1].log = 50*time.Millisecond, zap.New(core)
@@ -198,7 +198,7 @@
 	hosts[0].c.Beat(context.Background(), beat("i-1", "a", 1))
 	eventually(t, stepTimeout, "the gateway has the catalog and the engine", func() bool { _, ok := g.engines.Get("i-1"); return ok && g.version() == 1 })
 	n.isolate(ip, true)
-	eventually(t, stepTimeout, "the gateway is disconnected", func() bool { return g.follower.InTouch() == 0 })
+	eventually(t, stepTimeout, "the gateway is disconnected", func() bool { return g.follower.ConnectedCount() == 0 })
 	must.Eq(t, 1, g.version())
 	e, ok := g.engines.Get("i-1")
 	must.True(t, ok)
@@ -262,13 +262,13 @@
 	g := newGateway(t, n, prefix+"100", "a", hosts[0].seeds)
 	other := newGateway(t, n, prefix+"101", "c", hosts[0].seeds)
 	gatewayCount := func() int { return len(g.follower.Gateways()) }
-	eventually(t, stepTimeout, "both are named", func() bool { return gatewayCount() == 2 && g.follower.InTouch() == 3 })
+	eventually(t, stepTimeout, "both are named", func() bool { return gatewayCount() == 2 && g.follower.ConnectedCount() == 3 })
 	hosts[0].stop()
 	other.cancel()
 	eventually(t, stepTimeout, "the lost gateway is no longer named", func() bool { return gatewayCount() == 1 })
 	for _, h := range hosts {
 		h.stop()
 	}
-	eventually(t, stepTimeout, "no control host is connected", func() bool { return g.follower.InTouch() == 0 })
+	eventually(t, stepTimeout, "no control host is connected", func() bool { return g.follower.ConnectedCount() == 0 })
 	must.Eq(t, 1, gatewayCount(), must.Sprint("without control hosts, the last roster is kept"))
 }
--- a/controller/remember.go
+++ b/controller/remember.go
@@ -33,14 +33,14 @@
 	if data == nil {
 		return
 	}
-	var saved []follow.EngineNews
+	var saved []follow.EngineUpdate
 	if err := ledger.Unpack(data, &saved); err != nil {
 		c.Log.Warn("saved engines are unreadable, starting without them", telemetry.Cause(err))
 		return
 	}
 	engines := make([]registry.Engine, len(saved))
 	for i, update := range saved {
-		engines[i] = update.Local(c.Clock())
+		engines[i] = update.ToEngine(c.Clock())
 	}
 	c.engines.Recall(engines)
 	c.Log.Info("saved engines restored", zap.Int("engines", len(engines)))
@@ -69,7 +69,7 @@
 }
 
 func (c *Controller) saveOnce() {
-	data, err := ledger.Pack(follow.NewsOf(c.engines.All(), c.Clock()))
+	data, err := ledger.Pack(follow.NewEngineUpdates(c.engines.All(), c.Clock()))
 	if err == nil {
 		err = c.savedEngines.Write(data)
 	}
--- a/controller/service.go
+++ b/controller/service.go
@@ -31,7 +31,7 @@
 func (s *Service) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
 	c := s.controller
 	received := c.Steady()
-	wait := min(args.Wait, follow.FarWait)
+	wait := min(args.Wait, follow.BriefSyncWait)
 	if args.Known {
 		if args.Self = c.roster.Known(args.Self.Name, args.Self.Life); args.Self.Name == "" {
 			*reply = follow.SyncReply{Stranger: true}
@@ -51,9 +51,9 @@
 		changes := c.changes(args.Brief)
 		*reply = c.buildReply(args, received)
 		switch {
-		case reply.News(args) && (gathered || reply.Urgent(args)):
+		case reply.HasChanges(args) && (gathered || reply.IsUrgent(args)):
 			return nil
-		case reply.News(args):
+		case reply.HasChanges(args):
 			gathered = true
 			duty.Pause(s.ctx, c.Gather)
 			continue
@@ -116,7 +116,7 @@
 		return reply
 	}
 	if args.Self.Role == roster.RoleGateway {
-		reply.Hears = c.follower.Hears(args.Self.Region)
+		reply.Hears = c.follower.ConnectedControlHosts(args.Self.Region)
 	}
 	relevant := func(e registry.Engine) bool {
 		if args.Self.Role == roster.RoleControl {
@@ -127,7 +127,7 @@
 		return e.DataCentre == "" || c.Regions[e.DataCentre] == args.Self.Region
 	}
 	engines, number := c.engines.Since(args.Engines, relevant)
-	reply.Engines, reply.Number = follow.NewsOf(engines, now), number
+	reply.Engines, reply.Number = follow.NewEngineUpdates(engines, now), number
 	for i := range reply.Engines {
 		if reply.Engines[i].Engine.Source == c.Self.Life {
 			// The reply's Life implies it; it takes a third of an encoded engine.
@@ -148,10 +148,10 @@
 
 // Tell merges another control host's update of an engine, and returns once the gateways
 // that follow this host have acknowledged it.
-func (s *Service) Tell(args follow.TellArgs, _ *follow.Nothing) error {
+func (s *Service) Tell(args follow.TellArgs, _ *follow.Empty) error {
 	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
-	e := args.Engine.Local(s.controller.Clock())
+	e := args.Engine.ToEngine(s.controller.Clock())
 	s.controller.engines.Merge([]registry.Engine{e})
 	s.controller.awaitLocalAcknowledgements(ctx, e.ID, e.DataCentre)
 	return nil
@@ -192,7 +192,7 @@
 
 // ReadIndex returns an index that covers every command accepted so far. It fails unless
 // this host leads.
-func (s *Service) ReadIndex(_ follow.Nothing, reply *follow.ReadReply) error {
+func (s *Service) ReadIndex(_ follow.Empty, reply *follow.ReadIndexReply) error {
 	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var err error
@@ -201,7 +201,7 @@
 }
 
 // Deliver passes Raft messages to this host's replica.
-func (s *Service) Deliver(messages follow.Deliveries, _ *follow.Nothing) error {
+func (s *Service) Deliver(messages follow.Deliveries, _ *follow.Empty) error {
 	for _, m := range messages {
 		s.controller.replica.Deliver(m)
 	}
--- a/controller/surety.go
+++ b/controller/surety.go
@@ -72,10 +72,10 @@
 
 // report returns the latest confirmation with its times as durations, which are valid on
 // any host. received is when the call arrived.
-func (f *freshness) report(received, now time.Duration) follow.Surety {
+func (f *freshness) report(received, now time.Duration) follow.Freshness {
 	latest := f.latest.Load()
 	if latest == nil {
-		return follow.Surety{}
+		return follow.Freshness{}
 	}
-	return follow.Surety{Known: true, Index: latest.index, Age: now - latest.at, Held: now - received}
+	return follow.Freshness{Known: true, Index: latest.index, Age: now - latest.at, Held: now - received}
 }
--- a/controller/surety_test.go
+++ b/controller/surety_test.go
@@ -13,7 +13,7 @@
 // freshness returns as of when the gateway's state is known to be current; false if
 // unknown.
 func (g *gatewayHost) freshness() (time.Duration, bool) {
-	return g.follower.SureUntil(g.follower.State().Index)
+	return g.follower.FreshUntil(g.follower.State().Index)
 }
 
 // TestGatewayTracksFreshness guards against a gateway that takes the replies of a
@@ -30,14 +30,14 @@
 		eventually(t, stepTimeout, note, func() bool { at, ok := g.freshness(); return ok && g.version() == 1 && at > start })
 	}
 	expectConfirmation("the state is confirmed")
-	before, known := g.follower.SureUntil(0)
+	before, known := g.follower.FreshUntil(0)
 	at, _ := g.freshness()
 	must.True(t, !known || before < at, must.Sprint("an earlier state isn't current for longer"))
 
 	hosts[1].stop()
 	hosts[2].stop()
 	majorityLost := steady.Now()
-	eventually(t, stepTimeout, "the remaining control host keeps replying", func() bool { return steady.Now()-majorityLost > 3*time.Second && g.follower.InTouch() > 0 })
+	eventually(t, stepTimeout, "the remaining control host keeps replying", func() bool { return steady.Now()-majorityLost > 3*time.Second && g.follower.ConnectedCount() > 0 })
 	at, ok := g.freshness()
 	must.True(t, ok)
 	must.Less(t, majorityLost, at, must.Sprint("nothing counts without a majority's confirmation"))
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -119,8 +119,8 @@
 			now.Stopping = server.Stopping()
 			return now
 		},
-		Seeds: m.seedPeers, Calls: m.calls, Engines: engines,
-		Took: func(s ledger.State) { server.Take(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
+		Seeds: m.seedPeers, Client: m.calls, Engines: engines,
+		OnState: func(s ledger.State) { server.Take(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
 	})
 	m.regions.Store(follower)
 	regions := m.allRegions()
@@ -135,7 +135,7 @@
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
 		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTime: peerIdle}), Log: m.log, Metrics: m.metrics,
 		Random: rand.Uint64, Clock: steady.Time, StopTime: m.settings.StopTime - stopMargin,
-		Keys:       ingress.Keys{RevokedWithin: m.settings.KeysRevokedWithin, SureUntil: follower.SureUntil, Steady: steady.Now},
+		Keys:       ingress.Keys{RevokedWithin: m.settings.KeysRevokedWithin, SureUntil: follower.FreshUntil, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
 	})
 	group.Go(follower.Run)
--- a/follow/brief_test.go
+++ b/follow/brief_test.go
@@ -89,8 +89,8 @@
 		Self: func() roster.Host {
 			return roster.Host{Name: "g", Role: roster.RoleGateway, Region: "here", DataCentre: "a"}
 		},
-		Seeds: func() []string { return seeds }, Calls: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
-		Took: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
+		Seeds: func() []string { return seeds }, Client: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
+		OnState: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
 	waitForBrief := func(note string, brief map[string]bool) {
@@ -140,8 +140,8 @@
 	group.Go(func() { _ = server.Serve(ctx, listener) })
 	follower := follow.New(follow.Deps{
 		Self:  func() roster.Host { return roster.Host{Name: "g", Life: "1", Role: roster.RoleGateway} },
-		Seeds: func() []string { return []string{listener.Addr().String()} }, Calls: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
-		Took: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
+		Seeds: func() []string { return []string{listener.Addr().String()} }, Client: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
+		OnState: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
 	waitForIntroductions := func(count int) {
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -35,10 +35,10 @@
 	// SyncWait is how long a control host may delay its answer to a Sync. It bounds the
 	// age of a host's heartbeat, and thus how fast a lost host is noticed.
 	SyncWait = 500 * time.Millisecond
-	// FarWait replaces SyncWait for a control host that is polled briefly, because a
+	// BriefSyncWait replaces SyncWait for a control host that is polled briefly, because a
 	// closer one sends hosts and engines. Changes still arrive at once. With 300 gateways
 	// in three regions, each control host answers 270 polls per second instead of 600.
-	FarWait = 1500 * time.Millisecond
+	BriefSyncWait = 1500 * time.Millisecond
 	// syncSlack is how much longer than the requested wait an answer may take before
 	// the call fails: it covers a round trip between regions and a slow processor.
 	syncSlack = 900 * time.Millisecond
@@ -61,13 +61,13 @@
 type Deps struct {
 	Self    func() roster.Host // description of this host, sent to control hosts
 	Seeds   func() []string    // peer addresses of control hosts, from the settings
-	Calls   *wire.Client
+	Client  *wire.Client
 	Engines *registry.Table
 	// Called with each newer state of the ledger. It is nil on a control host, which has
 	// its own replica of the ledger.
-	Took  func(ledger.State)
-	Log   *zap.Logger
-	Clock func() time.Time
+	OnState func(ledger.State)
+	Log     *zap.Logger
+	Clock   func() time.Time
 	// Steady is the clock that measures how up to date the ledger's state is. It goes on
 	// while the host is suspended.
 	Steady func() time.Duration
@@ -153,7 +153,7 @@
 		args := f.newSyncArgs(l)
 		sentAt := f.Steady()
 		var reply SyncReply
-		err := f.Calls.WithTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
+		err := f.Client.WithTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
 		if err != nil {
 			f.noteFailure(l, err)
 			duty.Pause(ctx, retryInterval)
@@ -176,13 +176,13 @@
 	brief := f.shouldSyncBriefly(l, self)
 	l.wait = SyncWait
 	if brief {
-		l.wait = FarWait
+		l.wait = BriefSyncWait
 	}
 	args := SyncArgs{Self: self, Life: l.incarnation, Engines: l.engineCursor, Index: f.state.Index, Roster: l.rosterCursor, Wait: l.wait, Brief: brief, Sure: len(l.freshness) > 0}
 	if l.incarnation == "" || !l.aheadSince.IsZero() || (!brief && l.hosts == nil) {
 		args.Wait = 0
 	}
-	if f.Took == nil {
+	if f.OnState == nil {
 		args.Index = math.MaxUint64 // a control host needs no state, so none counts as newer
 	}
 	if self == l.knownSelf {
@@ -210,7 +210,7 @@
 	now := f.Clock()
 	engines := make([]registry.Engine, len(reply.Engines))
 	for i, update := range reply.Engines {
-		engines[i] = update.Local(now)
+		engines[i] = update.ToEngine(now)
 		if engines[i].Source == "" {
 			engines[i].Source = reply.Life
 		}
@@ -242,7 +242,7 @@
 // one: at once from a control host of this region; from one of a remote region only if
 // none of this region is connected, or none has provided it within remoteFetchDelay.
 func (f *Follower) shouldFetchState(l *link, region string, index uint64, now time.Time) bool {
-	if f.Took == nil || index <= f.state.Index {
+	if f.OnState == nil || index <= f.state.Index {
 		l.aheadSince = time.Time{}
 		return false
 	}
@@ -263,7 +263,7 @@
 // fetchState fetches the ledger's state from a control host and applies it if it is newer.
 func (f *Follower) fetchState(ctx context.Context, l *link) {
 	var reply StateReply
-	if err := f.Calls.WithTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
+	if err := f.Client.WithTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
 		f.Log.Warn("ledger state not fetched, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
 		return
 	}
@@ -282,7 +282,7 @@
 	if newer {
 		f.Log.Info("ledger state applied", zap.String("from", l.address), zap.Uint64("index", state.Index),
 			zap.Int64("version", state.Catalog.Version), zap.Strings("evacuated", state.Evacuated))
-		f.Took(state)
+		f.OnState(state)
 	}
 }
 
@@ -293,8 +293,8 @@
 	return f.state
 }
 
-// InTouch counts the control hosts that have answered and aren't lost.
-func (f *Follower) InTouch() int {
+// ConnectedCount counts the control hosts that have answered and aren't lost.
+func (f *Follower) ConnectedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -32,7 +32,7 @@
 	c.syncs.Add(1)
 	c.lastWait.Store(int64(args.Wait))
 	*reply = follow.SyncReply{Life: "1", Index: 5, Hosts: c.hosts, Roster: 1}
-	if !reply.News(args) {
+	if !reply.HasChanges(args) {
 		time.Sleep(args.Wait)
 	}
 	return nil
@@ -74,8 +74,8 @@
 	}
 	follower := follow.New(follow.Deps{
 		Self:  func() roster.Host { return roster.Host{Name: "g", Role: roster.RoleGateway, Region: "here"} },
-		Seeds: func() []string { return seeds }, Calls: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
-		Took: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
+		Seeds: func() []string { return seeds }, Client: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
+		OnState: func(ledger.State) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
 	wantWait := func(want time.Duration) {
@@ -84,7 +84,7 @@
 			must.True(t, time.Now().Before(until), must.Sprintf("the remote control host must be polled with a wait of %v", want))
 		}
 	}
-	wantWait(follow.FarWait)
+	wantWait(follow.BriefSyncWait)
 	stopLocal()
 	wantWait(follow.SyncWait)
 }
@@ -105,7 +105,7 @@
 	seeds := []string{listener.Addr().String()}
 	follower := follow.New(follow.Deps{
 		Self:  func() roster.Host { return roster.Host{Name: "other", Role: roster.RoleControl} },
-		Seeds: func() []string { return seeds }, Calls: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
+		Seeds: func() []string { return seeds }, Client: wire.NewClient(&net.Dialer{}), Engines: registry.New("x", time.Second, time.Now),
 		Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now,
 	})
 	group.Go(func() { _ = follower.Run(ctx) })
--- a/follow/link.go
+++ b/follow/link.go
@@ -38,7 +38,7 @@
 // all control hosts sent them, updates about thousands of engines to hundreds of gateways
 // would cost more than they are worth. The caller holds the lock.
 func (f *Follower) shouldSyncBriefly(l *link, self roster.Host) bool {
-	if f.Took == nil || l.host.DataCentre == self.DataCentre && l.host.DataCentre != "" {
+	if f.OnState == nil || l.host.DataCentre == self.DataCentre && l.host.DataCentre != "" {
 		return false
 	}
 	if l.host.Region == "" {
@@ -56,8 +56,8 @@
 	return false
 }
 
-// Hears returns the names of the control hosts of a region that are connected, sorted.
-func (f *Follower) Hears(region string) []string {
+// ConnectedControlHosts returns the names of the control hosts of a region that are connected, sorted.
+func (f *Follower) ConnectedControlHosts(region string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Clock()
--- a/follow/messages.go
+++ b/follow/messages.go
@@ -42,39 +42,39 @@
 type SyncReply struct {
 	Life     string // incarnation of the control host
 	Index    uint64 // of the ledger's state that can be fetched
-	Engines  []EngineNews
+	Engines  []EngineUpdate
 	Number   uint64        // change number up to which Engines reaches
 	Hosts    []roster.Host // new or changed hosts, without times
 	Gone     []string      // names of removed hosts
 	Roster   uint64        // change number up to which Hosts and Gone reach
 	Stranger bool          // the control host doesn't have the caller's description, which must be sent again
-	Sure     Surety
+	Sure     Freshness
 	Self     roster.Host // the control host
 	Hears    []string    // names of control hosts of the caller's region that it is connected to
 }
 
-// Surety says up to when a control host's state of the ledger is complete.
-type Surety struct {
+// Freshness says up to when a control host's state of the ledger is complete.
+type Freshness struct {
 	Known bool          // false if the control host can't tell
 	Index uint64        // of the state, or of a later one
 	Age   time.Duration // the state contains everything accepted until this long before the answer
 	Held  time.Duration // time between the request's arrival and the answer
 }
 
-// News reports whether the reply contains anything that the caller doesn't have.
-func (r SyncReply) News(args SyncArgs) bool {
-	return r.Urgent(args) || len(r.Engines) > 0 || (!args.Brief && r.Roster != args.Roster)
+// HasChanges reports whether the reply contains anything that the caller doesn't have.
+func (r SyncReply) HasChanges(args SyncArgs) bool {
+	return r.IsUrgent(args) || len(r.Engines) > 0 || (!args.Brief && r.Roster != args.Roster)
 }
 
-// Urgent reports whether the caller should be answered at once: the control host has
+// IsUrgent reports whether the caller should be answered at once: the control host has
 // restarted, has a newer state of the ledger, or has the first Freshness.
-func (r SyncReply) Urgent(args SyncArgs) bool {
+func (r SyncReply) IsUrgent(args SyncArgs) bool {
 	return r.Life != args.Life || r.Index > args.Index || (r.Sure.Known && !args.Sure)
 }
 
-// EngineNews is the state of an engine as it is sent to another host. Its times are
+// EngineUpdate is the state of an engine as it is sent to another host. Its times are
 // durations, because the clocks of hosts differ.
-type EngineNews struct {
+type EngineUpdate struct {
 	Engine   registry.Engine // without times; Source is empty if it is the sender
 	ColdFor  time.Duration
 	GoneIn   time.Duration // 0 if not known
@@ -83,7 +83,7 @@
 
 // TellArgs asks a control host to inform its gateways of an engine that drains or has left.
 type TellArgs struct {
-	Engine EngineNews
+	Engine EngineUpdate
 }
 
 // StateArgs are the arguments of the call that fetches the ledger's state.
@@ -100,20 +100,20 @@
 	Command []byte
 }
 
-// ReadReply is the index that a host must have applied for a linearizable read.
-type ReadReply struct {
+// ReadIndexReply is the index that a host must have applied for a linearizable read.
+type ReadIndexReply struct {
 	Index uint64
 }
 
-// Nothing is the type of arguments and replies without content.
-type Nothing struct{}
+// Empty is the type of arguments and replies without content.
+type Empty struct{}
 
 // Deliveries are messages between replicas of the ledger.
 type Deliveries []raft.Envelope
 
 // newEngineUpdate converts an engine's times to durations.
-func newEngineUpdate(e registry.Engine, now time.Time) EngineNews {
-	update := EngineNews{Engine: e, ColdFor: max(0, e.ColdUntil.Sub(now)), HeardAgo: now.Sub(e.Heard)}
+func newEngineUpdate(e registry.Engine, now time.Time) EngineUpdate {
+	update := EngineUpdate{Engine: e, ColdFor: max(0, e.ColdUntil.Sub(now)), HeardAgo: now.Sub(e.Heard)}
 	if !e.GoneAt.IsZero() {
 		update.GoneIn = max(1, e.GoneAt.Sub(now))
 	}
@@ -121,17 +121,17 @@
 	return update
 }
 
-// NewsOf converts engines to the form that is sent to other hosts.
-func NewsOf(engines []registry.Engine, now time.Time) []EngineNews {
-	out := make([]EngineNews, len(engines))
+// NewEngineUpdates converts engines to the form that is sent to other hosts.
+func NewEngineUpdates(engines []registry.Engine, now time.Time) []EngineUpdate {
+	out := make([]EngineUpdate, len(engines))
 	for i, e := range engines {
 		out[i] = newEngineUpdate(e, now)
 	}
 	return out
 }
 
-// Local converts the update to an engine with times of this process's clock.
-func (u EngineNews) Local(now time.Time) registry.Engine {
+// ToEngine converts the update to an engine with times of this process's clock.
+func (u EngineUpdate) ToEngine(now time.Time) registry.Engine {
 	e := u.Engine
 	e.Heard = now.Add(-u.HeardAgo)
 	if u.ColdFor > 0 {
--- a/follow/surety.go
+++ b/follow/surety.go
@@ -19,7 +19,7 @@
 // recordFreshness records a control host's Freshness. The answer was sent at sentAt+Held at
 // the earliest, so the resulting time may be too early, but never too late, however long
 // the call or either host took.
-func (l *link) recordFreshness(s Surety, sentAt time.Duration) {
+func (l *link) recordFreshness(s Freshness, sentAt time.Duration) {
 	if !s.Known {
 		return
 	}
@@ -32,10 +32,10 @@
 	l.freshness = l.freshness[max(0, len(l.freshness)-maxFreshnessPoints):]
 }
 
-// SureUntil returns the time of the steady clock until which every accepted command is
+// FreshUntil returns the time of the steady clock until which every accepted command is
 // contained in the state with that index, according to any control host. It returns
 // false if no control host has reported one.
-func (f *Follower) SureUntil(index uint64) (at time.Duration, known bool) {
+func (f *Follower) FreshUntil(index uint64) (at time.Duration, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.links {
