--- a/controller/engines.go
+++ b/controller/engines.go
@@ -20,7 +20,7 @@
 // concerned have acknowledged that. closer is the address of a closer control host for
 // later heartbeats, or "".
 func (c *Controller) Beat(ctx context.Context, e registry.Engine) (closer string) {
-	if c.engines.Beat(e) {
+	if c.engines.Heartbeat(e) {
 		c.Log.Info("engine", zap.String("engine", e.ID), zap.String("service", e.Service), zap.String("address", e.Address),
 			zap.String("data_centre", e.DataCentre), zap.Stringer("phase", e.Phase), zap.Int64("born", e.Born), zap.Int64("sequence", e.Sequence), zap.Duration("cold_for", max(0, e.ColdUntil.Sub(c.Clock()))))
 	}
@@ -33,7 +33,7 @@
 // Leave records that an engine has left, and returns once the gateways have acknowledged
 // it. born is the start time of the engine's incarnation, or 0 if the engine didn't say.
 func (c *Controller) Leave(ctx context.Context, id string, born int64) {
-	c.engines.Leave(id, born)
+	c.engines.MarkLeft(id, born)
 	e, _ := c.engines.Get(id)
 	c.Log.Info("engine left", zap.String("engine", id), zap.String("service", e.Service), zap.String("address", e.Address))
 	c.awaitAcknowledgements(ctx, id, e.DataCentre)
@@ -72,7 +72,7 @@
 // awaitLocalAcknowledgements is awaitAcknowledgements for the gateways that follow this
 // host.
 func (c *Controller) awaitLocalAcknowledgements(ctx context.Context, engine, dataCentre string) {
-	number := c.engines.Number()
+	number := c.engines.LastChange()
 	started := c.Clock()
 	deadline := started.Add(c.Told)
 	unacknowledged := c.unacknowledged(number, c.Regions[dataCentre])
--- a/controller/gateways_test.go
+++ b/controller/gateways_test.go
@@ -155,7 +155,7 @@
 	must.Eq(t, int64(7), e.Sequence)
 	eventually(t, stepTimeout, "it times out without heartbeats", func() bool {
 		e, _ := g.engines.Get("i-1")
-		return e.Phase == registry.Silent
+		return e.Phase == registry.Unresponsive
 	})
 }
 
--- a/controller/remember.go
+++ b/controller/remember.go
@@ -42,7 +42,7 @@
 	for i, update := range saved {
 		engines[i] = update.ToEngine(c.Clock())
 	}
-	c.engines.Recall(engines)
+	c.engines.Restore(engines)
 	c.Log.Info("saved engines restored", zap.Int("engines", len(engines)))
 }
 
@@ -51,7 +51,7 @@
 	saved := uint64(0)
 	for {
 		changed := c.engines.Changed()
-		if number := c.engines.Number(); number != saved {
+		if number := c.engines.LastChange(); number != saved {
 			saved = number
 			c.saveOnce()
 		}
--- a/controller/service.go
+++ b/controller/service.go
@@ -126,7 +126,7 @@
 		}
 		return e.DataCentre == "" || c.Regions[e.DataCentre] == args.Self.Region
 	}
-	engines, number := c.engines.Since(args.Engines, relevant)
+	engines, number := c.engines.ChangedSince(args.Engines, relevant)
 	reply.Engines, reply.Number = follow.NewEngineUpdates(engines, now), number
 	for i := range reply.Engines {
 		if reply.Engines[i].Engine.Source == c.Self.Life {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -54,7 +54,7 @@
 		if cold {
 			e.ColdUntil = time.Now().Add(time.Hour)
 		}
-		engines.Beat(e)
+		engines.Heartbeat(e)
 	}
 	var hosts []roster.Host
 	for i := range peers {
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -80,7 +80,7 @@
 		}
 		estimated := estimate(in, req, 0)
 		estimated.source = s.source.engine
-		estimated.unresponsive, estimated.rank = c.engine.Phase == registry.Silent, c.rank
+		estimated.unresponsive, estimated.rank = c.engine.Phase == registry.Unresponsive, c.rank
 		if best == nil || estimated.less(bestScore) {
 			best, bestScore = c.engine, estimated
 		}
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -38,7 +38,7 @@
 	hash := hashBlock(prompt.Affinity())
 	var best transferSource
 	for _, e := range holders {
-		if e.Phase == registry.Silent || !d.exclusionOf(p, e, now).allowsTransfer() {
+		if e.Phase == registry.Unresponsive || !d.exclusionOf(p, e, now).allowsTransfer() {
 			continue
 		}
 		if best.engine == nil || e.cached[hash].After(best.engine.cached[hash]) {
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -61,7 +61,7 @@
 	for name, change := range map[string]func(w *world, keeper string){
 		"engines that can't":  func(w *world, _ string) { w.declare() },
 		"a draining keeper":   func(w *world, id string) { w.beat(registry.Engine{ID: id, Phase: registry.Draining}) },
-		"a keeper that left":  func(w *world, id string) { w.engines.Leave(id, 0); w.tick() },
+		"a keeper that left":  func(w *world, id string) { w.engines.MarkLeft(id, 0); w.tick() },
 		"a part long unused":  func(w *world, _ string) { w.pass(time.Minute) },
 		"a keeper taken away": func(w *world, id string) { w.beat(registry.Engine{ID: id, GoneAt: w.now}); w.pass(time.Second) },
 	} {
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -72,11 +72,11 @@
 	}
 	for _, incarnation := range suspects {
 		switch phase, registered := phases[incarnation]; {
-		case d.isDraining(hashString(incarnation), now) && (!registered || phase >= registry.Silent):
+		case d.isDraining(hashString(incarnation), now) && (!registered || phase >= registry.Unresponsive):
 			d.crashDetector.ConfirmCrash(incarnation) // it announced draining in its answers
 		case !registered:
 			d.engineCrashed(incarnation, "no longer registered", now)
-		case phase == registry.Silent:
+		case phase == registry.Unresponsive:
 			d.engineCrashed(incarnation, "no heartbeat", now)
 		case phase == registry.Left:
 			d.crashDetector.ConfirmCrash(incarnation) // it shut down as announced
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -62,7 +62,7 @@
 	ticket := acquire(t, g, ask)
 	ticket.Done(dispatch.Broken)
 	g.Refused(<-g.Doubts())
-	w.engines.Leave(ticket.Engine, 0)
+	w.engines.MarkLeft(ticket.Engine, 0)
 	w.tick()
 }
 
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -18,7 +18,7 @@
 		then   time.Duration
 	}{
 		"draining":   {func(w *world) { w.beat(registry.Engine{ID: "i-0", Phase: registry.Draining}) }, 0},
-		"left":       {func(w *world) { w.engines.Leave("i-0", 0); w.tick() }, 0},
+		"left":       {func(w *world) { w.engines.MarkLeft("i-0", 0); w.tick() }, 0},
 		"evacuated":  {func(w *world) { w.declare("a") }, 0},
 		"taken away": {func(w *world) { w.beat(registry.Engine{ID: "i-0", GoneAt: w.now.Add(time.Second)}) }, 2 * time.Second},
 	}
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -85,7 +85,7 @@
 		e.DataCentre = []string{"a", "b"}[int(e.ID[len(e.ID)-1])%2]
 	}
 	e.Address = "10.1.0.1:" + e.ID
-	w.engines.Beat(e)
+	w.engines.Heartbeat(e)
 	w.tick()
 }
 
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -216,7 +216,7 @@
 		}
 	}
 	f.Engines.Merge(engines)
-	f.Engines.Confirm(reply.Life)
+	f.Engines.ConfirmSource(reply.Life)
 	region := f.Self().Region
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -96,10 +96,10 @@
 		var proxies []*crashingProxy
 		for range 3 {
 			e := g.start(t, "portal", "a")
-			g.engines.Leave(e.ID, 0)
+			g.engines.MarkLeft(e.ID, 0)
 			p := newCrashingProxy(t, e.Address())
 			proxies = append(proxies, p)
-			g.engines.Beat(registry.Engine{ID: e.ID, Born: 1, Service: "portal", Address: p.listener.Addr().String(), DataCentre: "a", Slots: 8, Sequence: 1})
+			g.engines.Heartbeat(registry.Engine{ID: e.ID, Born: 1, Service: "portal", Address: p.listener.Addr().String(), DataCentre: "a", Slots: 8, Sequence: 1})
 		}
 		g.server.Dispatcher.Tick()
 		for range 12 { // until there is a pooled connection to each engine
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -102,7 +102,7 @@
 		cancel()
 		group.Wait()
 	})
-	g.engines.Beat(registry.Engine{ID: e.ID, Service: service, Address: e.Address(), DataCentre: dataCentre, Slots: 8, Sequence: 1})
+	g.engines.Heartbeat(registry.Engine{ID: e.ID, Service: service, Address: e.Address(), DataCentre: dataCentre, Slots: 8, Sequence: 1})
 	g.server.Dispatcher.Tick()
 	return e
 }
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -67,7 +67,7 @@
 	c.engines = append(c.engines, e)
 	for _, g := range c.gateways {
 		if g.server.Self.Region == region {
-			g.engines.Beat(registry.Engine{ID: e.ID, Service: "model", Address: e.Address(), DataCentre: dataCentre, Slots: 8, Sequence: 1})
+			g.engines.Heartbeat(registry.Engine{ID: e.ID, Service: "model", Address: e.Address(), DataCentre: dataCentre, Slots: 8, Sequence: 1})
 			g.server.Dispatcher.Tick()
 		}
 	}
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -52,7 +52,7 @@
 		g.peers = hosts
 		g.declare()
 		for _, e := range r.engines {
-			g.engines.Beat(registry.Engine{ID: e.ID, Service: "model", Address: e.Address(), DataCentre: "a", Slots: 8, Sequence: 1})
+			g.engines.Heartbeat(registry.Engine{ID: e.ID, Service: "model", Address: e.Address(), DataCentre: "a", Slots: 8, Sequence: 1})
 		}
 		g.server.Dispatcher.Tick()
 	}
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -142,7 +142,7 @@
 		w.order[region] = slices.DeleteFunc(w.order[region], func(o *engine) bool { return o == e })
 		e.crash()
 		delete(w.engines, e.id)
-		w.time.After(silenceTime, func() { w.tables[region].Leave(e.id, 0) })
+		w.time.After(silenceTime, func() { w.tables[region].MarkLeft(e.id, 0) })
 		w.time.After(away, func() { w.startEngine(region, e.address, true) })
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	w.engines[e.id] = e
 	w.order[region] = append(w.order[region], e)
-	w.time.After(delay, func() { w.tables[region].Beat(beat) })
+	w.time.After(delay, func() { w.tables[region].Heartbeat(beat) })
 }
 
 // tickEvery is how often gateways look at the engines, as package daemon has it.
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -16,9 +16,9 @@
 		e.Address = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
 		table.Merge([]registry.Engine{e})
 	}
-	number := table.Number() - 1
+	number := table.LastChange() - 1
 	for b.Loop() {
-		table.Since(number, anyEngine)
+		table.ChangedSince(number, anyEngine)
 	}
 }
 
@@ -30,13 +30,13 @@
 	for i := range engines {
 		engines[i] = heartbeat(fmt.Sprintf("i-%d", i), 1)
 		engines[i].Address = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
-		table.Beat(engines[i])
+		table.Heartbeat(engines[i])
 	}
 	n := 0
 	for b.Loop() {
 		e := &engines[n%len(engines)]
 		e.Sequence++
-		table.Beat(*e)
+		table.Heartbeat(*e)
 		n++
 	}
 }
--- a/registry/lives_test.go
+++ b/registry/lives_test.go
@@ -26,16 +26,16 @@
 		t.Run(name, func(t *testing.T) {
 			table, c := newTable("x")
 			table.Merge([]registry.Engine{before})
-			must.True(t, table.Beat(heartbeatOf(200, 1)))
+			must.True(t, table.Heartbeat(heartbeatOf(200, 1)))
 			must.Eq(t, registry.Ready, phaseOf(t, table, "i-1"))
 			c.advance(time.Second)
-			must.False(t, table.Beat(heartbeatOf(100, 95)), must.Sprint("a heartbeat of the earlier incarnation"))
+			must.False(t, table.Heartbeat(heartbeatOf(100, 95)), must.Sprint("a heartbeat of the earlier incarnation"))
 			table.Merge([]registry.Engine{draining})
-			table.Leave("i-1", 100)
+			table.MarkLeft("i-1", 100)
 			e, _ := table.Get("i-1")
 			must.Eq(t, int64(200), e.Born)
 			must.Eq(t, registry.Ready, e.Phase)
-			table.Leave("i-1", 200)
+			table.MarkLeft("i-1", 200)
 			must.Eq(t, registry.Left, phaseOf(t, table, "i-1"))
 		})
 	}
@@ -50,7 +50,7 @@
 	e, _ := table.Get("i-1")
 	must.Eq(t, int64(200), e.Born)
 	must.NotEq(t, heartbeatOf(100, 1).Incarnation(), heartbeatOf(200, 1).Incarnation())
-	changes, _ := table.Since(0, anyEngine)
+	changes, _ := table.ChangedSince(0, anyEngine)
 	must.SliceLen(t, 1, changes)
 }
 
@@ -58,9 +58,9 @@
 // else differs.
 func TestNewIncarnationIsAChange(t *testing.T) {
 	table, _ := newTable("x")
-	table.Beat(heartbeatOf(100, 5))
-	number := table.Number()
-	must.True(t, table.Beat(heartbeatOf(200, 5)))
-	changes, _ := table.Since(number, anyEngine)
+	table.Heartbeat(heartbeatOf(100, 5))
+	number := table.LastChange()
+	must.True(t, table.Heartbeat(heartbeatOf(200, 5)))
+	changes, _ := table.ChangedSince(number, anyEngine)
 	must.SliceLen(t, 1, changes)
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -2,7 +2,7 @@
 //
 // Engines are soft state: each sends a heartbeat to one control host about every second,
 // and a Table isn't persisted. Control hosts and gateways each have a Table. A control
-// host fills its own from heartbeats with Beat and Leave, and every host merges the
+// host fills its own from heartbeats with Heartbeat and MarkLeft, and every host merges the
 // updates of the control hosts that it follows. Only changes are sent: the receiver's
 // cursor, the number of the last change that it has, selects them.
 //
@@ -27,10 +27,10 @@
 
 // The phases, in order: of two reports with the same sequence number, the later phase wins.
 const (
-	Ready    Phase = iota
-	Silent         // no heartbeat within its timeout: it may have ended
-	Draining       // it finishes the requests that it has and accepts no new ones
-	Left           // it has ended or is about to
+	Ready        Phase = iota
+	Unresponsive       // no heartbeat within its timeout: it may have ended
+	Draining           // it finishes the requests that it has and accepts no new ones
+	Left               // it has ended or is about to
 )
 
 // String returns the name used in logs.
@@ -120,17 +120,17 @@
 	return t.changed
 }
 
-// Number returns the number of the last change.
-func (t *Table) Number() uint64 {
+// LastChange returns the number of the last change.
+func (t *Table) LastChange() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastChange
 }
 
-// Beat applies a heartbeat that an engine sent to this host. It reports whether anything
+// Heartbeat applies a heartbeat that an engine sent to this host. It reports whether anything
 // changed that other hosts need. A delayed heartbeat that arrives when another incarnation
 // has the address changes nothing.
-func (t *Table) Beat(e Engine) bool {
+func (t *Table) Heartbeat(e Engine) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e.Source, e.Heard = t.source, t.clock()
@@ -159,11 +159,11 @@
 	return true
 }
 
-// Leave records that an engine has deregistered with this host. A delayed call of an
+// MarkLeft records that an engine has deregistered with this host. A delayed call of an
 // earlier incarnation changes nothing. An engine without any heartbeat so far is recorded
 // too, so that its delayed heartbeats have no effect. born is 0 if the engine reports no
 // start time.
-func (t *Table) Leave(id string, born int64) bool {
+func (t *Table) MarkLeft(id string, born int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
@@ -189,9 +189,9 @@
 // this one started.
 const restoredSource = "recalled"
 
-// Recall restores engines that were known before this host started. Those that no host
-// receives heartbeats from become Silent.
-func (t *Table) Recall(engines []Engine) {
+// Restore restores engines that were known before this host started. Those that no host
+// receives heartbeats from become Unresponsive.
+func (t *Table) Restore(engines []Engine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range engines {
@@ -231,7 +231,7 @@
 		t.addAddress(current)
 	}
 	current.Engine = e
-	if (newIncarnation || old.Phase == Silent) && e.Phase != Silent && e.Phase != Left {
+	if (newIncarnation || old.Phase == Unresponsive) && e.Phase != Unresponsive && e.Phase != Left {
 		t.retireOtherOwners(e)
 	}
 	if sameForOthers(old, e) {
@@ -243,7 +243,7 @@
 
 // isNewer reports whether e supersedes the current state. A later incarnation does. Within
 // an incarnation Left is final, and a higher sequence number wins, so that a new heartbeat
-// ends the Silent phase; at the same sequence number a later phase wins.
+// ends the Unresponsive phase; at the same sequence number a later phase wins.
 func isNewer(current, e Engine) bool {
 	switch {
 	case e.Born != current.Born:
@@ -267,12 +267,12 @@
 		a.GoneAt.IsZero() == b.GoneAt.IsZero() && (bothWarm || shift < coldEndTolerance)
 }
 
-// retireOtherOwners marks the other engines at an engine's address as Silent: an address
+// retireOtherOwners marks the other engines at an engine's address as Unresponsive: an address
 // is reassigned only after its engine has ended.
 func (t *Table) retireOtherOwners(e Engine) {
 	for _, other := range t.byAddress[e.Address] {
-		if other.ID != e.ID && other.Phase != Left && other.Phase != Silent {
-			other.Phase = Silent
+		if other.ID != e.ID && other.Phase != Left && other.Phase != Unresponsive {
+			other.Phase = Unresponsive
 			t.recordChange(other)
 		}
 	}
@@ -300,22 +300,22 @@
 	t.changed = make(chan struct{})
 }
 
-// Confirm records that the control host with that incarnation has answered. It counts as
-// a heartbeat of every engine whose source it is, but for those that are Silent.
-func (t *Table) Confirm(source string) {
+// ConfirmSource records that the control host with that incarnation has answered. It counts as
+// a heartbeat of every engine whose source it is, but for those that are Unresponsive.
+func (t *Table) ConfirmSource(source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
 	for _, e := range t.engines {
-		if e.Source == source && e.Phase != Silent {
+		if e.Source == source && e.Phase != Unresponsive {
 			e.Heard = now
 		}
 	}
 }
 
-// Expire marks engines as Silent whose heartbeats this host should receive and doesn't,
+// Expire marks engines as Unresponsive whose heartbeats this host should receive and doesn't,
 // and removes engines that have had no heartbeat for the retention. It returns the engines
-// that have become Silent.
+// that have become Unresponsive.
 func (t *Table) Expire() []Engine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -326,7 +326,7 @@
 		age := now.Sub(e.Heard)
 		switch {
 		case e.Phase == Ready && (e.Source == t.source || e.Source == restoredSource) && age > timeout:
-			e.Phase = Silent
+			e.Phase = Unresponsive
 			t.recordChange(e)
 			unresponsive = append(unresponsive, e.Engine)
 		case age > retention:
@@ -338,9 +338,9 @@
 	return unresponsive
 }
 
-// Since returns the engines that match and have changed after the given number, sorted by
+// ChangedSince returns the engines that match and have changed after the given number, sorted by
 // ID, and the number of the last change.
-func (t *Table) Since(number uint64, matches func(e Engine) bool) ([]Engine, uint64) {
+func (t *Table) ChangedSince(number uint64, matches func(e Engine) bool) ([]Engine, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if number == t.lastChange {
@@ -369,6 +369,6 @@
 
 // All returns every engine in the table, sorted by ID.
 func (t *Table) All() []Engine {
-	out, _ := t.Since(0, func(Engine) bool { return true })
+	out, _ := t.ChangedSince(0, func(Engine) bool { return true })
 	return out
 }
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -38,16 +38,16 @@
 	table, _ := newTable("x")
 	draining := heartbeat("i-1", 7)
 	draining.Phase = registry.Draining
-	must.True(t, table.Beat(heartbeat("i-1", 5)))
-	must.True(t, table.Beat(draining))
-	must.False(t, table.Beat(heartbeat("i-1", 6)))
+	must.True(t, table.Heartbeat(heartbeat("i-1", 5)))
+	must.True(t, table.Heartbeat(draining))
+	must.False(t, table.Heartbeat(heartbeat("i-1", 6)))
 	must.Eq(t, registry.Draining, phaseOf(t, table, "i-1"))
 }
 
 func TestEngineThatLeftNeverReturns(t *testing.T) {
 	table, c := newTable("x")
-	table.Leave("i-1", 0) // before any heartbeat arrived here
-	table.Beat(heartbeat("i-1", 9))
+	table.MarkLeft("i-1", 0) // before any heartbeat arrived here
+	table.Heartbeat(heartbeat("i-1", 9))
 	must.Eq(t, registry.Left, phaseOf(t, table, "i-1"))
 	c.advance(30 * time.Second)
 	table.Expire()
@@ -61,15 +61,15 @@
 func TestRestoredEnginesNeedHeartbeats(t *testing.T) {
 	table, c := newTable("x")
 	ended := heartbeat("i-9", 40)
-	ended.Phase = registry.Silent
-	table.Recall([]registry.Engine{heartbeat("i-1", 5), ended})
+	ended.Phase = registry.Unresponsive
+	table.Restore([]registry.Engine{heartbeat("i-1", 5), ended})
 	must.Eq(t, registry.Ready, phaseOf(t, table, "i-1"))
-	must.Eq(t, registry.Silent, phaseOf(t, table, "i-9"))
-	must.False(t, table.Beat(heartbeat("i-1", 4)), must.Sprint("a delayed heartbeat"))
+	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-9"))
+	must.False(t, table.Heartbeat(heartbeat("i-1", 4)), must.Sprint("a delayed heartbeat"))
 	c.advance(5 * time.Second)
 	must.SliceLen(t, 1, table.Expire())
-	must.Eq(t, registry.Silent, phaseOf(t, table, "i-1"))
-	table.Beat(heartbeat("i-1", 6))
+	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-1"))
+	table.Heartbeat(heartbeat("i-1", 6))
 	must.Eq(t, registry.Ready, phaseOf(t, table, "i-1"))
 }
 
@@ -79,13 +79,13 @@
 	receiver, c := newTable("x")
 	other, otherClock := newTable("y")
 	for _, table := range []*registry.Table{receiver, other} {
-		table.Recall([]registry.Engine{heartbeat("i-1", 5)})
+		table.Restore([]registry.Engine{heartbeat("i-1", 5)})
 	}
-	_, number := receiver.Since(0, anyEngine) // the other host has these already
+	_, number := receiver.ChangedSince(0, anyEngine) // the other host has these already
 	for sequence := int64(6); sequence < 15; sequence++ {
-		receiver.Beat(heartbeat("i-1", sequence))
+		receiver.Heartbeat(heartbeat("i-1", sequence))
 		var changes []registry.Engine
-		changes, number = receiver.Since(number, anyEngine)
+		changes, number = receiver.ChangedSince(number, anyEngine)
 		other.Merge(changes)
 		c.advance(time.Second)
 		otherClock.advance(time.Second)
@@ -97,9 +97,9 @@
 
 func TestOnlyTheReceivingHostMarksAnEngineUnresponsive(t *testing.T) {
 	receiver, c := newTable("x")
-	receiver.Beat(heartbeat("i-1", 1))
+	receiver.Heartbeat(heartbeat("i-1", 1))
 	other := registry.New("y", time.Second, c.time)
-	changes, _ := receiver.Since(0, anyEngine)
+	changes, _ := receiver.ChangedSince(0, anyEngine)
 	other.Merge(changes)
 	c.advance(3 * time.Second)
 	must.SliceEmpty(t, receiver.Expire())
@@ -107,11 +107,11 @@
 	must.SliceLen(t, 1, receiver.Expire())
 	must.SliceEmpty(t, other.Expire())
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
-	changes, _ = receiver.Since(0, anyEngine)
+	changes, _ = receiver.ChangedSince(0, anyEngine)
 	other.Merge(changes)
-	must.Eq(t, registry.Silent, phaseOf(t, other, "i-1"))
+	must.Eq(t, registry.Unresponsive, phaseOf(t, other, "i-1"))
 	// Meanwhile it sends its heartbeats to another host.
-	must.True(t, other.Beat(heartbeat("i-1", 2)))
+	must.True(t, other.Heartbeat(heartbeat("i-1", 2)))
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
 	other.Merge(changes)
 	must.Eq(t, registry.Ready, phaseOf(t, other, "i-1"))
@@ -119,9 +119,9 @@
 
 func TestAnAddressBelongsToTheNewestIncarnation(t *testing.T) {
 	table, _ := newTable("x")
-	table.Beat(heartbeat("i-1", 9))
-	table.Beat(heartbeat("i-2", 1))
-	must.Eq(t, registry.Silent, phaseOf(t, table, "i-1"))
+	table.Heartbeat(heartbeat("i-1", 9))
+	table.Heartbeat(heartbeat("i-2", 1))
+	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-1"))
 	must.Eq(t, registry.Ready, phaseOf(t, table, "i-2"))
 }
 
@@ -133,16 +133,16 @@
 		t.Run(name, func(t *testing.T) {
 			table, c := newTable("x")
 			if known {
-				table.Beat(heartbeat("i-1", 9))
+				table.Heartbeat(heartbeat("i-1", 9))
 			}
 			c.advance(2 * time.Second)
-			table.Beat(heartbeat("i-2", 1))
+			table.Heartbeat(heartbeat("i-2", 1))
 			c.advance(time.Second)
-			table.Beat(heartbeat("i-2", 2))
-			must.False(t, table.Beat(heartbeat("i-1", 10)))
+			table.Heartbeat(heartbeat("i-2", 2))
+			must.False(t, table.Heartbeat(heartbeat("i-1", 10)))
 			must.Eq(t, registry.Ready, phaseOf(t, table, "i-2"))
 			if e, ok := table.Get("i-1"); ok {
-				must.Eq(t, registry.Silent, e.Phase)
+				must.Eq(t, registry.Unresponsive, e.Phase)
 			}
 		})
 	}
@@ -153,56 +153,56 @@
 // the address must have one owner at a time.
 func TestAddressReturnsToTheEngineWithHeartbeats(t *testing.T) {
 	table, c := newTable("x")
-	table.Beat(heartbeat("i-2", 5))
-	table.Beat(heartbeat("i-1", 1)) // delayed, from an engine that crashed at its start
-	must.Eq(t, registry.Silent, phaseOf(t, table, "i-2"))
+	table.Heartbeat(heartbeat("i-2", 5))
+	table.Heartbeat(heartbeat("i-1", 1)) // delayed, from an engine that crashed at its start
+	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-2"))
 	for sequence := range int64(2) {
 		c.advance(time.Second)
-		table.Beat(heartbeat("i-2", 6+sequence))
+		table.Heartbeat(heartbeat("i-2", 6+sequence))
 	}
 	must.Eq(t, registry.Ready, phaseOf(t, table, "i-2"))
-	must.Eq(t, registry.Silent, phaseOf(t, table, "i-1"))
+	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-1"))
 }
 
 func TestSinceReturnsOnlyChanges(t *testing.T) {
 	table, c := newTable("x")
-	table.Beat(heartbeat("i-1", 1))
-	changes, number := table.Since(0, anyEngine)
+	table.Heartbeat(heartbeat("i-1", 1))
+	changes, number := table.ChangedSince(0, anyEngine)
 	must.SliceLen(t, 1, changes)
 	c.advance(time.Second)
-	table.Beat(heartbeat("i-1", 2))
-	changes, number = table.Since(number, anyEngine)
+	table.Heartbeat(heartbeat("i-1", 2))
+	changes, number = table.ChangedSince(number, anyEngine)
 	must.SliceEmpty(t, changes, must.Sprint("a heartbeat without changes"))
 	changed := table.Changed()
 	cold := heartbeat("i-1", 3)
 	cold.ColdUntil = c.now.Add(3 * time.Second)
-	table.Beat(cold)
+	table.Heartbeat(cold)
 	select {
 	case <-changed:
 	default:
 		t.Fatal("a change must close the channel")
 	}
-	changes, number = table.Since(number, anyEngine)
+	changes, number = table.ChangedSince(number, anyEngine)
 	must.SliceLen(t, 1, changes)
 	// The end of the cold period draws nearer, which isn't a change.
 	c.advance(time.Second)
 	nearer := heartbeat("i-1", 4)
 	nearer.ColdUntil = c.now.Add(2*time.Second + 10*time.Millisecond)
-	table.Beat(nearer)
-	changes, _ = table.Since(number, anyEngine)
+	table.Heartbeat(nearer)
+	changes, _ = table.ChangedSince(number, anyEngine)
 	must.SliceEmpty(t, changes)
-	changes, _ = table.Since(0, func(e registry.Engine) bool { return e.DataCentre == "b" })
+	changes, _ = table.ChangedSince(0, func(e registry.Engine) bool { return e.DataCentre == "b" })
 	must.SliceEmpty(t, changes)
 }
 
 func TestConfirmedEnginesAreRetained(t *testing.T) {
 	receiver, c := newTable("x")
-	receiver.Beat(heartbeat("i-1", 1))
-	changes, _ := receiver.Since(0, anyEngine)
+	receiver.Heartbeat(heartbeat("i-1", 1))
+	changes, _ := receiver.ChangedSince(0, anyEngine)
 	follower := registry.New("f", time.Second, c.time)
 	follower.Merge(changes)
 	c.advance(50 * time.Second)
-	follower.Confirm("x")
+	follower.ConfirmSource("x")
 	c.advance(50 * time.Second)
 	follower.Expire()
 	_, known := follower.Get("i-1")
