--- a/controller/commands.go
+++ b/controller/commands.go
@@ -84,7 +84,7 @@
 		case status.Role == raft.Leader:
 			lastErr = local()
 		case status.Leader != raft.None:
-			lastErr = remote(PeerOf(status.Leader))
+			lastErr = remote(PeerAddress(status.Leader))
 		}
 		if lastErr == nil {
 			return nil
@@ -112,13 +112,13 @@
 }
 
 // Read returns the current state of the ledger, which includes every command that was
-// accepted before the call. The error is ErrUnavailable, or ErrEmpty if there is no
+// accepted before the call. The error is ErrUnavailable, or ErrNoCatalog if there is no
 // catalog.
 func (c *Controller) Read(ctx context.Context) (ledger.State, error) {
 	err := c.waitUntilCurrent(ctx)
 	state := c.machine.State()
 	if err == nil && state.Catalog.Version == 0 {
-		err = ErrEmpty
+		err = ErrNoCatalog
 	}
 	c.Log.Info("catalog read", zap.Int64("version", state.Catalog.Version), zap.Uint64("index", state.Index), telemetry.Cause(err))
 	return state, err
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -57,15 +57,15 @@
 	requestTimeout = 900 * time.Millisecond
 	// leaderRetryInterval is the wait between two attempts to reach a leader.
 	leaderRetryInterval = 50 * time.Millisecond
-	// GatherTime is the default time during which changes are batched before a waiting
+	// DefaultGatherTime is the default time during which changes are batched before a waiting
 	// host is answered. Without batching, when the whole system starts, each of about a
 	// hundred hosts would be sent every other host separately, which keeps a control host
 	// with half a core busy for seconds. It is short compared with the 450 ms within
 	// which gateways must acknowledge a draining engine.
-	GatherTime = 50 * time.Millisecond
-	// DrainTold is the default limit on the wait until the gateways have acknowledged
+	DefaultGatherTime = 50 * time.Millisecond
+	// DefaultDrainTimeout is the default limit on the wait until the gateways have acknowledged
 	// that an engine drains. Engines wait a second for their answer.
-	DrainTold = 450 * time.Millisecond
+	DefaultDrainTimeout = 450 * time.Millisecond
 )
 
 // Errors of commands and reads.
@@ -73,29 +73,29 @@
 	// ErrUnavailable means that no majority of the voters was reached in time. The
 	// command may have been accepted nonetheless; it is safe to send it again.
 	ErrUnavailable = errors.New("no majority of the control hosts can be asked now")
-	// ErrEmpty means that no catalog has been declared yet.
-	ErrEmpty = errors.New("no catalog has been declared yet")
+	// ErrNoCatalog means that no catalog has been declared yet.
+	ErrNoCatalog = errors.New("no catalog has been declared yet")
 )
 
 // Deps are the dependencies and settings of a Controller.
 type Deps struct {
-	Self      roster.Host // without the replica, which the controller adds
-	Replica   raft.ID
-	Folder    disk.Folder
-	Voters    int                 // number of voters to maintain
-	Regions   map[string]string   // by data centre
-	Heartbeat time.Duration       // interval of the engines' heartbeats
-	Gather    time.Duration       // time during which changes of hosts and engines are batched
-	Told      time.Duration       // limit on the wait for acknowledgements of a draining engine
-	Seeds     func() []string     // peer addresses
-	Calls     *wire.Client        // for Sync calls, which wait for changes
-	Commands  *wire.Client        // for all other calls
-	Send      func(raft.Envelope) // must not block
-	Log       *zap.Logger
-	Clock     func() time.Time
-	Steady    func() time.Duration // a clock that keeps running while the host is suspended
-	Strict    bool                 // keys must be revoked in time: confirm the state regularly
-	Seed      uint64
+	Self         roster.Host // without the replica, which the controller adds
+	Replica      raft.ID
+	Folder       disk.Folder
+	Voters       int                 // number of voters to maintain
+	Regions      map[string]string   // by data centre
+	Heartbeat    time.Duration       // interval of the engines' heartbeats
+	GatherTime   time.Duration       // time during which changes of hosts and engines are batched
+	DrainTimeout time.Duration       // limit on the wait for acknowledgements of a draining engine
+	Seeds        func() []string     // peer addresses
+	SyncCalls    *wire.Client        // for Sync calls, which wait for changes
+	Commands     *wire.Client        // for all other calls
+	Send         func(raft.Envelope) // must not block
+	Log          *zap.Logger
+	Clock        func() time.Time
+	SteadyClock  func() time.Duration // a clock that keeps running while the host is suspended
+	ConfirmState bool                 // keys must be revoked in time: confirm the state regularly
+	Seed         uint64
 }
 
 // Controller runs the control role of a host. It is safe for concurrent use.
@@ -146,7 +146,7 @@
 		return nil, errors.Annotate(err, "ledger")
 	}
 	c.follower = follow.New(follow.Deps{
-		Self: c.self, Seeds: deps.Seeds, Client: deps.Calls, Engines: c.engines, Log: deps.Log, Clock: deps.Clock, Steady: deps.Steady,
+		Self: c.self, Seeds: deps.Seeds, Client: deps.SyncCalls, Engines: c.engines, Log: deps.Log, Clock: deps.Clock, Steady: deps.SteadyClock,
 	})
 	return c, nil
 }
@@ -196,8 +196,8 @@
 // Members returns the members of the ledger's log, as known here.
 func (c *Controller) Members() raft.Membership { return c.replica.Status().Members }
 
-// Leads reports whether this host leads the ledger's log.
-func (c *Controller) Leads() bool { return c.replica.Status().Role == raft.Leader }
+// IsLeader reports whether this host leads the ledger's log.
+func (c *Controller) IsLeader() bool { return c.replica.Status().Role == raft.Leader }
 
 // spares lists the control hosts that could become voters.
 func (c *Controller) spares() []voters.Spare {
@@ -242,6 +242,6 @@
 	return nil
 }
 
-// PeerOf returns the net/rpc address of the host that a replica runs on: its ID begins
+// PeerAddress returns the net/rpc address of the host that a replica runs on: its ID begins
 // with it.
-func PeerOf(id raft.ID) string { return voters.HostOf(id) }
+func PeerAddress(id raft.ID) string { return voters.HostOf(id) }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -156,7 +156,7 @@
 	network, hosts := newHosts(t)
 	putCatalog(t, hosts[0], 1)
 	for _, h := range hosts {
-		if h.c.Leads() {
+		if h.c.IsLeader() {
 			continue
 		}
 		expectRead(t, h, 1) // opens the connection to the leader
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -59,7 +59,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Told)
+	ctx, cancel := context.WithTimeout(ctx, c.DrainTimeout)
 	defer cancel()
 	args := follow.TellArgs{Engine: follow.NewEngineUpdates([]registry.Engine{e}, c.Clock())[0]}
 	if err := c.Commands.Call(ctx, host.Peer, follow.Service+".Tell", args, &follow.Empty{}); err != nil {
@@ -74,7 +74,7 @@
 func (c *Controller) awaitLocalAcknowledgements(ctx context.Context, engine, dataCentre string) {
 	number := c.engines.LastChange()
 	started := c.Clock()
-	deadline := started.Add(c.Told)
+	deadline := started.Add(c.DrainTimeout)
 	unacknowledged := c.unacknowledged(number, c.Regions[dataCentre])
 	for ctx.Err() == nil && c.Clock().Before(deadline) && len(unacknowledged) > 0 {
 		duty.Pause(ctx, 5*time.Millisecond)
--- a/controller/hosts_test.go
+++ b/controller/hosts_test.go
@@ -174,7 +174,7 @@
 	}
 	var hosts []*host
 	for i, centre := range []string{"a", "b", "c"} {
-		h := &host{t: t, network: n, ip: addresses.IP(i + 1), dataCentre: centre, seeds: seeds, folder: disk.NewMemory(), gatherTime: controller.GatherTime, drainTimeout: stepTimeout, log: zap.NewNop()}
+		h := &host{t: t, network: n, ip: addresses.IP(i + 1), dataCentre: centre, seeds: seeds, folder: disk.NewMemory(), gatherTime: controller.DefaultGatherTime, drainTimeout: stepTimeout, log: zap.NewNop()}
 		h.id = raft.ID(peer(h.ip) + "#1")
 		var voters []raft.ID
 		for _, seed := range seeds {
@@ -199,10 +199,10 @@
 			Name: h.ip, Role: roster.RoleControl, Region: regions[h.dataCentre], DataCentre: h.dataCentre,
 			Life: fmt.Sprintf("%s-%d", h.ip, h.incarnation), Peer: peer(h.ip), Operators: h.ip + ":1",
 		},
-		Replica: h.id, Folder: h.folder, Voters: 3, Regions: regions, Heartbeat: 300 * time.Millisecond, Gather: h.gatherTime, Told: h.drainTimeout,
-		Seeds: func() []string { return h.seeds }, Calls: wire.NewClient(dialer{h.network, h.ip}), Commands: wire.NewClient(dialer{h.network, h.ip}),
-		Send: func(e raft.Envelope) { sender.Post(controller.PeerOf(e.To), e) },
-		Log:  h.log, Clock: time.Now, Steady: steady.Now, Strict: true, Seed: uint64(h.incarnation),
+		Replica: h.id, Folder: h.folder, Voters: 3, Regions: regions, Heartbeat: 300 * time.Millisecond, GatherTime: h.gatherTime, DrainTimeout: h.drainTimeout,
+		Seeds: func() []string { return h.seeds }, SyncCalls: wire.NewClient(dialer{h.network, h.ip}), Commands: wire.NewClient(dialer{h.network, h.ip}),
+		Send: func(e raft.Envelope) { sender.Post(controller.PeerAddress(e.To), e) },
+		Log:  h.log, Clock: time.Now, SteadyClock: steady.Now, ConfirmState: true, Seed: uint64(h.incarnation),
 	})
 	must.NoError(h.t, err)
 	server := wire.NewServer()
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -70,8 +70,8 @@
 	t.Helper()
 	c, err := controller.New(controller.Deps{
 		Self: roster.Host{Name: "control", Role: roster.RoleControl, Region: "lagos", DataCentre: "a", Life: "life", Peer: "127.0.0.1:1"}, Replica: raft.ID("127.0.0.1:1#1"),
-		Folder: disk.NewMemory(), Voters: 3, Regions: regions, Heartbeat: time.Minute, Told: time.Millisecond, Seeds: func() []string { return nil },
-		Send: func(raft.Envelope) {}, Log: zap.NewNop(), Clock: time.Now, Steady: steady.Now, Seed: 1,
+		Folder: disk.NewMemory(), Voters: 3, Regions: regions, Heartbeat: time.Minute, DrainTimeout: time.Millisecond, Seeds: func() []string { return nil },
+		Send: func(raft.Envelope) {}, Log: zap.NewNop(), Clock: time.Now, SteadyClock: steady.Now, Seed: 1,
 	})
 	must.NoError(t, err)
 	service = controller.NewService(context.Background(), c)
--- a/controller/service.go
+++ b/controller/service.go
@@ -30,7 +30,7 @@
 // the caller doesn't have, or after the wait it asks for.
 func (s *Service) Sync(args follow.SyncArgs, reply *follow.SyncReply) error {
 	c := s.controller
-	received := c.Steady()
+	received := c.SteadyClock()
 	wait := min(args.Wait, follow.BriefSyncWait)
 	if args.Known {
 		if args.Self = c.roster.Known(args.Self.Name, args.Self.Life); args.Self.Name == "" {
@@ -55,7 +55,7 @@
 			return nil
 		case reply.HasChanges(args):
 			gathered = true
-			duty.Pause(s.ctx, c.Gather)
+			duty.Pause(s.ctx, c.GatherTime)
 			continue
 		}
 		select {
@@ -108,7 +108,7 @@
 // buildReply returns what has changed for the caller.
 func (c *Controller) buildReply(args follow.SyncArgs, received time.Duration) follow.SyncReply {
 	now := c.Clock()
-	reply := follow.SyncReply{Life: c.Self.Life, Index: c.machine.State().Index, Sure: c.freshness.report(received, c.Steady())}
+	reply := follow.SyncReply{Life: c.Self.Life, Index: c.machine.State().Index, Sure: c.freshness.report(received, c.SteadyClock())}
 	if args.Life != c.Self.Life {
 		reply.Self = c.self()
 	}
--- a/controller/surety.go
+++ b/controller/surety.go
@@ -38,7 +38,7 @@
 // confirmPeriodically confirms with the leader that this host's state is current, until
 // ctx ends. It does nothing if keys needn't be revoked in time.
 func (c *Controller) confirmPeriodically(ctx context.Context) error {
-	if !c.Strict {
+	if !c.ConfirmState {
 		return nil
 	}
 	wasFailing := false
@@ -59,7 +59,7 @@
 
 // confirmOnce confirms this host's state with a majority of the voters.
 func (c *Controller) confirmOnce(ctx context.Context) error {
-	started := c.Steady()
+	started := c.SteadyClock()
 	if err := c.waitUntilCurrent(ctx); err != nil {
 		return err
 	}
