--- a/allowance/account.go
+++ b/allowance/account.go
@@ -131,10 +131,10 @@
 }
 
 // ownUsage returns the usage by this gateway's callers.
-func (a *account) ownUsage(now time.Time) Use {
-	return Use{
-		Admitted: a.admitted.perSecond(now, localRatePeriod), Steady: a.admitted.perSecond(now, remoteRatePeriod),
-		Asked: a.requested.perSecond(now), Window: a.ownSum(now),
+func (a *account) ownUsage(now time.Time) Usage {
+	return Usage{
+		AdmittedRate: a.admitted.perSecond(now, localRatePeriod), SmoothedRate: a.admitted.perSecond(now, remoteRatePeriod),
+		RequestedRate: a.requested.perSecond(now), WindowTotal: a.ownSum(now),
 	}
 }
 
--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -131,7 +131,7 @@
 	sim.limit = tokens(40_000)
 	for _, all := range sim.meters {
 		for _, l := range all {
-			l.(*meterLimiter).Take([]catalog.Account{{Name: "club", Allowance: sim.limit}}, sim.now)
+			l.(*meterLimiter).SetAccounts([]catalog.Account{{Name: "club", Allowance: sim.limit}}, sim.now)
 		}
 	}
 	sim.run(sim.policy.Window)
@@ -152,28 +152,28 @@
 func TestRejectionHasRetryAfter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos")
-	m.Take([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 2, Burst: 4}}}, now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 2, Burst: 4}}}, now)
 	now = now.Add(time.Minute)
 	var grant *allowance.Grant
 	for range 20 {
 		var err error
-		grant, err = m.Ask("club", 1, now)
+		grant, err = m.Admit("club", 1, now)
 		must.NoError(t, err)
 	}
-	_, err := m.Ask("club", 1, now)
+	_, err := m.Admit("club", 1, now)
 	var rejection *request.NotRun
 	must.True(t, errors.As(err, &rejection))
 	must.Eq(t, request.ReasonAllowance, rejection.Reason)
 	must.Between(t, 200*time.Millisecond, rejection.RetryAfter, 4*time.Second)
-	grant.GiveBack(now)
-	grant.GiveBack(now)
-	_, err = m.Ask("club", 1, now)
+	grant.Refund(now)
+	grant.Refund(now)
+	_, err = m.Admit("club", 1, now)
 	must.NoError(t, err, must.Sprint("a request that never ran is refunded once"))
-	_, err = m.Ask("club", 1, now)
+	_, err = m.Admit("club", 1, now)
 	must.Error(t, err)
-	free, err := m.Ask("other", 1, now)
+	free, err := m.Admit("other", 1, now)
 	must.NoError(t, err)
-	free.GiveBack(now) // a nil Grant: the account has no limit
+	free.Refund(now) // a nil Grant: the account has no limit
 }
 
 // TestSilentGatewaysKeepTheirShare guards against a gateway that uses the share of the
@@ -182,12 +182,12 @@
 	now := time.Unix(1000, 0)
 	admitted := func(coverage float64) int {
 		m := newMeter("lagos")
-		m.Take([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
-		m.HearNear(nil, coverage, now)
+		m.SetAccounts([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
+		m.ReceiveLocal(nil, coverage, now)
 		now := now.Add(time.Minute) // nothing was requested in the last window
 		n := 0
 		for at := now; at.Before(now.Add(7 * time.Second)); at = at.Add(time.Millisecond) {
-			if _, err := m.Ask("club", 1, at); err == nil {
+			if _, err := m.Admit("club", 1, at); err == nil {
 				n++
 			}
 		}
@@ -218,12 +218,12 @@
 func TestGatewayAdmitsAfterPause(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos")
-	m.Take([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
-	usage := map[string]allowance.Use{"club": {Admitted: 50, Asked: 50}}
-	m.HearNear(usage, 1, now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
+	usage := map[string]allowance.Usage{"club": {AdmittedRate: 50, RequestedRate: 50}}
+	m.ReceiveLocal(usage, 1, now)
 	now = now.Add(time.Minute)
-	m.HearNear(usage, 1, now)
-	_, err := m.Ask("club", 1, now)
+	m.ReceiveLocal(usage, 1, now)
+	_, err := m.Admit("club", 1, now)
 	must.NoError(t, err)
 }
 
@@ -233,22 +233,22 @@
 func TestIdleAccountCountsUnreachableRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos", "kano")
-	m.Take([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 100, Burst: 100}}}, now)
 	reportNothing := func(seconds int) {
 		for range seconds * 10 {
 			now = now.Add(100 * time.Millisecond)
-			m.HearNear(nil, 1, now)
+			m.ReceiveLocal(nil, 1, now)
 		}
 	}
-	m.HearFar("kano", nil, now, now)
+	m.ReceiveRemote("kano", nil, now, now)
 	reportNothing(30)
-	m.HearFar("kano", nil, now, now)
+	m.ReceiveRemote("kano", nil, now, now)
 	must.Between(t, 400, m.Statuses(now)[0].Used, 500)
 	for range 20 {
 		reportNothing(1)
-		m.HearFar("kano", nil, now, now)
+		m.ReceiveRemote("kano", nil, now, now)
 		now = now.Add(400 * time.Millisecond)
-		m.HearFar("kano", nil, now, now)
+		m.ReceiveRemote("kano", nil, now, now)
 	}
 	must.Less(t, 500, m.Statuses(now)[0].Used)
 }
@@ -281,14 +281,14 @@
 func TestRefundAfterIdleWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos")
-	m.Take([]catalog.Account{{Name: "club", Allowance: tokens(100)}}, now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: tokens(100)}}, now)
 	now = now.Add(time.Minute)
-	grant, err := m.Ask("club", 1, now)
+	grant, err := m.Admit("club", 1, now)
 	must.NoError(t, err)
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
-		m.HearNear(nil, 1, now)
+		m.ReceiveLocal(nil, 1, now)
 	}
-	grant.GiveBack(now)
-	must.MapEmpty(t, m.Uses(now))
+	grant.Refund(now)
+	must.MapEmpty(t, m.OwnUsage(now))
 }
--- a/allowance/bench_test.go
+++ b/allowance/bench_test.go
@@ -16,20 +16,20 @@
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos", "abuja", "kano")
 	var accounts []catalog.Account
-	usage := make(map[string]allowance.Use)
+	usage := make(map[string]allowance.Usage)
 	for i := range 14_000 {
 		name := fmt.Sprint("account-", i)
 		accounts = append(accounts, catalog.Account{Name: name, Allowance: tokens(29_000)})
 		if i%10 == 0 {
-			usage[name] = allowance.Use{Admitted: 100, Asked: 100}
+			usage[name] = allowance.Usage{AdmittedRate: 100, RequestedRate: 100}
 		}
 	}
-	m.Take(accounts, now)
+	m.SetAccounts(accounts, now)
 	receiveReports := func() {
 		now = now.Add(100 * time.Millisecond)
-		m.HearNear(usage, 1, now)
-		m.HearFar("abuja", usage, now, now)
-		m.HearFar("kano", usage, now, now)
+		m.ReceiveLocal(usage, 1, now)
+		m.ReceiveRemote("abuja", usage, now, now)
+		m.ReceiveRemote("kano", usage, now, now)
 	}
 	for range 100 { // until the usage assumed at the start has left the window
 		receiveReports()
@@ -43,9 +43,9 @@
 func BenchmarkAsk(b *testing.B) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos", "abuja", "kano")
-	m.Take([]catalog.Account{{Name: "club", Allowance: tokens(1e9)}}, now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: tokens(1e9)}}, now)
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		_, _ = m.Ask("club", 9000, now)
+		_, _ = m.Admit("club", 9000, now)
 	}
 }
--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -19,16 +19,16 @@
 	Slack   float64 // units
 }
 
-// Use is the usage of an account, in units a second unless noted.
-type Use struct {
-	Admitted float64 // over the last 0.2 s
-	Steady   float64 // admitted over the last 0.5 s
-	Asked    float64 // requested, admitted or not
-	Window   float64 // units admitted within the last window
+// Usage is the usage of an account, in units a second unless noted.
+type Usage struct {
+	AdmittedRate  float64 // over the last 0.2 s
+	SmoothedRate  float64 // admitted over the last 0.5 s
+	RequestedRate float64 // requested, admitted or not
+	WindowTotal   float64 // units admitted within the last window
 }
 
-func (u Use) plus(other Use) Use {
-	return Use{u.Admitted + other.Admitted, u.Steady + other.Steady, u.Asked + other.Asked, u.Window + other.Window}
+func (u Usage) plus(other Usage) Usage {
+	return Usage{u.AdmittedRate + other.AdmittedRate, u.SmoothedRate + other.SmoothedRate, u.RequestedRate + other.RequestedRate, u.WindowTotal + other.WindowTotal}
 }
 
 // Deps are the settings and dependencies of a Meter.
@@ -53,16 +53,16 @@
 
 // localUsage is the usage reported by the other gateways of this region.
 type localUsage struct {
-	usage      map[string]Use
-	coverage   float64        // fraction of the region's gateways that usage includes
-	complete   map[string]Use // usage when it last included all of them
-	completeAt time.Time      // when that was
+	usage      map[string]Usage
+	coverage   float64          // fraction of the region's gateways that usage includes
+	complete   map[string]Usage // usage when it last included all of them
+	completeAt time.Time        // when that was
 }
 
 // regionReport is the latest usage reported by another region.
 type regionReport struct {
 	at    time.Time // when it was sent
-	usage map[string]Use
+	usage map[string]Usage
 }
 
 const (
@@ -118,9 +118,9 @@
 	return &Meter{Deps: deps, accounts: make(map[string]*account), active: make(map[string]*account), local: localUsage{coverage: 1}, remote: make(map[string]regionReport)}
 }
 
-// Take sets the accounts to the declared ones that have a limit. A new one is assumed to
+// SetAccounts sets the accounts to the declared ones that have a limit. A new one is assumed to
 // be fully used, because this gateway may have restarted.
-func (m *Meter) Take(accounts []catalog.Account, now time.Time) {
+func (m *Meter) SetAccounts(accounts []catalog.Account, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names := make(map[string]bool, len(accounts))
@@ -153,9 +153,9 @@
 	cost    float64
 }
 
-// GiveBack subtracts a request that was never run from what was admitted. Only the first
+// Refund subtracts a request that was never run from what was admitted. Only the first
 // call has an effect; a nil Grant is valid and does nothing.
-func (g *Grant) GiveBack(now time.Time) {
+func (g *Grant) Refund(now time.Time) {
 	if g == nil || g.cost == 0 {
 		return
 	}
@@ -168,10 +168,10 @@
 	g.cost = 0
 }
 
-// Ask admits a request of an account and counts its cost, in units. It returns a nil
+// Admit admits a request of an account and counts its cost, in units. It returns a nil
 // Grant if the account has no limit, and a *request.NotRun error if it rejects the
 // request.
-func (m *Meter) Ask(name string, cost float64, now time.Time) (*Grant, error) {
+func (m *Meter) Admit(name string, cost float64, now time.Time) (*Grant, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a, ok := m.accounts[name]
@@ -232,13 +232,13 @@
 	return false
 }
 
-// Uses returns the usage by this gateway's callers, for the accounts that they use.
-func (m *Meter) Uses(now time.Time) map[string]Use {
+// OwnUsage returns the usage by this gateway's callers, for the accounts that they use.
+func (m *Meter) OwnUsage(now time.Time) map[string]Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]Use)
+	out := make(map[string]Usage)
 	for name, a := range m.active {
-		if u := a.ownUsage(now); u.Asked >= minReportedRate || u.Window > 0 {
+		if u := a.ownUsage(now); u.RequestedRate >= minReportedRate || u.WindowTotal > 0 {
 			out[name] = u
 		}
 	}
@@ -252,10 +252,10 @@
 	m.gatewayCount = n
 }
 
-// HearNear applies the summed usage of the other gateways of this region. coverage is the
+// ReceiveLocal applies the summed usage of the other gateways of this region. coverage is the
 // fraction of the region's live gateways, including this one, that the sum includes. Those
 // that drop out of the sum are assumed to continue as before for missingReportHold.
-func (m *Meter) HearNear(usage map[string]Use, coverage float64, now time.Time) {
+func (m *Meter) ReceiveLocal(usage map[string]Usage, coverage float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateAccounts(m.active, now)
@@ -271,17 +271,17 @@
 }
 
 // maxUsage returns the greater usage of each account, field by field.
-func maxUsage(a, b map[string]Use) map[string]Use {
+func maxUsage(a, b map[string]Usage) map[string]Usage {
 	out := maps.Clone(a)
 	for name, use := range b {
 		larger := out[name]
-		out[name] = Use{max(larger.Admitted, use.Admitted), max(larger.Steady, use.Steady), max(larger.Asked, use.Asked), max(larger.Window, use.Window)}
+		out[name] = Usage{max(larger.AdmittedRate, use.AdmittedRate), max(larger.SmoothedRate, use.SmoothedRate), max(larger.RequestedRate, use.RequestedRate), max(larger.WindowTotal, use.WindowTotal)}
 	}
 	return out
 }
 
-// HearFar applies another region's usage, as reported at the given time.
-func (m *Meter) HearFar(region string, usage map[string]Use, at, now time.Time) {
+// ReceiveRemote applies another region's usage, as reported at the given time.
+func (m *Meter) ReceiveRemote(region string, usage map[string]Usage, at, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.hasFreshReport(region, now) {
@@ -295,7 +295,7 @@
 }
 
 // activate adds the accounts with usage to the active ones.
-func (m *Meter) activate(usage map[string]Use) {
+func (m *Meter) activate(usage map[string]Usage) {
 	for name := range usage {
 		if a, ok := m.accounts[name]; ok {
 			m.active[name] = a
@@ -332,10 +332,10 @@
 	}
 	for name, a := range m.active {
 		localUse := a.ownUsage(now).plus(m.local.usage[name])
-		requested := map[string]float64{m.Region: localUse.Asked}
-		sum := localUse.Asked
+		requested := map[string]float64{m.Region: localUse.RequestedRate}
+		sum := localUse.RequestedRate
 		for region, report := range m.remote {
-			requested[region] = report.usage[name].Asked
+			requested[region] = report.usage[name].RequestedRate
 			sum += requested[region]
 		}
 		if sum < minReportedRate {
--- a/allowance/standing.go
+++ b/allowance/standing.go
@@ -46,13 +46,13 @@
 	// After a longer pause, everything before the last window has expired.
 	elapsed := min(now.Sub(a.updatedAt), m.Policy.Window).Seconds()
 	a.updatedAt = now
-	a.add(m.Region, others.Admitted*elapsed, m.Policy.Window, now)
+	a.add(m.Region, others.AdmittedRate*elapsed, m.Policy.Window, now)
 	for _, region := range m.Regions {
 		switch {
 		case region == m.Region:
 		case m.hasFreshReport(region, now):
 			use := m.remote[region].usage[name]
-			a.add(region, use.Steady*elapsed, m.Policy.Window, now)
+			a.add(region, use.SmoothedRate*elapsed, m.Policy.Window, now)
 			others = others.plus(use)
 			regions = append(regions, region)
 		default:
@@ -66,24 +66,24 @@
 	own := a.ownUsage(now)
 	s := accountState{
 		regions: regions, limit: max(0, limitShare) * m.local.coverage * a.limit,
-		requested: own.Asked + others.Asked, ownRequested: own.Asked, admitted: own.Admitted + others.Admitted,
+		requested: own.RequestedRate + others.RequestedRate, ownRequested: own.RequestedRate, admitted: own.AdmittedRate + others.AdmittedRate,
 	}
 	for _, region := range regions {
 		s.used += m.usedIn(region, name, a, now)
 	}
 	s.expiryRate = a.expiryRate(regions, now)
-	s.soleGateway = own.Asked >= soleGatewayShare*s.requested
+	s.soleGateway = own.RequestedRate >= soleGatewayShare*s.requested
 	if s.requested > 0 {
-		othersShare := others.Asked / s.requested
-		s.unreported = reportLag.Seconds() * (a.admitRatio*others.Asked - othersShare*s.expiryRate)
+		othersShare := others.RequestedRate / s.requested
+		s.unreported = reportLag.Seconds() * (a.admitRatio*others.RequestedRate - othersShare*s.expiryRate)
 	}
-	a.demand.add(others.Asked*elapsed, now)
+	a.demand.add(others.RequestedRate*elapsed, now)
 	s.hot = a.demand.sum > hotWindowFactor*s.limit
 	if s.hot {
 		s.maxRate = hotAdmitFactor * s.limit / m.Policy.Window.Seconds()
 	}
 	s.hot = s.hot || s.requested*m.Policy.Window.Seconds() > hotRateFactor*s.limit
-	a.updateAverages(s.admitRatio(0), others.Asked, now)
+	a.updateAverages(s.admitRatio(0), others.RequestedRate, now)
 	return s
 }
 
@@ -94,11 +94,11 @@
 func (m *Meter) usedIn(region, name string, a *account, now time.Time) float64 {
 	estimate := a.estimateIn(region, now)
 	if region == m.Region {
-		return max(estimate, a.ownSum(now)+m.local.usage[name].Window-localSumError*a.limit)
+		return max(estimate, a.ownSum(now)+m.local.usage[name].WindowTotal-localSumError*a.limit)
 	}
 	report := m.remote[region]
 	freshness := 1 - float64(now.Sub(report.at))/float64(m.Policy.Window)
-	return max(estimate, freshness*report.usage[name].Window)
+	return max(estimate, freshness*report.usage[name].WindowTotal)
 }
 
 // withinGatewayShare reports whether a request for a hot account stays within this
--- a/allowance/world_test.go
+++ b/allowance/world_test.go
@@ -159,7 +159,7 @@
 
 type usageSample struct {
 	at  time.Time
-	use allowance.Use
+	use allowance.Usage
 }
 
 func newMeterLimiter(sim *simulation, region int) limiter {
@@ -167,13 +167,13 @@
 		Region: regionNames[region], Regions: regionNames, Policy: sim.policy, Random: sim.random.Uint64,
 	})}
 	m.SetGateways(sim.gateways)
-	m.Take([]catalog.Account{{Name: "club", Allowance: sim.limit}}, sim.now)
-	m.HearNear(nil, float64(regions)/float64(sim.gateways), sim.now)
+	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: sim.limit}}, sim.now)
+	m.ReceiveLocal(nil, float64(regions)/float64(sim.gateways), sim.now)
 	return m
 }
 
 func (m *meterLimiter) admit(cost float64, now time.Time) bool {
-	_, err := m.Ask("club", cost, now)
+	_, err := m.Admit("club", cost, now)
 	return err == nil
 }
 
@@ -183,12 +183,12 @@
 	if m.paused {
 		return
 	}
-	m.history = append(m.history, usageSample{now, m.Uses(now)["club"]})
+	m.history = append(m.history, usageSample{now, m.OwnUsage(now)["club"]})
 	if m.isolated {
-		m.HearNear(map[string]allowance.Use{}, float64(regions)/float64(m.sim.gateways), now)
+		m.ReceiveLocal(map[string]allowance.Usage{}, float64(regions)/float64(m.sim.gateways), now)
 		return
 	}
-	sums := make([]allowance.Use, regions)
+	sums := make([]allowance.Usage, regions)
 	reporting := 1
 	for region, all := range m.sim.meters {
 		age := remoteReportAge
@@ -198,36 +198,36 @@
 		for _, l := range all {
 			if o := l.(*meterLimiter); o != m && !o.isolated {
 				u, known := o.usageAt(now.Add(-age))
-				sums[region].Admitted += u.Admitted
-				sums[region].Steady += u.Steady
-				sums[region].Asked += u.Asked
-				sums[region].Window += u.Window
+				sums[region].AdmittedRate += u.AdmittedRate
+				sums[region].SmoothedRate += u.SmoothedRate
+				sums[region].RequestedRate += u.RequestedRate
+				sums[region].WindowTotal += u.WindowTotal
 				if known && region == m.region {
 					reporting++
 				}
 			}
 		}
 	}
-	m.HearNear(map[string]allowance.Use{"club": sums[m.region]}, float64(reporting)/float64(m.sim.gateways/regions), now)
+	m.ReceiveLocal(map[string]allowance.Usage{"club": sums[m.region]}, float64(reporting)/float64(m.sim.gateways/regions), now)
 	if now.Sub(m.lastRemoteReport) < remoteReportInterval {
 		return
 	}
 	m.lastRemoteReport = now
 	for region, sum := range sums {
 		if region != m.region && !m.sim.partitioned[region] && !m.sim.partitioned[m.region] {
-			m.HearFar(regionNames[region], map[string]allowance.Use{"club": sum}, now.Add(-remoteReportAge), now)
+			m.ReceiveRemote(regionNames[region], map[string]allowance.Usage{"club": sum}, now.Add(-remoteReportAge), now)
 		}
 	}
 }
 
 // usageAt returns the last usage that the gateway had reported by then, if any.
-func (m *meterLimiter) usageAt(when time.Time) (use allowance.Use, known bool) {
+func (m *meterLimiter) usageAt(when time.Time) (use allowance.Usage, known bool) {
 	for i := len(m.history) - 1; i >= 0; i-- {
 		if !m.history[i].at.After(when) {
 			return m.history[i].use, true
 		}
 	}
-	return allowance.Use{}, false
+	return allowance.Usage{}, false
 }
 
 // equalLimiter gives each gateway a token bucket with an equal share of the rate.
--- a/cmd/linenscale/accounts.go
+++ b/cmd/linenscale/accounts.go
@@ -48,12 +48,12 @@
 		for _, s := range g.Accounts {
 			units := func(n float64) string { return strconv.FormatFloat(n, 'f', 0, 64) }
 			var regions []string
-			for region, age := range s.Regions {
+			for region, age := range s.RegionAges {
 				regions = append(regions, fmt.Sprintf("%s %.1fs", region, age))
 			}
 			slices.Sort(regions)
 			rows = append(rows, []string{
-				g.Gateway, s.Account, units(s.Most), units(s.Used), units(s.Asked), units(s.Admitted), units(s.Refused),
+				g.Gateway, s.Account, units(s.Limit), units(s.Used), units(s.Requested), units(s.Admitted), units(s.Rejected),
 				fmt.Sprintf("%.2f", s.Share), fmt.Sprintf("%.2f", s.Coverage), strings.Join(regions, ", "),
 			})
 		}
--- a/dispatch/accounts.go
+++ b/dispatch/accounts.go
@@ -21,10 +21,10 @@
 		return nil
 	}
 	var out []rollup.AccountUsage
-	for name, use := range d.Allowances.Uses(now) {
+	for name, use := range d.Allowances.OwnUsage(now) {
 		out = append(out, rollup.AccountUsage{
-			Account: hashAccount(name), AdmittedRate: encodeRate(use.Admitted), SmoothedRate: encodeRate(use.Steady), RequestedRate: encodeRate(use.Asked),
-			WindowTotal: int(math.Ceil(use.Window)),
+			Account: hashAccount(name), AdmittedRate: encodeRate(use.AdmittedRate), SmoothedRate: encodeRate(use.SmoothedRate), RequestedRate: encodeRate(use.RequestedRate),
+			WindowTotal: int(math.Ceil(use.WindowTotal)),
 		})
 	}
 	return out
@@ -61,13 +61,13 @@
 	if others.Listed > others.Reporting {
 		coverage = float64(1+others.Reporting) / float64(1+others.Listed)
 	}
-	uses := make(map[string]allowance.Use, len(others.Accounts))
+	uses := make(map[string]allowance.Usage, len(others.Accounts))
 	for _, use := range others.Accounts {
 		if name, ok := d.accountNames[use.Account]; ok {
 			uses[name] = decodeUsage(use)
 		}
 	}
-	d.Allowances.HearNear(uses, coverage, d.Clock())
+	d.Allowances.ReceiveLocal(uses, coverage, d.Clock())
 }
 
 // applyRemoteUsage passes the usage reported by another region to the meter. The lock is
@@ -76,18 +76,18 @@
 	if d.Allowances == nil {
 		return
 	}
-	uses := make(map[string]allowance.Use, len(reported))
+	uses := make(map[string]allowance.Usage, len(reported))
 	for _, use := range reported {
 		if name, ok := d.accountNames[use.Account]; ok {
 			uses[name] = decodeUsage(use)
 		}
 	}
-	d.Allowances.HearFar(region, uses, at, d.Clock())
+	d.Allowances.ReceiveRemote(region, uses, at, d.Clock())
 }
 
-func decodeUsage(use rollup.AccountUsage) allowance.Use {
+func decodeUsage(use rollup.AccountUsage) allowance.Usage {
 	units := func(encoded int) float64 { return float64(max(0, encoded)) / usageScale }
-	return allowance.Use{Admitted: units(use.AdmittedRate), Steady: units(use.SmoothedRate), Asked: units(use.RequestedRate), Window: float64(max(0, use.WindowTotal))}
+	return allowance.Usage{AdmittedRate: units(use.AdmittedRate), SmoothedRate: units(use.SmoothedRate), RequestedRate: units(use.RequestedRate), WindowTotal: float64(max(0, use.WindowTotal))}
 }
 
 // usageScale is the number of steps per unit in reported usage. With whole units, an
@@ -104,6 +104,6 @@
 		d.accountNames[hashAccount(a.Name)] = a.Name
 	}
 	if d.Allowances != nil {
-		d.Allowances.Take(d.catalog.Accounts(), d.Clock())
+		d.Allowances.SetAccounts(d.catalog.Accounts(), d.Clock())
 	}
 }
--- a/dispatch/accounts_test.go
+++ b/dispatch/accounts_test.go
@@ -47,14 +47,14 @@
 	for step := range 100 { // ten seconds; each gateway asks each two seconds
 		for i, m := range meters {
 			if step%gateways == i {
-				_, err := m.Ask("club", 1, w.now)
+				_, err := m.Admit("club", 1, w.now)
 				must.NoError(t, err)
 			}
 		}
 		w.tell()
 		w.pass(rollup.ReportInterval)
 		if step >= 50 {
-			asked += meters[0].Statuses(w.now)[0].Asked / 50
+			asked += meters[0].Statuses(w.now)[0].Requested / 50
 		}
 	}
 	must.Between(t, 7, asked, 13, must.Sprint("ten requests a second"))
--- a/ingress/accounts.go
+++ b/ingress/accounts.go
@@ -112,13 +112,13 @@
 	}
 	cost := x.account.Allowance.Cost(x.meta.Tokens, x.meta.Tokens != Untold)
 	var err error
-	x.charged, err = s.Allowances.Ask(x.account.Name, cost, s.Clock())
+	x.charged, err = s.Allowances.Admit(x.account.Name, cost, s.Clock())
 	return err
 }
 
 // refundAllowance returns what was charged for a request that no engine has run.
 func (x *exchange) refundAllowance(rejection request.Refusal, now time.Time) {
 	if _, notRun := rejection.(*request.NotRun); notRun {
-		x.charged.GiveBack(now)
+		x.charged.Refund(now)
 	}
 }
--- a/ingress/accounts_test.go
+++ b/ingress/accounts_test.go
@@ -158,7 +158,7 @@
 	})
 	limited := accounts[3]
 	limited.Allowance = catalog.Allowance{Unit: catalog.UnitRequests, Rate: 0.001, Burst: 2}
-	g.server.Allowances.Take([]catalog.Account{limited}, time.Now().Add(-time.Hour))
+	g.server.Allowances.SetAccounts([]catalog.Account{limited}, time.Now().Add(-time.Hour))
 	declareAccounts(g, []catalog.Account{limited})
 	for range 5 {
 		must.Eq(t, http.StatusServiceUnavailable, do(t, g, requestWithKeys("/empty/1", "k-small")).Status, must.Sprint("the service has no engine"))
