--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -120,7 +120,7 @@
 			return now
 		},
 		Seeds: m.seedPeers, Client: m.calls, Engines: engines,
-		OnState: func(s ledger.State) { server.Take(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
+		OnState: func(s ledger.State) { server.ApplyState(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
 	})
 	m.regions.Store(follower)
 	regions := m.allRegions()
@@ -134,13 +134,13 @@
 	server = ingress.New(ingress.Deps{
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
 		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTime: peerIdle}), Log: m.log, Metrics: m.metrics,
-		Random: rand.Uint64, Clock: steady.Time, StopTime: m.settings.StopTime - stopMargin,
-		Keys:       ingress.Keys{RevokedWithin: m.settings.KeysRevokedWithin, SureUntil: follower.FreshUntil, Steady: steady.Now},
+		Random: rand.Uint64, Clock: steady.Time, StopTimeout: m.settings.StopTime - stopMargin,
+		KeyLease:   ingress.KeyLease{RevokedWithin: m.settings.KeysRevokedWithin, FreshAsOf: follower.FreshUntil, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
 	})
 	group.Go(follower.Run)
 	group.Go(func(ctx context.Context) error { return dispatchDuty(ctx, dispatcher, engines) })
-	group.Go(server.Examine)
+	group.Go(server.ProbeSuspects)
 	words, err := wire.ListenDatagrams[rollup.Message](m.settings.Bound(m.settings.Peer()), m.deployment())
 	if err != nil {
 		return errors.Trace(err)
--- a/ingress/accounts.go
+++ b/ingress/accounts.go
@@ -10,16 +10,16 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Keys bounds how long a revoked API key may still be accepted. Gateways learn of a
+// KeyLease bounds how long a revoked API key may still be accepted. Gateways learn of a
 // revocation from the ledger, so a gateway serves keys only under a lease: while it has
 // confirmed recently enough that its catalog is up to date.
-type Keys struct {
+type KeyLease struct {
 	// RevokedWithin is the bound: this long after the catalog that revokes a key was
 	// accepted, no host may run a request that uses the key. 0 means no bound.
 	RevokedWithin time.Duration
-	// SureUntil returns the latest time, on the clock Steady, as of which the catalog at
+	// FreshAsOf returns the latest time, on the clock Steady, as of which the catalog at
 	// index contains every accepted change; known is false if that was never confirmed.
-	SureUntil func(index uint64) (at time.Duration, known bool)
+	FreshAsOf func(index uint64) (at time.Duration, known bool)
 	// Steady reads a clock that keeps counting while the host is suspended.
 	Steady func() time.Duration
 }
@@ -38,12 +38,12 @@
 // checkFreshness reports whether the catalog at index is fresh enough to accept keys, and
 // how long ago it was last confirmed. The request has been received before the call, so
 // it was sent while the lease was valid, however long an engine takes to run it.
-func (k Keys) checkFreshness(index uint64) (age time.Duration, ok bool) {
+func (k KeyLease) checkFreshness(index uint64) (age time.Duration, ok bool) {
 	if k.RevokedWithin <= 0 {
 		return 0, true
 	}
 	now := k.Steady()
-	freshAsOf, known := k.SureUntil(index)
+	freshAsOf, known := k.FreshAsOf(index)
 	if !known {
 		return unknownAge, false
 	}
@@ -68,7 +68,7 @@
 	if !x.catalog.table.HasAccounts() {
 		return nil
 	}
-	age, fresh := s.Keys.checkFreshness(x.catalog.index)
+	age, fresh := s.KeyLease.checkFreshness(x.catalog.index)
 	x.account, x.keyValid = x.catalog.table.AccountOf(x.meta.Key)
 	x.keyValid = x.keyValid && fresh
 	if x.route.Public {
@@ -110,7 +110,7 @@
 	if x.handedOver || s.Allowances == nil {
 		return nil
 	}
-	cost := x.account.Allowance.Cost(x.meta.Tokens, x.meta.Tokens != Untold)
+	cost := x.account.Allowance.Cost(x.meta.Tokens, x.meta.Tokens != TokensUnknown)
 	var err error
 	x.charged, err = s.Allowances.Admit(x.account.Name, cost, s.Clock())
 	return err
--- a/ingress/accounts_test.go
+++ b/ingress/accounts_test.go
@@ -33,7 +33,7 @@
 		Name: "public", Host: "h", Prefix: "/public/", Kind: catalog.KindSafe, Public: true, Timeout: time.Second, Target: time.Second, Attempts: 2,
 		Backends: []catalog.Backend{{Service: "portal", Weight: 1}},
 	})
-	g.server.Take(ledger.State{Index: 2, Catalog: c})
+	g.server.ApplyState(ledger.State{Index: 2, Catalog: c})
 }
 
 // requestWithKeys returns a request that carries API keys.
@@ -94,9 +94,9 @@
 	g, _ := setUp(t)
 	var now, confirmedAt atomic.Int64
 	confirmedAt.Store(-1)
-	g.server.Keys = ingress.Keys{
+	g.server.KeyLease = ingress.KeyLease{
 		RevokedWithin: 5 * time.Second,
-		SureUntil: func(index uint64) (time.Duration, bool) {
+		FreshAsOf: func(index uint64) (time.Duration, bool) {
 			return time.Duration(confirmedAt.Load()), confirmedAt.Load() >= 0 && index >= 2
 		},
 		Steady: func() time.Duration { return time.Duration(now.Load()) },
@@ -124,7 +124,7 @@
 	check(200, "confirmed again")
 	c := testCatalog
 	c.Version, c.Accounts = 3, accounts[1:]
-	g.server.Take(ledger.State{Index: 3, Catalog: c})
+	g.server.ApplyState(ledger.State{Index: 3, Catalog: c})
 	must.Eq(t, http.StatusUnauthorized, do(t, g, requestWithKeys("/safe/1", "k-club")).Status)
 }
 
@@ -144,7 +144,7 @@
 		}
 	}
 	declareAccounts(kano, accounts[:1])
-	kano.server.Take(ledger.State{Index: 9, Catalog: catalog.Catalog{Version: 9, Routes: testCatalog.Routes, Services: testCatalog.Services, Accounts: accounts[:1]}})
+	kano.server.ApplyState(ledger.State{Index: 9, Catalog: catalog.Catalog{Version: 9, Routes: testCatalog.Routes, Services: testCatalog.Services, Accounts: accounts[:1]}})
 	result = do(t, lagos, requestWithKeys("/safe/1", "k-away"))
 	must.True(t, result.Promised(), must.Sprint("the other gateway's catalog has the key revoked"))
 }
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -133,9 +133,9 @@
 func (s *Server) send(x *exchange, p *progress, ticket *dispatch.Ticket) error {
 	resp, err := s.Engines.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + ticket.Address + x.r.URL.RequestURI(), Host: x.r.Host,
-		Header: s.Dialect.Outgoing(relay.Forwardable(x.r.Header), Send{
-			Engine: ticket.Engine, Remaining: s.remaining(x), LastEvent: p.lastEventID,
-			Keyed: x.catalog.table.HasAccounts(), Account: x.account.Name, CopyFrom: ticket.CopyFrom,
+		Header: s.Dialect.EngineHeader(relay.Forwardable(x.r.Header), EngineRequest{
+			Engine: ticket.Engine, Timeout: s.remaining(x), LastEventID: p.lastEventID,
+			RemoveKey: x.catalog.table.HasAccounts(), Account: x.account.Name, TransferFrom: ticket.CopyFrom,
 		}),
 		Body: x.bodyReader(), Length: int64(len(x.body)),
 		// Engines often crash together. A second send on a pooled connection could be reset by
@@ -163,7 +163,7 @@
 // checkAnswer inspects the head of an engine's answer. It records what the engine signals
 // and returns an error unless the answer can be relayed.
 func (s *Server) checkAnswer(x *exchange, p *progress, ticket *dispatch.Ticket, resp *http.Response) error {
-	v := s.Dialect.Judge(resp)
+	v := s.Dialect.DecodeAnswer(resp)
 	s.recordSignals(x, ticket, resp, v)
 	switch {
 	case v.Misdirected:
--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -13,32 +13,32 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Identity is the metadata that a caller sends in a request's headers.
-type Identity struct {
-	ID        string
-	Remaining time.Duration // how long the caller will wait; 0 if not stated
-	Prompt    dispatch.Prompt
-	Tokens    int               // prompt plus longest answer; -1 if not stated
-	LastEvent string            // ID of the last stream event that the caller has; "" for none
-	Key       catalog.KeyDigest // digest of the API key; "" for none
+// RequestMetadata is the metadata that a caller sends in a request's headers.
+type RequestMetadata struct {
+	ID          string
+	Timeout     time.Duration // how long the caller will wait; 0 if not stated
+	Prompt      dispatch.Prompt
+	Tokens      int               // prompt plus longest answer; -1 if not stated
+	LastEventID string            // ID of the last stream event that the caller has; "" for none
+	Key         catalog.KeyDigest // digest of the API key; "" for none
 }
 
-// Untold is the number of tokens of a request that doesn't state it.
-const Untold = -1
+// TokensUnknown is the number of tokens of a request that doesn't state it.
+const TokensUnknown = -1
 
-// Send is what the gateway adds to the caller's headers when it sends a request to an
+// EngineRequest is what the gateway adds to the caller's headers when it sends a request to an
 // engine.
-type Send struct {
-	Engine    string        // the incarnation that the request is for
-	Remaining time.Duration // time limit; the engine may stop after it
-	LastEvent string        // ID of the event to resume the stream after; "" keeps the caller's
-	Keyed     bool          // callers send API keys, which are removed
-	Account   string        // client account; "" for none
-	CopyFrom  string        // address of the engine to transfer the prompt's KV cache from; "" for none
+type EngineRequest struct {
+	Engine       string        // the incarnation that the request is for
+	Timeout      time.Duration // time limit; the engine may stop after it
+	LastEventID  string        // ID of the event to resume the stream after; "" keeps the caller's
+	RemoveKey    bool          // callers send API keys, which are removed
+	Account      string        // client account; "" for none
+	TransferFrom string        // address of the engine to transfer the prompt's KV cache from; "" for none
 }
 
-// Verdict is the metadata in the head of an engine's answer.
-type Verdict struct {
+// AnswerMetadata is the metadata in the head of an engine's answer.
+type AnswerMetadata struct {
 	ID          string           // of the request that it answers
 	Engine      string           // incarnation that answered; "" if not stated
 	NotRun      bool             // the engine states that it did not run the request
@@ -46,22 +46,22 @@
 	Cold        time.Duration    // cold time that the answer states; not used by this package
 	Limit       ratelimit.Signal // the engine's rate limit, over all gateways together
 	Pushback    pushback.Signal  // backoff that the engine asks this gateway for
-	Leaving     bool             // the engine is draining and accepts no more requests
+	Draining    bool             // the engine is draining and accepts no more requests
 }
 
 // Dialect encodes and decodes the platform's headers of callers and engines. This package
 // does not depend on their names.
 type Dialect interface {
 	// Identify decodes a caller's headers. The error is a *request.NotRun.
-	Identify(header http.Header) (Identity, error)
+	DecodeRequest(header http.Header) (RequestMetadata, error)
 	// Outgoing returns the headers for an engine: the caller's, without those that only
 	// the gateway may set, plus those for send. It may modify caller.
-	Outgoing(caller http.Header, send Send) http.Header
+	EngineHeader(caller http.Header, send EngineRequest) http.Header
 	// Continue returns the headers of a caller that resumes the stream after the event
 	// with the ID lastEvent. It may modify caller.
-	Continue(caller http.Header, lastEvent string) http.Header
+	ResumeHeader(caller http.Header, lastEvent string) http.Header
 	// Judge decodes the head of an engine's answer.
-	Judge(resp *http.Response) Verdict
+	DecodeAnswer(resp *http.Response) AnswerMetadata
 	// Refuse returns the status and headers of a rejection by the gateway itself.
-	Refuse(refusal request.Refusal) (status int, header http.Header)
+	EncodeRejection(refusal request.Refusal) (status int, header http.Header)
 }
--- a/ingress/examine.go
+++ b/ingress/examine.go
@@ -30,9 +30,9 @@
 	maxConcurrentProbes = 16
 )
 
-// Examine probes the engines that the dispatcher suspects, until ctx ends, and reports
+// ProbeSuspects probes the engines that the dispatcher suspects, until ctx ends, and reports
 // those that refuse connections to the dispatcher.
-func (s *Server) Examine(ctx context.Context) error {
+func (s *Server) ProbeSuspects(ctx context.Context) error {
 	group := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	defer group.Wait()
 	for {
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -75,7 +75,7 @@
 	s.Log.Info("handing over request", x.logFields(zap.String("gateway", gateway.Name), zap.String("region", gateway.Region), zap.Duration("remaining", s.remaining(x)))...)
 	header := relay.Forwardable(x.r.Header)
 	if x.progress.lastEventID != "" {
-		header = s.Dialect.Continue(header, x.progress.lastEventID)
+		header = s.Dialect.ResumeHeader(header, x.progress.lastEventID)
 	}
 	handover := request.Request{ID: x.meta.ID, Deadline: x.deadline, Sends: x.progress.sends}.WithVisit(s.Self.Name)
 	handover.SetHandover(header, s.Clock(), uint64(x.catalog.table.Version()))
--- a/ingress/hear.go
+++ b/ingress/hear.go
@@ -16,7 +16,7 @@
 // recordSignals passes what the head of an answer signals about its engine to the
 // dispatcher. It does so for rejections and failures too, but not for an answer of another
 // engine at the same address.
-func (s *Server) recordSignals(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
+func (s *Server) recordSignals(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v AnswerMetadata) {
 	if v.Misdirected {
 		return
 	}
@@ -27,7 +27,7 @@
 // recordPushback records the backoff and draining that the engine asks of this gateway. It
 // also accepts them from a late answer to another request: a backoff received late ends
 // late, and an engine that drains doesn't return.
-func (s *Server) recordPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v Verdict) {
+func (s *Server) recordPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v AnswerMetadata) {
 	ticket.HeardPushback(v.Pushback)
 	if !v.NotRun && resp.StatusCode != http.StatusServiceUnavailable {
 		ticket.Taken()
@@ -40,7 +40,7 @@
 		s.Log.Warn("ignoring malformed Retry-After of engine", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("word", signal))...)
 	case pushback.NoSignal:
 	}
-	if v.Leaving {
+	if v.Draining {
 		ticket.HeardLeaving()
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 		s.Log.Info("engine announced that it is draining", x.logFields(zap.String("engine", ticket.Engine), zap.Int("status", resp.StatusCode))...)
@@ -49,7 +49,7 @@
 
 // recordLimit records the engine's rate limit. It ignores an answer to another request,
 // because its age is unknown.
-func (s *Server) recordLimit(x *exchange, ticket *dispatch.Ticket, v Verdict) {
+func (s *Server) recordLimit(x *exchange, ticket *dispatch.Ticket, v AnswerMetadata) {
 	if v.ID != x.meta.ID && !(v.NotRun && v.ID == "") {
 		return
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -58,11 +58,11 @@
 	Random     func() uint64
 	// Clock is the clock for deadlines and estimates. It continues while the host is
 	// suspended, so that no engine gets more time than its caller has left.
-	Clock      func() time.Time
-	StopTime   time.Duration // for requests in flight after Run's context ends
-	Keys       Keys
-	Allowances *allowance.Meter // nil if allowances are not enforced
-	Regions    []string         // all regions of the deployment
+	Clock       func() time.Time
+	StopTimeout time.Duration // for requests in flight after Run's context ends
+	KeyLease    KeyLease
+	Allowances  *allowance.Meter // nil if allowances are not enforced
+	Regions     []string         // all regions of the deployment
 }
 
 // Server is the HTTP server of one gateway. Create it with New.
@@ -85,9 +85,9 @@
 // New returns a server that has no catalog yet, so it is not ready.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
-// Take applies a state of the ledger. It ignores a state that is not newer than the
+// ApplyState applies a state of the ledger. It ignores a state that is not newer than the
 // current one.
-func (s *Server) Take(state ledger.State) {
+func (s *Server) ApplyState(state ledger.State) {
 	current := s.catalog.Load()
 	if current != nil && current.index >= state.Index {
 		return
@@ -108,7 +108,7 @@
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
 // Run serves both listeners until ctx ends, then finishes the requests in flight within
-// StopTime. Connections wait in the listeners until the first catalog arrives, or
+// StopTimeout. Connections wait in the listeners until the first catalog arrives, or
 // firstCatalogTimeout has passed.
 func (s *Server) Run(ctx context.Context, callers, handover net.Listener) error {
 	s.awaitCatalog(ctx)
@@ -147,7 +147,7 @@
 	if !current.table.HasAccounts() {
 		return true
 	}
-	_, fresh := s.Keys.checkFreshness(current.index)
+	_, fresh := s.KeyLease.checkFreshness(current.index)
 	return fresh
 }
 
@@ -155,13 +155,13 @@
 // the stop yet, then finishes the requests in flight.
 func (s *Server) stop(servers []*http.Server) {
 	s.stopping.Store(true)
-	s.Log.Info("stopping", zap.Int64("in_flight", s.inFlight.Load()), zap.Duration("at_most", s.StopTime))
-	stopCtx, cancel := context.WithTimeout(context.Background(), s.StopTime)
+	s.Log.Info("stopping", zap.Int64("in_flight", s.inFlight.Load()), zap.Duration("at_most", s.StopTimeout))
+	stopCtx, cancel := context.WithTimeout(context.Background(), s.StopTimeout)
 	defer cancel()
 	for _, server := range servers {
 		server.SetKeepAlivesEnabled(false)
 	}
-	time.Sleep(min(drainDelay, s.StopTime/2))
+	time.Sleep(min(drainDelay, s.StopTimeout/2))
 	group := pool.New()
 	for _, server := range servers {
 		group.Go(func() {
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -76,7 +76,7 @@
 	g.server = ingress.New(ingress.Deps{
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: func() []roster.Host { return g.peers },
 		Engines: relay.New(dialer, relay.Options{}), Dialer: dialer, Peers: relay.New(dialer, relay.Options{}), Log: zap.NewNop(), Metrics: metrics,
-		Random: func() uint64 { return 1 }, Clock: clock, StopTime: time.Second,
+		Random: func() uint64 { return 1 }, Clock: clock, StopTimeout: time.Second,
 	})
 	g.callers, g.handover = httptest.NewServer(g.server.CallersHandler()), httptest.NewServer(g.server.HandoverHandler())
 	t.Cleanup(g.callers.Close)
@@ -86,7 +86,7 @@
 
 // declare applies testCatalog to the gateway.
 func (g *gateway) declare() {
-	g.server.Take(ledger.State{Index: 1, Catalog: testCatalog})
+	g.server.ApplyState(ledger.State{Index: 1, Catalog: testCatalog})
 }
 
 func hostPort(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -48,7 +48,7 @@
 	for _, g := range c.gateways {
 		g.peers = hosts
 		g.declare()
-		group.Go(func() { _ = g.server.Examine(ctx) })
+		group.Go(func() { _ = g.server.ProbeSuspects(ctx) })
 	}
 	for range engines {
 		c.start(ctx, t, group, "lagos")
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -25,7 +25,7 @@
 type exchange struct {
 	w        http.ResponseWriter
 	r        *http.Request
-	meta     Identity
+	meta     RequestMetadata
 	catalog  *catalogSnapshot // at the time of the request
 	route    catalog.Route
 	service  string
@@ -84,13 +84,13 @@
 		}
 	}
 	var err error
-	if x.meta, err = s.Dialect.Identify(x.r.Header); err != nil {
+	if x.meta, err = s.Dialect.DecodeRequest(x.r.Header); err != nil {
 		return err
 	}
 	if x.handedOver {
-		x.meta.Remaining = remaining
+		x.meta.Timeout = remaining
 	}
-	x.progress.lastEventID = x.meta.LastEvent
+	x.progress.lastEventID = x.meta.LastEventID
 	if err := s.matchRoute(x); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 		return err
 	}
 	x.deadline = x.startedAt.Add(x.route.Timeout)
-	if timeout := x.meta.Remaining; timeout > 0 && timeout < x.route.Timeout {
+	if timeout := x.meta.Timeout; timeout > 0 && timeout < x.route.Timeout {
 		x.deadline = x.startedAt.Add(timeout)
 	}
 	if err := s.readBody(x); err != nil {
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -60,7 +60,7 @@
 		x.abortAnswer(outcome)
 		return
 	}
-	status, header := s.Dialect.Refuse(rejection)
+	status, header := s.Dialect.EncodeRejection(rejection)
 	out := x.w.Header()
 	clear(out)
 	out["Date"] = nil
