--- a/cmd/linenscale/engines.go
+++ b/cmd/linenscale/engines.go
@@ -28,7 +28,7 @@
 	return subcommand{command, func(ctx context.Context, t *tool) error {
 		all, err := readGateways(ctx, *hosts, *timeout, daemon.EnginesPath, func(gateway string, engines []dispatch.EngineStatus) gatewayEngines {
 			if barred {
-				engines = slices.DeleteFunc(engines, func(e dispatch.EngineStatus) bool { return e.Why == "" })
+				engines = slices.DeleteFunc(engines, func(e dispatch.EngineStatus) bool { return e.Exclusion == "" })
 			}
 			return gatewayEngines{gateway, engines}
 		})
@@ -45,7 +45,7 @@
 	for _, g := range all {
 		for _, e := range g.Engines {
 			rows = append(rows, []string{
-				g.Gateway, e.Engine, e.Service, e.Why, span(e.For), span(e.Ends), strconv.Itoa(e.Requests), strconv.Itoa(e.Others),
+				g.Gateway, e.Engine, e.Service, e.Exclusion, span(e.ExcludedFor), span(e.ExclusionEndsIn), strconv.Itoa(e.Requests), strconv.Itoa(e.PeerRequests),
 				strconv.Itoa(e.Backoffs), strconv.Itoa(e.Excluded), strconv.Itoa(e.Overridden),
 			})
 		}
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -214,7 +214,7 @@
 // tellLoad is the duty that tells other gateways of this one's requests.
 func (m *member) tellLoad(ctx context.Context, d *dispatch.Dispatcher, words *wire.Datagrams[rollup.Message]) error {
 	duty.Every(ctx, rollup.ReportInterval, func() {
-		for _, out := range d.Tell() {
+		for _, out := range d.Outgoing() {
 			if err := words.Send(out.Message, out.To); err != nil {
 				m.log.Debug("load not told", telemetry.Cause(err))
 			}
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -126,8 +126,8 @@
 	regions := m.allRegions()
 	meter := allowance.New(allowance.Deps{Region: self.Region, Regions: regions, Policy: allowance.Policy(m.settings.Allowances), Random: rand.Uint64})
 	dispatcher = dispatch.New(dispatch.Deps{
-		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, Regions: m.settings.Regions, Engines: engines, Peers: follower.Gateways, Trip: m.trips.RoundTrip,
-		Budget: retry.Policy(m.settings.Retries), Allowances: meter, Log: m.log, Metrics: m.metrics, Clock: steady.Time,
+		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, RegionOf: m.settings.Regions, Engines: engines, Peers: follower.Gateways, RoundTripTo: m.trips.RoundTrip,
+		RetryBudget: retry.Policy(m.settings.Retries), Allowances: meter, Log: m.log, Metrics: m.metrics, Clock: steady.Time,
 	})
 	dialer := m.engineDialer()
 	client := relay.New(dialer, relay.Options{IdleTime: engineIdle})
@@ -145,7 +145,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	group.Go(func(ctx context.Context) error { return words.Run(ctx, dispatcher.Hear) })
+	group.Go(func(ctx context.Context) error { return words.Run(ctx, dispatcher.Receive) })
 	group.Go(func(ctx context.Context) error { return m.tellLoad(ctx, dispatcher, words) })
 	m.serve(group, m.settings.Listen.Ready, platform.NewReady(server.Ready))
 	m.serve(group, m.settings.Listen.Metrics, withShown(m.metrics.Handler(), meter, dispatcher))
--- a/daemon/shown.go
+++ b/daemon/shown.go
@@ -26,7 +26,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", metrics)
 	mux.HandleFunc("GET "+AccountsPath, func(w http.ResponseWriter, _ *http.Request) { show(w, meter.Statuses(steady.Time())) })
-	mux.HandleFunc("GET "+LimitsPath, func(w http.ResponseWriter, _ *http.Request) { show(w, dispatcher.Limits()) })
+	mux.HandleFunc("GET "+LimitsPath, func(w http.ResponseWriter, _ *http.Request) { show(w, dispatcher.LimitStatuses()) })
 	mux.HandleFunc("GET "+EnginesPath, func(w http.ResponseWriter, _ *http.Request) { show(w, dispatcher.EngineStatuses()) })
 	return mux
 }
--- a/dispatch/accounts_test.go
+++ b/dispatch/accounts_test.go
@@ -32,8 +32,8 @@
 			Region: "lagos", Regions: []string{"lagos"}, Policy: allowance.Policy{Window: 8 * time.Second, Overage: 0.1}, Random: func() uint64 { return 0 },
 		}))
 		w.gateways = append(w.gateways, dispatch.New(dispatch.Deps{
-			Name: name, Region: "lagos", DataCentre: "a", Regions: map[string]string{"a": "lagos"}, Engines: registry.New("life", time.Second, w.clock),
-			Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip, Budget: retry.Policy{Window: time.Second}, Allowances: meters[i],
+			Name: name, Region: "lagos", DataCentre: "a", RegionOf: map[string]string{"a": "lagos"}, Engines: registry.New("life", time.Second, w.clock),
+			Peers: func() []roster.Host { return w.hosts }, RoundTripTo: knownTrip, RetryBudget: retry.Policy{Window: time.Second}, Allowances: meters[i],
 			Log: zap.NewNop(), Clock: w.clock,
 		}))
 	}
@@ -41,7 +41,7 @@
 		{Name: "club", Allowance: catalog.Allowance{Unit: catalog.UnitRequests, Rate: 1000, Burst: 1000}},
 	}}}
 	for _, g := range w.gateways {
-		g.Take(state, catalog.NewTable(state.Catalog))
+		g.ApplyState(state, catalog.NewTable(state.Catalog))
 	}
 	asked := 0.0
 	for step := range 100 { // ten seconds; each gateway asks each two seconds
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -36,14 +36,14 @@
 // maxQueueTime returns the longest queueing time with which the request is admitted.
 // afterStart is the time from the end of the queue to the start of the answer, and
 // usualError the mean error of the estimates.
-func (r Ask) maxQueueTime(afterStart, usualError time.Duration) time.Duration {
+func (r Request) maxQueueTime(afterStart, usualError time.Duration) time.Duration {
 	low := time.Duration(minQueueShare * float64(r.Target))
 	high := time.Duration(maxQueueShare * float64(r.Target))
 	return max(low, min(high, r.Target-afterStart-errorMargin*usualError))
 }
 
 // checkAdmission returns a *request.NotRun if the request would start too late, else nil.
-func (r Ask) checkAdmission(s score) error {
+func (r Request) checkAdmission(s score) error {
 	if !s.late {
 		return nil
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -32,7 +32,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				ask := dispatch.Ask{ID: fmt.Sprint(i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 9000, TokensOut: 50, Parts: []dispatch.Part{{ID: "a", Tokens: 2500}, {ID: fmt.Sprint(i % 900), Tokens: 3700}, {ID: fmt.Sprint("own", i), Tokens: 2800}}}}
+				ask := dispatch.Request{ID: fmt.Sprint(i), Service: "review", Prompt: dispatch.Prompt{InputTokens: 9000, OutputTokens: 50, Blocks: []dispatch.Block{{ID: "a", Tokens: 2500}, {ID: fmt.Sprint(i % 900), Tokens: 3700}, {ID: fmt.Sprint("own", i), Tokens: 2800}}}}
 				d.ChooseRegion(ask, true, nil)
 				t, err := d.Acquire(ask)
 				if err != nil && !c.cold {
@@ -61,11 +61,11 @@
 		hosts = append(hosts, roster.Host{Name: fmt.Sprintf("gateway-%d", i), Role: roster.RoleGateway, Region: "here"})
 	}
 	d := dispatch.New(dispatch.Deps{
-		Name: "g1", Region: "here", Regions: map[string]string{"a": "here"}, Engines: engines,
-		Peers: func() []roster.Host { return hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second},
+		Name: "g1", Region: "here", RegionOf: map[string]string{"a": "here"}, Engines: engines,
+		Peers: func() []roster.Host { return hosts }, RoundTripTo: knownTrip, RetryBudget: retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second},
 		Log: zap.NewNop(), Clock: time.Now,
 	})
 	c := catalog.Catalog{Version: 1, Services: []catalog.Service{{Name: "review", ColdRate: 2, Model: &catalog.ModelSpec{Slots: 16, CacheTokens: 200000}}}}
-	d.Take(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
+	d.ApplyState(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
 	return d
 }
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -69,7 +69,7 @@
 
 // choose returns the engine with the lowest score, or nil if no engine can be used. It
 // chooses an engine with an overridable exclusion only if there is no other.
-func (d *Dispatcher) choose(p *pool, req Ask, now time.Time) (best *engine, bestScore score) {
+func (d *Dispatcher) choose(p *pool, req Request, now time.Time) (best *engine, bestScore score) {
 	s := d.sample(p, req, now)
 	for _, c := range s.candidates {
 		in := p.costInputs(c.engine, req, now)
@@ -114,7 +114,7 @@
 // lasts: only few gateways have a share, and if they drew such an engine as seldom as any
 // other, it would get half of what it accepts. Nothing is ranked or sorted as a whole, so
 // a choice among hundreds of engines takes hardly longer than one among tens.
-func (d *Dispatcher) sample(p *pool, req Ask, now time.Time) sample {
+func (d *Dispatcher) sample(p *pool, req Request, now time.Time) sample {
 	id := hashString(req.ID)
 	s := sample{candidates: d.drawCandidates(p, req, id, now), preferred: d.preferredEngine(p, req, now)}
 	holders := p.cacheHoldersOf(req.Prompt, now)
@@ -139,7 +139,7 @@
 // drawCandidates returns the usable engines that rank highest for the request, highest
 // first. It checks whether an engine can be used only if its rank is high enough, which
 // holds for about ten of several hundred.
-func (d *Dispatcher) drawCandidates(p *pool, req Ask, id uint64, now time.Time) []candidate {
+func (d *Dispatcher) drawCandidates(p *pool, req Request, id uint64, now time.Time) []candidate {
 	size := d.sampleSize()
 	out := make([]candidate, 0, sampleSizeFew+2)
 	for _, e := range p.usable {
@@ -158,8 +158,8 @@
 // shared blocks: the usable one ranked first, or nil if this region isn't their home.
 // Engines are ranked by address, so a restarted engine gets its own prompts back and
 // takes none from the others.
-func (d *Dispatcher) preferredEngine(p *pool, req Ask, now time.Time) *engine {
-	key := req.Prompt.Affinity()
+func (d *Dispatcher) preferredEngine(p *pool, req Request, now time.Time) *engine {
+	key := req.Prompt.AffinityKey()
 	if key == "" || d.homeRegion(p, req, now) != d.Region {
 		return nil
 	}
@@ -182,13 +182,13 @@
 }
 
 // canUse reports whether this request may be sent to the engine.
-func (d *Dispatcher) canUse(p *pool, e *engine, req Ask, now time.Time) bool {
+func (d *Dispatcher) canUse(p *pool, e *engine, req Request, now time.Time) bool {
 	return d.exclusionOf(p, e, now) == "" && !slices.Contains(req.Tried, e.ID)
 }
 
 // fallback returns the engine to use if no other can be: of those with an overridable
 // exclusion, the one whose exclusion after failures ends first; nil if there is none.
-func (d *Dispatcher) fallback(p *pool, req Ask, now time.Time) *engine {
+func (d *Dispatcher) fallback(p *pool, req Request, now time.Time) *engine {
 	var found *engine
 	for _, e := range p.usable {
 		if d.exclusionOf(p, e, now).isOverridable() && !slices.Contains(req.Tried, e.ID) && (found == nil || e.excludedUntil.Before(found.excludedUntil)) {
@@ -200,7 +200,7 @@
 
 // noEngineError returns the rejection of a request for which no engine can be used. It
 // contains the number of engines for each reason, and when the first may be usable.
-func (d *Dispatcher) noEngineError(p *pool, req Ask, now time.Time) *request.NotRun {
+func (d *Dispatcher) noEngineError(p *pool, req Request, now time.Time) *request.NotRun {
 	excluded := make(map[exclusion]int)
 	var available earliest
 	for _, e := range p.sorted {
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -35,7 +35,7 @@
 	if p.service.Model == nil || !p.service.Model.Copies() || prompt.sharedTokens() < minTransferTokens {
 		return transferSource{}
 	}
-	hash := hashBlock(prompt.Affinity())
+	hash := hashBlock(prompt.AffinityKey())
 	var best transferSource
 	for _, e := range holders {
 		if e.Phase == registry.Unresponsive || !d.exclusionOf(p, e, now).allowsTransfer() {
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -22,7 +22,7 @@
 	copies[0].Model = &catalog.ModelSpec{Slots: 16, CacheTokens: 100_000, TokenBytes: 327_680, LinkRate: 550e9}
 	w.state = ledger.State{Index: w.index, Catalog: catalog.Catalog{Version: 2, Services: copies}}
 	for _, g := range w.gateways {
-		g.Take(w.state, catalog.NewTable(w.state.Catalog))
+		g.ApplyState(w.state, catalog.NewTable(w.state.Catalog))
 	}
 }
 
@@ -30,7 +30,7 @@
 func keeper(t *testing.T, w *world) *dispatch.Ticket {
 	t.Helper()
 	first := acquire(t, w.gateways[0], long("r0", "p"))
-	must.Eq(t, "", first.CopyFrom, must.Sprint("nobody keeps it yet"))
+	must.Eq(t, "", first.TransferFrom, must.Sprint("nobody keeps it yet"))
 	first.Done(dispatch.Answered)
 	return first
 }
@@ -45,10 +45,10 @@
 	copied := map[string]string{}
 	for i := range 12 {
 		ticket := acquire(t, w.gateways[0], long(fmt.Sprint("r", i+1), "p"))
-		if ticket.CopyFrom != "" {
-			must.NotEq(t, ticket.Address, ticket.CopyFrom)
+		if ticket.TransferFrom != "" {
+			must.NotEq(t, ticket.Address, ticket.TransferFrom)
 			must.MapNotContainsKey(t, copied, ticket.Engine, must.Sprint("it keeps the part already"))
-			copied[ticket.Engine] = ticket.CopyFrom
+			copied[ticket.Engine] = ticket.TransferFrom
 		}
 	}
 	must.Positive(t, len(copied))
@@ -69,7 +69,7 @@
 			w := newWorld(1, 4)
 			w.copying()
 			change(w, keeper(t, w).Engine)
-			must.Eq(t, "", acquire(t, w.gateways[0], long("r", "p")).CopyFrom)
+			must.Eq(t, "", acquire(t, w.gateways[0], long("r", "p")).TransferFrom)
 		})
 	}
 }
@@ -77,14 +77,14 @@
 // TestAKeeperThatWantsNothingIsNotCopiedFrom has the keeper ask for rest, or leave.
 func TestAKeeperThatWantsNothingIsNotCopiedFrom(t *testing.T) {
 	for name, says := range map[string]func(answered *dispatch.Ticket){
-		"resting": func(answered *dispatch.Ticket) { answered.HeardPushback(pushback.Backoff{Duration: time.Second}) },
-		"leaving": func(answered *dispatch.Ticket) { answered.HeardLeaving() },
+		"resting": func(answered *dispatch.Ticket) { answered.ApplyPushback(pushback.Backoff{Duration: time.Second}) },
+		"leaving": func(answered *dispatch.Ticket) { answered.ApplyDraining() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 4)
 			w.copying()
 			says(keeper(t, w))
-			must.Eq(t, "", acquire(t, w.gateways[0], long("r", "p")).CopyFrom)
+			must.Eq(t, "", acquire(t, w.gateways[0], long("r", "p")).TransferFrom)
 		})
 	}
 }
@@ -101,5 +101,5 @@
 			break
 		}
 	}
-	must.Eq(t, "", acquire(t, w.gateways[0], long("after", "p")).CopyFrom)
+	must.Eq(t, "", acquire(t, w.gateways[0], long("after", "p")).TransferFrom)
 }
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -17,8 +17,8 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// Doubt identifies an engine that may have crashed, because a connection to it broke.
-type Doubt struct {
+// SuspectEngine identifies an engine that may have crashed, because a connection to it broke.
+type SuspectEngine struct {
 	Incarnation string
 	Address     string
 }
@@ -27,10 +27,10 @@
 // crashes of further engines, some seconds later.
 const maxSuspectEngines = 64
 
-// Doubts returns the channel of engines whose connections have just broken. Its reader
-// opens a connection to each engine and calls Refused if the engine refuses it. This
+// SuspectEngines returns the channel of engines whose connections have just broken. Its reader
+// opens a connection to each engine and calls ConnectionRefused if the engine refuses it. This
 // detects a crash within milliseconds, while the registry takes 3.5 heartbeats.
-func (d *Dispatcher) Doubts() <-chan Doubt { return d.suspectEngines }
+func (d *Dispatcher) SuspectEngines() <-chan SuspectEngine { return d.suspectEngines }
 
 // recordBroken records that the request's connection to the engine broke. The lock is
 // held.
@@ -40,14 +40,14 @@
 		return
 	}
 	select {
-	case d.suspectEngines <- Doubt{Incarnation: e.Incarnation(), Address: e.Address}:
+	case d.suspectEngines <- SuspectEngine{Incarnation: e.Incarnation(), Address: e.Address}:
 	default:
 		d.Log.Warn("suspect engine not probed: queue full", zap.String("engine", e.ID))
 	}
 }
 
-// Refused records that a suspect engine refuses connections: its process has ended.
-func (d *Dispatcher) Refused(suspect Doubt) {
+// ConnectionRefused records that a suspect engine refuses connections: its process has ended.
+func (d *Dispatcher) ConnectionRefused(suspect SuspectEngine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
@@ -109,7 +109,7 @@
 
 // checkQuarantine rejects a request that is quarantined because engines crashed while
 // they ran it. The lock is held.
-func (d *Dispatcher) checkQuarantine(req Ask, now time.Time) error {
+func (d *Dispatcher) checkQuarantine(req Request, now time.Time) error {
 	err := d.quarantine.Check(req.Fingerprint, now)
 	var refused *quarantine.RejectedError
 	if !errors.As(err, &refused) {
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -28,15 +28,15 @@
 	g := w.gateways[0]
 	acquire(t, g, long("r0", "p")).Done(dispatch.Broken)
 	acquire(t, g, long("r1", "p")).Done(dispatch.Broken)
-	must.Eq(t, 1, len(g.Doubts()))
-	must.Eq(t, "i-0", (<-g.Doubts()).Incarnation)
+	must.Eq(t, 1, len(g.SuspectEngines()))
+	must.Eq(t, "i-0", (<-g.SuspectEngines()).Incarnation)
 	w.pass(1)
-	acquire(t, g, long("r2", "p")).Begun(true)
+	acquire(t, g, long("r2", "p")).FirstByte(true)
 	acquire(t, g, long("r3", "p")).Done(dispatch.Broken)
-	must.Eq(t, 1, len(g.Doubts()), must.Sprint("it had answered: the next break is a new doubt"))
+	must.Eq(t, 1, len(g.SuspectEngines()), must.Sprint("it had answered: the next break is a new doubt"))
 	w.beat(registry.Engine{ID: "i-0", Born: 5})
 	acquire(t, g, long("r4", "p")).Done(dispatch.Broken)
-	must.Eq(t, 2, len(g.Doubts()), must.Sprint("another life is another engine"))
+	must.Eq(t, 2, len(g.SuspectEngines()), must.Sprint("another life is another engine"))
 }
 
 // newWideWorld is newWorld with as many gateways, and an engine, of another region.
@@ -47,8 +47,8 @@
 		name := fmt.Sprint("k", i)
 		w.hosts = append(w.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "kano", Peer: "10.9.0." + fmt.Sprint(i) + ":1"})
 		w.gateways = append(w.gateways, dispatch.New(dispatch.Deps{
-			Name: name, Region: "kano", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
-			Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
+			Name: name, Region: "kano", RegionOf: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
+			Peers: func() []roster.Host { return w.hosts }, RoundTripTo: knownTrip, RetryBudget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
 			Log: zap.NewNop(), Clock: w.clock,
 		}))
 	}
@@ -57,17 +57,17 @@
 }
 
 // crash lets the engine that a gateway chooses end under a request.
-func (w *world) crash(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Ask) {
+func (w *world) crash(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Request) {
 	t.Helper()
 	ticket := acquire(t, g, ask)
 	ticket.Done(dispatch.Broken)
-	g.Refused(<-g.Doubts())
+	g.ConnectionRefused(<-g.SuspectEngines())
 	w.engines.MarkLeft(ticket.Engine, 0)
 	w.tick()
 }
 
 // refuses tells whether a gateway keeps a request from its engines.
-func refuses(g *dispatch.Dispatcher, ask dispatch.Ask) bool {
+func refuses(g *dispatch.Dispatcher, ask dispatch.Request) bool {
 	ticket, err := g.Acquire(ask)
 	if err == nil {
 		ticket.Done(dispatch.Abandoned)
@@ -124,7 +124,7 @@
 		ticket := acquire(t, g, ask)
 		w.beat(registry.Engine{ID: ticket.Engine, Phase: registry.Draining})
 		ticket.Done(dispatch.Broken)
-		g.Refused(<-g.Doubts())
+		g.ConnectionRefused(<-g.SuspectEngines())
 		must.False(t, refuses(g, ask), must.Sprint("after ", i+1))
 	}
 }
@@ -146,15 +146,15 @@
 		for _, ticket := range tickets {
 			ticket.Done(dispatch.Broken)
 		}
-		for len(g.Doubts()) > 0 {
-			g.Refused(<-g.Doubts())
+		for len(g.SuspectEngines()) > 0 {
+			g.ConnectionRefused(<-g.SuspectEngines())
 		}
 	}
 	largest, far := 0, 0
 	const seconds = 5
 	for range seconds * int(time.Second/rollup.ReportInterval) {
 		for _, g := range w.gateways {
-			for _, out := range g.Tell() {
+			for _, out := range g.Outgoing() {
 				data, err := cbor.Marshal(out.Message)
 				must.NoError(t, err)
 				largest = max(largest, len(data))
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -26,12 +26,12 @@
 	Region string // only engines of this region are used
 	// DataCentre is the data centre of this gateway.
 	DataCentre string
-	Regions    map[string]string // region of each data centre
+	RegionOf   map[string]string // region of each data centre
 	Engines    *registry.Table
 	Peers      func() []roster.Host // reachable gateways of all regions
 	// Estimate of the usual round trip to another region, and whether one was measured.
-	Trip   func(region string) (time.Duration, bool)
-	Budget retry.Policy
+	RoundTripTo func(region string) (time.Duration, bool)
+	RetryBudget retry.Policy
 	// Allowances receives the account usage that other gateways report; nil where no
 	// allowances are enforced.
 	Allowances *allowance.Meter
@@ -61,7 +61,7 @@
 	sentBlocks        []sentBlock               // recently sent prompt blocks, for the next reports
 	lastCleanup       time.Time                 // when expired blocks were last removed
 	crashDetector     *quarantine.CrashDetector // distinguishes crashes from broken connections
-	suspectEngines    chan Doubt
+	suspectEngines    chan SuspectEngine
 	// quarantine holds the requests that were running when engines crashed.
 	quarantine *quarantine.Table
 	limits     *ratelimit.Table // limits announced by engines
@@ -75,13 +75,13 @@
 		Deps: deps, catalog: catalog.NewTable(catalog.Catalog{}), pools: make(map[string]*pool),
 		aggregator:      rollup.New(rollup.Deps{Self: self, Hosts: deps.Peers, Clock: deps.Clock}),
 		evacuationEnded: make(map[string]time.Time), reportingGateways: 1, remotes: make(map[string]*remoteRegion), enginesByHash: make(map[uint64]*engine), accountNames: make(map[uint32]string),
-		crashDetector: quarantine.NewCrashDetector(), suspectEngines: make(chan Doubt, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
+		crashDetector: quarantine.NewCrashDetector(), suspectEngines: make(chan SuspectEngine, maxSuspectEngines), quarantine: quarantine.New(), limits: ratelimit.New(deps.Name), pushback: pushback.New(),
 	}
 }
 
-// Take replaces the ledger state and the catalog. Pools of services that stay keep their
+// ApplyState replaces the ledger state and the catalog. Pools of services that stay keep their
 // estimates.
-func (d *Dispatcher) Take(state ledger.State, table *catalog.Table) {
+func (d *Dispatcher) ApplyState(state ledger.State, table *catalog.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
@@ -97,7 +97,7 @@
 			p.service = s
 			continue
 		}
-		d.pools[s.Name] = newPool(s, d.Budget)
+		d.pools[s.Name] = newPool(s, d.RetryBudget)
 	}
 	d.refresh(now)
 }
@@ -119,7 +119,7 @@
 	registered := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		p, ok := d.pools[e.Service]
-		if !ok || d.Regions[e.DataCentre] != d.Region {
+		if !ok || d.RegionOf[e.DataCentre] != d.Region {
 			continue
 		}
 		registered[e.ID] = true
@@ -148,8 +148,8 @@
 	}
 }
 
-// Ask describes a request to Acquire and ChooseRegion.
-type Ask struct {
+// Request describes a request to Acquire and ChooseRegion.
+type Request struct {
 	ID       string // ID of the request
 	Route    string // requests of one route share a failure baseline
 	Service  string
@@ -167,7 +167,7 @@
 
 // Acquire returns a ticket for the engine with the lowest expected cost. The error is a
 // *request.NotRun.
-func (d *Dispatcher) Acquire(req Ask) (*Ticket, error) {
+func (d *Dispatcher) Acquire(req Request) (*Ticket, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -129,9 +129,9 @@
 		acquire(t, w.gateways[0], long(fmt.Sprint(i), "p"))
 	}
 	w.tell()
-	ticket := acquire(t, w.gateways[1], dispatch.Ask{ID: "x", Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
+	ticket := acquire(t, w.gateways[1], dispatch.Request{ID: "x", Service: "review", Prompt: dispatch.Prompt{InputTokens: 600, OutputTokens: 300}})
 	must.NotEq(t, busy.Engine, ticket.Engine)
-	must.Positive(t, len(w.gateways[0].Tell()[0].Message.Report.Engines))
+	must.Positive(t, len(w.gateways[0].Outgoing()[0].Message.Report.Engines))
 
 	// A gateway that has fallen silent counts for nothing after a while.
 	for i := range 2 {
@@ -140,7 +140,7 @@
 	w.pass(2 * time.Second)
 	used := map[string]bool{}
 	for i := range 30 {
-		ticket := acquire(t, w.gateways[1], dispatch.Ask{ID: fmt.Sprint("y", i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
+		ticket := acquire(t, w.gateways[1], dispatch.Request{ID: fmt.Sprint("y", i), Service: "review", Prompt: dispatch.Prompt{InputTokens: 600, OutputTokens: 300}})
 		used[ticket.Engine] = true
 		ticket.Done(dispatch.Answered)
 	}
@@ -166,7 +166,7 @@
 // takes longer than the patience: only what is before it counts.
 func TestALongPromptIsAdmittedWhereNothingWaits(t *testing.T) {
 	w := newWorld(1, 1)
-	ask := dispatch.Ask{ID: "r", Service: "review", Prompt: dispatch.Prompt{TokensIn: 60_000, TokensOut: 50}, Target: 1400 * time.Millisecond}
+	ask := dispatch.Request{ID: "r", Service: "review", Prompt: dispatch.Prompt{InputTokens: 60_000, OutputTokens: 50}, Target: 1400 * time.Millisecond}
 	must.NoError(t, w.gateways[0].ChooseRegion(ask, true, nil).Refusal)
 	acquire(t, w.gateways[0], ask)
 	again := ask
@@ -179,7 +179,7 @@
 	w := newWorld(1, 1)
 	g := w.gateways[0]
 	for range 20 {
-		g.First("review")
+		g.CountFirstSend("review")
 	}
 	granted := 0
 	for range 50 {
@@ -203,8 +203,8 @@
 	}
 	w.tellAll()
 	for _, g := range w.gateways {
-		ticket := acquire(t, g, dispatch.Ask{ID: "x", Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}, Tried: []string{map[string]string{"i-0": "i-1", "i-1": "i-0"}[busy]}})
-		must.StrContains(t, ticket.Why, "requests=6 ")
+		ticket := acquire(t, g, dispatch.Request{ID: "x", Service: "review", Prompt: dispatch.Prompt{InputTokens: 600, OutputTokens: 300}, Tried: []string{map[string]string{"i-0": "i-1", "i-1": "i-0"}[busy]}})
+		must.StrContains(t, ticket.Explanation, "requests=6 ")
 		ticket.Done(dispatch.Abandoned)
 	}
 }
@@ -215,14 +215,14 @@
 	w := newWorld(1, 1)
 	g := w.gateways[0]
 	for n := range 100 {
-		ticket := acquire(t, g, dispatch.Ask{ID: fmt.Sprint(n), Service: "portal"})
+		ticket := acquire(t, g, dispatch.Request{ID: fmt.Sprint(n), Service: "portal"})
 		w.now = w.now.Add(15 * time.Millisecond)
-		ticket.Begun(true)
+		ticket.FirstByte(true)
 		ticket.Done(dispatch.Answered)
 	}
 	waiting := 0
 	for ; waiting < 200; waiting++ {
-		if _, err := g.Acquire(dispatch.Ask{ID: fmt.Sprint("w", waiting), Service: "portal", Target: 300 * time.Millisecond}); err != nil {
+		if _, err := g.Acquire(dispatch.Request{ID: fmt.Sprint("w", waiting), Service: "portal", Target: 300 * time.Millisecond}); err != nil {
 			break
 		}
 	}
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -11,15 +11,15 @@
 // EngineStatus describes one engine to operators: whether this gateway sends requests to
 // it, and if not, why.
 type EngineStatus struct {
-	Engine       string        `json:"engine"`
-	Service      string        `json:"service"`
-	Why          string        `json:"why"`           // exclusion; "" if it gets requests
-	For          time.Duration `json:"for_ns"`        // how long the reason has applied; 0 if not known
-	Ends         time.Duration `json:"ends_ns"`       // remaining time; 0 if not known or for good
-	Requests     int           `json:"requests"`      // of this gateway, in flight
-	Others       int           `json:"others"`        // of the region's other gateways, as last reported
-	Limit        string        `json:"limit"`         // announced by the engine; "" for none
-	LastHeardAgo time.Duration `json:"last_heard_ns"` // since the last byte received from it; 0 for never
+	Engine          string        `json:"engine"`
+	Service         string        `json:"service"`
+	Exclusion       string        `json:"why"`           // exclusion; "" if it gets requests
+	ExcludedFor     time.Duration `json:"for_ns"`        // how long the reason has applied; 0 if not known
+	ExclusionEndsIn time.Duration `json:"ends_ns"`       // remaining time; 0 if not known or for good
+	Requests        int           `json:"requests"`      // of this gateway, in flight
+	PeerRequests    int           `json:"others"`        // of the region's other gateways, as last reported
+	Limit           string        `json:"limit"`         // announced by the engine; "" for none
+	LastHeardAgo    time.Duration `json:"last_heard_ns"` // since the last byte received from it; 0 for never
 	pushback.Counts
 }
 
@@ -44,9 +44,9 @@
 func (d *Dispatcher) engineStatus(p *pool, e *engine, now time.Time) EngineStatus {
 	reason := d.exclusionOf(p, e, now)
 	s := EngineStatus{
-		Engine: e.ID, Service: p.service.Name, Why: string(reason),
-		For: durationBetween(d.exclusionStart(e, reason, now), now), Ends: durationBetween(now, d.exclusionEnd(e, reason, now)),
-		Requests: e.ownLoad.Requests, Others: e.peerLoad.Requests, LastHeardAgo: durationBetween(e.lastHeard, now),
+		Engine: e.ID, Service: p.service.Name, Exclusion: string(reason),
+		ExcludedFor: durationBetween(d.exclusionStart(e, reason, now), now), ExclusionEndsIn: durationBetween(now, d.exclusionEnd(e, reason, now)),
+		Requests: e.ownLoad.Requests, PeerRequests: e.peerLoad.Requests, LastHeardAgo: durationBetween(e.lastHeard, now),
 		Counts: d.pushback.Counts(e.hash),
 	}
 	if limit, limited := d.limits.Status(e.hash, now); limited {
--- a/dispatch/expect.go
+++ b/dispatch/expect.go
@@ -105,7 +105,7 @@
 
 // estimate returns the expected queue, wait and cost of a request. roundTrip is the
 // network round trip to the engine's region, 0 for this one.
-func estimate(in costInputs, req Ask, roundTrip time.Duration) score {
+func estimate(in costInputs, req Request, roundTrip time.Duration) score {
 	p := req.Prompt
 	s := score{cached: in.cached, preferred: in.preferred, load: in.load}
 	queuedPerSlot := float64(in.load.Requests+1-in.slots) / float64(max(1, in.slots))
@@ -147,7 +147,7 @@
 // readCost returns the time until an engine that has cached so many tokens of the prompt
 // has read the rest, and the cost of that.
 func (in costInputs) readCost(p Prompt, cached int) (wait, cost time.Duration) {
-	unread := max(0, p.TokensIn-cached)
+	unread := max(0, p.InputTokens-cached)
 	wait = in.throughput.Overhead + in.throughput.readTime(unread)
 	return wait, wait + in.rereadCost(p, cached) + in.interferenceCost(unread)
 }
@@ -175,7 +175,7 @@
 // slowdownCost is the longer duration of the request's stream, caused by other prompts.
 func (in costInputs) slowdownCost(p Prompt) time.Duration {
 	readShare := min(in.load.ReadRate*in.throughput.ReadPerToken.Seconds(), maxReadShare)
-	return time.Duration(slowdownWeight * float64(p.TokensOut) * float64(in.throughput.OutputPerToken) * readShare / (1 - readShare))
+	return time.Duration(slowdownWeight * float64(p.OutputTokens) * float64(in.throughput.OutputPerToken) * readShare / (1 - readShare))
 }
 
 // maxReadShare bounds the share of its time that an engine is assumed to spend on reading
@@ -184,7 +184,7 @@
 
 // overflowCost is the cost of a request that doesn't fit into the engine's cache.
 func (in costInputs) overflowCost(p Prompt) time.Duration {
-	excess := float64(in.load.Reserved+p.TokensIn+p.TokensOut) - cacheFillLimit*float64(in.cacheTokens)
+	excess := float64(in.load.Reserved+p.InputTokens+p.OutputTokens) - cacheFillLimit*float64(in.cacheTokens)
 	if excess <= 0 {
 		return 0
 	}
--- a/dispatch/failing_test.go
+++ b/dispatch/failing_test.go
@@ -91,7 +91,7 @@
 // acquireAny gets a ticket for the nth of many requests without shared parts.
 func acquireAny(t *testing.T, g *dispatch.Dispatcher, n int) *dispatch.Ticket {
 	t.Helper()
-	return acquire(t, g, dispatch.Ask{ID: fmt.Sprint("any", n), Service: "review", Prompt: dispatch.Prompt{TokensIn: 10, TokensOut: 10}})
+	return acquire(t, g, dispatch.Request{ID: fmt.Sprint("any", n), Service: "review", Prompt: dispatch.Prompt{InputTokens: 10, OutputTokens: 10}})
 }
 
 // TestRequestsThatFailAnywhereStayHere lets one in seven requests of a route fail
@@ -103,8 +103,8 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	away := 0
 	for n := range 1000 {
-		g.Hear(farWord("kano", dispatch.Digest{Service: "portal", Engines: 1, Slots: 6}))
-		ask := dispatch.Ask{ID: fmt.Sprint(n), Route: "fetch", Service: "portal"}
+		g.Receive(farWord("kano", dispatch.Digest{Service: "portal", Engines: 1, Slots: 6}))
+		ask := dispatch.Request{ID: fmt.Sprint(n), Route: "fetch", Service: "portal"}
 		if n%2 == 0 {
 			ask.Route = "lookup"
 		}
--- a/dispatch/far.go
+++ b/dispatch/far.go
@@ -12,13 +12,13 @@
 type remoteRegion struct {
 	reportedAt time.Time // when its last report arrived in this region
 	digests    map[string]Digest
-	inFlight   []*Away                 // sent there, and not in its report yet
+	inFlight   []*RemoteRequest        // sent there, and not in its report yet
 	cached     map[string]cachedBlocks // by service: prompt blocks sent there
 }
 
-// Away is a request handed over to another region. It counts as load of that region until
+// RemoteRequest is a request handed over to another region. It counts as load of that region until
 // its answer begins, it fails, or the region's own report includes it.
-type Away struct {
+type RemoteRequest struct {
 	dispatcher *Dispatcher
 	region     *remoteRegion
 	service    string
@@ -26,22 +26,22 @@
 	load       Load
 }
 
-// Sent counts a request as sent to another region, so that the next choice of region
+// BeginRemote counts a request as sent to another region, so that the next choice of region
 // includes it before the region's own report does. The caller must call End when the
 // answer has begun or has failed.
-func (d *Dispatcher) Sent(region string, req Ask) *Away {
+func (d *Dispatcher) BeginRemote(region string, req Request) *RemoteRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
 	remote, ok := d.remotes[region]
 	if !ok {
-		return &Away{dispatcher: d}
+		return &RemoteRequest{dispatcher: d}
 	}
-	r := &Away{dispatcher: d, region: remote, service: req.Service, sentAt: now, load: Load{Requests: 1}}
+	r := &RemoteRequest{dispatcher: d, region: remote, service: req.Service, sentAt: now, load: Load{Requests: 1}}
 	if p, ok := d.pools[req.Service]; ok && p.service.Model != nil {
 		in := remote.costInputs(req, p.throughput.current(), d.homeRegion(p, req, now) == region, now)
-		r.load.Unread = max(0, req.Prompt.TokensIn-max(in.cached, in.assumedCached(req.Prompt)))
-		r.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
+		r.load.Unread = max(0, req.Prompt.InputTokens-max(in.cached, in.assumedCached(req.Prompt)))
+		r.load.Reserved = req.Prompt.InputTokens + req.Prompt.OutputTokens
 		remote.cachedFor(req.Service).record(req.Prompt, now)
 	}
 	remote.inFlight = append(remote.inFlight, r)
@@ -49,13 +49,13 @@
 }
 
 // End removes the request from the other region's load. Further calls do nothing.
-func (r *Away) End() {
+func (r *RemoteRequest) End() {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.mu.Unlock()
 	if r.region == nil {
 		return
 	}
-	r.region.inFlight = slices.DeleteFunc(r.region.inFlight, func(o *Away) bool { return o == r })
+	r.region.inFlight = slices.DeleteFunc(r.region.inFlight, func(o *RemoteRequest) bool { return o == r })
 	r.region = nil
 }
 
@@ -67,7 +67,7 @@
 	for _, digest := range digests {
 		r.digests[digest.Service] = digest
 	}
-	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *Away) bool { return now.Sub(a.sentAt) > roundTrip })
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *RemoteRequest) bool { return now.Sub(a.sentAt) > roundTrip })
 }
 
 // isFresh reports whether the region's report is recent enough to use.
@@ -98,7 +98,7 @@
 // is the throughput in this region, used if the report has none. If the prompt's shared
 // blocks are cached there, the request goes to the one engine that holds them, so the
 // mean load counts; otherwise it goes to the least loaded engine.
-func (r *remoteRegion) costInputs(req Ask, fallback Throughput, isHome bool, now time.Time) costInputs {
+func (r *remoteRegion) costInputs(req Request, fallback Throughput, isHome bool, now time.Time) costInputs {
 	digest := r.digests[req.Service]
 	in := costInputs{
 		slots: digest.Slots, cacheTokens: digest.CacheTokens, preferred: isHome, failureRate: digest.FailureRate, throughput: digest.Throughput,
@@ -107,7 +107,7 @@
 	if in.throughput.SlotTime <= 0 {
 		in.throughput = fallback
 	}
-	if req.Prompt.Affinity() != "" && (isHome || in.cached > 0) {
+	if req.Prompt.AffinityKey() != "" && (isHome || in.cached > 0) {
 		in.load = digest.MeanLoad.load()
 	}
 	return in
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -12,9 +12,9 @@
 	"github.com/linenscale/linenscale/rollup"
 )
 
-// HeardLimit applies the rate limit in the header of the engine's answer. It is called
+// ApplyLimit applies the rate limit in the header of the engine's answer. It is called
 // when the header arrives: other requests may be dispatched before the answer ends.
-func (t *Ticket) HeardLimit(signal ratelimit.Signal) {
+func (t *Ticket) ApplyLimit(signal ratelimit.Signal) {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,8 +94,8 @@
 	ratelimit.Status
 }
 
-// Limits returns the status of each engine with a rate limit, by service and ID.
-func (d *Dispatcher) Limits() []LimitStatus {
+// LimitStatuses returns the status of each engine with a rate limit, by service and ID.
+func (d *Dispatcher) LimitStatuses() []LimitStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -27,14 +27,14 @@
 	ticket := acquire(t, w.gateways[gateway], ask)
 	must.Eq(t, engine, ticket.Engine)
 	w.now = w.now.Add(10 * time.Millisecond)
-	ticket.HeardLimit(word)
+	ticket.ApplyLimit(word)
 	ticket.Done(dispatch.Answered)
 }
 
 // knowing counts the gateways that know of any limit, and adds their shares up.
 func (w *world) knowing() (gateways int, share float64) {
 	for _, g := range w.gateways {
-		for _, l := range g.Limits() {
+		for _, l := range g.LimitStatuses() {
 			gateways++
 			share += l.Share
 		}
@@ -53,7 +53,7 @@
 	must.InDelta(t, 12.5, share, 0.001)
 	sharing := 0
 	for i, g := range w.gateways {
-		for _, l := range g.Limits() {
+		for _, l := range g.LimitStatuses() {
 			if l.Share > 0 {
 				sharing = i
 			}
@@ -128,7 +128,7 @@
 	}
 	_, share := w.knowing()
 	must.InDelta(t, 9, share, 0.001)
-	for _, l := range w.gateways[2].Limits() {
+	for _, l := range w.gateways[2].LimitStatuses() {
 		must.Eq(t, 0, l.Share)
 	}
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -65,9 +65,9 @@
 
 func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Tell returns the messages to send to other gateways. The owner calls it every
+// Outgoing returns the messages to send to other gateways. The owner calls it every
 // rollup.ReportInterval.
-func (d *Dispatcher) Tell() []rollup.OutgoingMessage {
+func (d *Dispatcher) Outgoing() []rollup.OutgoingMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// Hear applies a message from another gateway.
-func (d *Dispatcher) Hear(m rollup.Message) {
+// Receive applies a message from another gateway.
+func (d *Dispatcher) Receive(m rollup.Message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -127,7 +127,7 @@
 
 // recordPrompt records that the engine was sent a prompt.
 func (p *pool) recordPrompt(e *engine, prompt Prompt, now time.Time) {
-	for _, block := range prompt.Parts {
+	for _, block := range prompt.Blocks {
 		p.recordBlock(e, hashBlock(block.ID), now)
 	}
 }
@@ -141,7 +141,7 @@
 		return nil
 	}
 	var out []*engine
-	for _, block := range prompt.Parts[len(shared)-1:] {
+	for _, block := range prompt.Blocks[len(shared)-1:] {
 		hash := hashBlock(block.ID)
 		for _, e := range p.cacheHolders[hash] {
 			if e.cached.has(hash, now) && p.engines[e.ID] == e && !slices.Contains(out, e) {
@@ -153,7 +153,7 @@
 }
 
 // costInputs returns the inputs of the cost estimate for an engine.
-func (p *pool) costInputs(e *engine, req Ask, now time.Time) costInputs {
+func (p *pool) costInputs(e *engine, req Request, now time.Time) costInputs {
 	in := costInputs{
 		load: e.load(now), slots: e.Slots, failureRate: e.failures.rate(now),
 		throughput: p.throughput.current(), usualError: p.throughput.usualError(), slowdown: e.slowdown.Value(now),
--- a/dispatch/prompt.go
+++ b/dispatch/prompt.go
@@ -14,24 +14,24 @@
 // Prompt describes the prompt of a request. The zero value describes a request without
 // one.
 type Prompt struct {
-	Model     string
-	TokensIn  int
-	TokensOut int // expected length of the answer
-	Parts     []Part
+	Model        string
+	InputTokens  int
+	OutputTokens int // expected length of the answer
+	Blocks       []Block
 }
 
-// Part is one block of a prompt. All blocks but the last are shared among requests.
-type Part struct {
+// Block is one block of a prompt. All blocks but the last are shared among requests.
+type Block struct {
 	ID     string
 	Tokens int
 }
 
 // sharedBlocks returns the blocks that other requests have too.
-func (p Prompt) sharedBlocks() []Part {
-	if len(p.Parts) == 0 {
+func (p Prompt) sharedBlocks() []Block {
+	if len(p.Blocks) == 0 {
 		return nil
 	}
-	return p.Parts[:len(p.Parts)-1]
+	return p.Blocks[:len(p.Blocks)-1]
 }
 
 // sharedTokens returns the number of tokens of the shared blocks.
@@ -43,9 +43,9 @@
 	return n
 }
 
-// Affinity returns the key by which gateways agree on an engine: the ID of the deepest
+// AffinityKey returns the key by which gateways agree on an engine: the ID of the deepest
 // shared block, which implies all before it; "" if no block is shared.
-func (p Prompt) Affinity() string {
+func (p Prompt) AffinityKey() string {
 	if shared := p.sharedBlocks(); len(shared) > 0 {
 		return shared[len(shared)-1].ID
 	}
@@ -76,7 +76,7 @@
 
 // record records that a prompt's blocks were sent.
 func (b cachedBlocks) record(p Prompt, now time.Time) {
-	for _, block := range p.Parts {
+	for _, block := range p.Blocks {
 		b[hashBlock(block.ID)] = now
 	}
 }
@@ -85,7 +85,7 @@
 // those up to the last known block, since a block is only cached with all before it.
 func (b cachedBlocks) tokens(p Prompt, now time.Time) int {
 	n, total := 0, 0
-	for _, block := range p.Parts {
+	for _, block := range p.Blocks {
 		total += block.Tokens
 		if b.has(hashBlock(block.ID), now) {
 			n = total
@@ -128,7 +128,7 @@
 // recordSentBlock records the deepest shared block of a prompt for the next reports. The
 // dispatcher's lock is held.
 func (d *Dispatcher) recordSentBlock(p Prompt, e *engine, now time.Time) {
-	if key := p.Affinity(); key != "" && p.sharedTokens() >= minSharedTokens {
+	if key := p.AffinityKey(); key != "" && p.sharedTokens() >= minSharedTokens {
 		d.sentBlocks = append(d.sentBlocks, sentBlock{now, hashBlock(key), e.hash})
 	}
 }
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -11,9 +11,9 @@
 	"github.com/linenscale/linenscale/pushback"
 )
 
-// HeardPushback applies the backoff in the header of the engine's answer. It is called
+// ApplyPushback applies the backoff in the header of the engine's answer. It is called
 // when the header arrives: other requests may be dispatched before the answer ends.
-func (t *Ticket) HeardPushback(signal pushback.Signal) {
+func (t *Ticket) ApplyPushback(signal pushback.Signal) {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,10 +23,10 @@
 	}
 }
 
-// HeardLeaving applies the announcement, in the engine's answer, that the engine is
+// ApplyDraining applies the announcement, in the engine's answer, that the engine is
 // draining. An earlier heartbeat that reports it ready, and arrives later, doesn't revoke
 // this.
-func (t *Ticket) HeardLeaving() {
+func (t *Ticket) ApplyDraining() {
 	d, e := t.dispatcher, t.engine
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,17 +47,17 @@
 	return excluded && pushed.Reason == pushback.Draining
 }
 
-// Unwanted is the error for an engine that, since it was chosen, has become unable to
+// EngineUnusable is the error for an engine that, since it was chosen, has become unable to
 // accept the request.
-type Unwanted struct{ Engine, Why string }
+type EngineUnusable struct{ Engine, Reason string }
 
 // Error implements error.
-func (u *Unwanted) Error() string { return "engine " + u.Engine + " is " + u.Why + " by now" }
+func (u *EngineUnusable) Error() string { return "engine " + u.Engine + " is " + u.Reason + " by now" }
 
-// Wanted checks again whether the engine may get the request, after the wait for a
+// CheckUsable checks again whether the engine may get the request, after the wait for a
 // connection. If not, the error names the exclusion. Exclusions that the choice has
 // already taken into account don't count.
-func (t *Ticket) Wanted() error {
+func (t *Ticket) CheckUsable() error {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,13 +65,13 @@
 	case "", excludedTrial, excludedLimited, excludedFailing, excludedPeerBackoff, excludedCold:
 		return nil
 	default:
-		return &Unwanted{t.Engine, string(reason)}
+		return &EngineUnusable{t.Engine, string(reason)}
 	}
 }
 
-// Taken records that the engine has not rejected the request, which ends the trial after
+// Accepted records that the engine has not rejected the request, which ends the trial after
 // a backoff.
-func (t *Ticket) Taken() {
+func (t *Ticket) Accepted() {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -32,7 +32,7 @@
 	ask.Tried = w.others("review", engine)
 	ticket := acquire(t, w.gateways[gateway], ask)
 	must.Eq(t, engine, ticket.Engine)
-	ticket.HeardPushback(pushback.Backoff{Duration: length})
+	ticket.ApplyPushback(pushback.Backoff{Duration: length})
 	ticket.Done(dispatch.Shed)
 }
 
@@ -68,7 +68,7 @@
 	refusal := notRun(t, err)
 	must.Eq(t, request.ReasonNoEngine, refusal.Reason)
 	must.Eq(t, time.Second, refusal.RetryAfter)
-	must.Eq(t, time.Second, w.gateways[0].Opens("review"))
+	must.Eq(t, time.Second, w.gateways[0].AvailableIn("review"))
 	acquire(t, w.gateways[1], plain("r")) // it was asked for nothing
 	must.Eq(t, 0, enginesTold(t, w.gateways[0], "review"), must.Sprint("none of them is capacity that others may use"))
 	w.pass(time.Second)
@@ -85,14 +85,14 @@
 		_, err := w.gateways[0].Acquire(plain(fmt.Sprint(i)))
 		must.StrContains(t, notRun(t, err).Message, "1 trying")
 	}
-	first.HeardPushback(pushback.Backoff{Duration: time.Second})
+	first.ApplyPushback(pushback.Backoff{Duration: time.Second})
 	first.Done(dispatch.Shed)
 	w.pass(999 * time.Millisecond)
 	_, err := w.gateways[0].Acquire(plain("early"))
 	must.StrContains(t, notRun(t, err).Message, "1 resting")
 	w.pass(time.Millisecond)
 	second := acquire(t, w.gateways[0], plain("second"))
-	second.Taken()
+	second.Accepted()
 	acquire(t, w.gateways[0], plain("third"))
 }
 
@@ -102,8 +102,8 @@
 	w := newWorld(1, 1)
 	before := acquire(t, w.gateways[0], plain("before"))
 	w.rest(t, 0, "i-0", time.Second)
-	before.Taken()
-	before.Begun(true)
+	before.Accepted()
+	before.FirstByte(true)
 	before.Done(dispatch.Answered)
 	_, err := w.gateways[0].Acquire(plain("r"))
 	must.StrContains(t, notRun(t, err).Message, "1 resting")
@@ -121,7 +121,7 @@
 	ask := plain("r")
 	ask.Tried = []string{"i-0"}
 	must.Eq(t, "i-1", acquire(t, w.gateways[0], ask).Engine)
-	must.Eq(t, "i-0", acquire(t, w.gateways[0], dispatch.Ask{ID: "s", Route: ask.Route, Service: ask.Service, Tried: []string{"i-1"}}).Engine)
+	must.Eq(t, "i-0", acquire(t, w.gateways[0], dispatch.Request{ID: "s", Route: ask.Route, Service: ask.Service, Tried: []string{"i-1"}}).Engine)
 }
 
 // enginesTold gives how many engines of a service a gateway tells other regions of.
@@ -144,8 +144,8 @@
 	ask.Tried = w.others("review", engine)
 	ticket := acquire(t, w.gateways[gateway], ask)
 	must.Eq(t, engine, ticket.Engine)
-	ticket.HeardLeaving()
-	ticket.Taken()
+	ticket.ApplyDraining()
+	ticket.Accepted()
 	ticket.Done(dispatch.Answered)
 }
 
@@ -177,9 +177,9 @@
 		t.Run(why, func(t *testing.T) {
 			w := newWorld(1, 1)
 			waits := acquire(t, w.gateways[0], plain("waits"))
-			must.NoError(t, waits.Wanted())
+			must.NoError(t, waits.CheckUsable())
 			happens(t, w)
-			must.Eq(t, error(&dispatch.Unwanted{Engine: "i-0", Why: why}), waits.Wanted())
+			must.Eq(t, error(&dispatch.EngineUnusable{Engine: "i-0", Reason: why}), waits.CheckUsable())
 			waits.Done(dispatch.Unsent)
 		})
 	}
@@ -197,11 +197,11 @@
 		shown[s.Engine] = s
 	}
 	must.Eq(t, dispatch.EngineStatus{
-		Engine: "i-0", Service: "review", Why: "resting", For: time.Second, Ends: 2 * time.Second, Counts: pushback.Counts{Backoffs: 1, Excluded: 1},
+		Engine: "i-0", Service: "review", Exclusion: "resting", ExcludedFor: time.Second, ExclusionEndsIn: 2 * time.Second, Counts: pushback.Counts{Backoffs: 1, Excluded: 1},
 	}, shown["i-0"])
-	must.Eq(t, "leaving", shown["i-1"].Why)
+	must.Eq(t, "leaving", shown["i-1"].Exclusion)
 	must.Eq(t, pushback.Counts{Excluded: 1}, shown["i-1"].Counts)
-	must.Eq(t, "", shown["i-2"].Why)
+	must.Eq(t, "", shown["i-2"].Exclusion)
 	must.Eq(t, 1, shown["i-2"].Requests)
 	must.MapLen(t, 4, shown)
 }
@@ -223,17 +223,17 @@
 		ticket := acquire(t, w.gateways[gateway], plain(fmt.Sprint(i)))
 		switch {
 		case ticket.Engine != "i-0":
-			ticket.Taken()
-			ticket.Begun(true)
+			ticket.Accepted()
+			ticket.FirstByte(true)
 			ticket.Done(dispatch.Answered)
 		case refuses(gateway):
 			refused++
-			ticket.HeardPushback(pushback.Backoff{Duration: 3 * time.Second})
+			ticket.ApplyPushback(pushback.Backoff{Duration: 3 * time.Second})
 			ticket.Done(dispatch.Shed)
 		default:
 			served++
-			ticket.Taken()
-			ticket.Begun(true)
+			ticket.Accepted()
+			ticket.FirstByte(true)
 			ticket.Done(dispatch.Answered)
 		}
 	}
@@ -259,7 +259,7 @@
 	w.rest(t, 0, "i-0", 3*time.Second)
 	w.rest(t, 1, "i-0", 3*time.Second)
 	w.tellAll()
-	must.Eq(t, "rests for others", w.gateways[5].EngineStatuses()[0].Why)
+	must.Eq(t, "rests for others", w.gateways[5].EngineStatuses()[0].Exclusion)
 	acquire(t, w.gateways[5], plain("r"))
 	_, err := w.gateways[0].Acquire(plain("s"))
 	must.StrContains(t, notRun(t, err).Message, "1 resting")
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -176,43 +176,43 @@
 	d.applyRemoteUsage(r.Region, r.Accounts, now.Add(-r.Age))
 }
 
-// Place is the region chosen for a request.
-type Place struct {
-	Region string
-	Here   time.Duration // expected cost in this region; negative if it can't run here
-	There  time.Duration // expected cost in Region
-	Queue  time.Duration // expected queueing time in Region
+// Placement is the region chosen for a request.
+type Placement struct {
+	Region    string
+	LocalCost time.Duration // expected cost in this region; negative if it can't run here
+	Cost      time.Duration // expected cost in Region
+	Queue     time.Duration // expected queueing time in Region
 	// Refusal is the rejection if the request isn't admitted even in Region; else nil.
 	Refusal error
-	Home    bool // Region is the home region of the prompt's shared blocks
+	IsHome  bool // Region is the home region of the prompt's shared blocks
 }
 
 // ChooseRegion returns the region with the lowest expected cost for a request, including
 // the round trip and the reading of the prompt. localPermitted reports whether this
 // region may be chosen; reachable lists the other regions that have a gateway.
-func (d *Dispatcher) ChooseRegion(req Ask, localPermitted bool, reachable []string) Place {
+func (d *Dispatcher) ChooseRegion(req Request, localPermitted bool, reachable []string) Placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock()
 	p, ok := d.pools[req.Service]
 	if !ok {
-		return Place{Region: d.Region, Here: -1}
+		return Placement{Region: d.Region, LocalCost: -1}
 	}
 	if err := d.checkQuarantine(req, now); err != nil {
-		return Place{Region: d.Region, Here: -1, Refusal: err}
+		return Placement{Region: d.Region, LocalCost: -1, Refusal: err}
 	}
 	home := d.homeRegion(p, req, now)
-	best := Place{Region: d.Region, Here: -1, Home: home == d.Region}
+	best := Placement{Region: d.Region, LocalCost: -1, IsHome: home == d.Region}
 	if localPermitted {
 		if e, s := d.choose(p, req, now); e != nil {
-			best.Here, best.Queue, best.Refusal = s.cost, s.queue, req.checkAdmission(s)
+			best.LocalCost, best.Queue, best.Refusal = s.cost, s.queue, req.checkAdmission(s)
 		}
 	}
-	best.There = best.Here
+	best.Cost = best.LocalCost
 	for _, region := range reachable {
 		s, ok := d.estimateRemote(region, p, req, region == home, now)
-		if cost := s.cost + remoteCost; ok && (best.There < 0 || cost < best.There) {
-			best = Place{Region: region, Here: best.Here, There: cost, Queue: s.queue, Refusal: req.checkAdmission(s), Home: region == home}
+		if cost := s.cost + remoteCost; ok && (best.Cost < 0 || cost < best.Cost) {
+			best = Placement{Region: region, LocalCost: best.LocalCost, Cost: cost, Queue: s.queue, Refusal: req.checkAdmission(s), IsHome: region == home}
 		}
 	}
 	return best
@@ -220,7 +220,7 @@
 
 // estimateRemote returns the cost estimate for a request in another region; false if
 // there is no recent report from the region or no usable engine there.
-func (d *Dispatcher) estimateRemote(region string, p *pool, req Ask, isHome bool, now time.Time) (score, bool) {
+func (d *Dispatcher) estimateRemote(region string, p *pool, req Request, isHome bool, now time.Time) (score, bool) {
 	remote, ok := d.remotes[region]
 	if !ok || !remote.isFresh(now) || remote.digests[p.service.Name].Engines == 0 {
 		return score{}, false
@@ -236,7 +236,7 @@
 
 // roundTrip returns the usual round trip to another region.
 func (d *Dispatcher) roundTrip(region string) time.Duration {
-	if known, ok := d.Trip(region); ok {
+	if known, ok := d.RoundTripTo(region); ok {
 		return known
 	}
 	return defaultRoundTrip
@@ -245,8 +245,8 @@
 // homeRegion returns the region where a prompt's shared blocks are cached: the one ranked
 // first, by rendezvous hashing weighted with the numbers of engines, of those where the
 // request may run; "" if the prompt has no shared blocks.
-func (d *Dispatcher) homeRegion(p *pool, req Ask, now time.Time) string {
-	key := req.Prompt.Affinity()
+func (d *Dispatcher) homeRegion(p *pool, req Request, now time.Time) string {
+	key := req.Prompt.AffinityKey()
 	if key == "" {
 		return ""
 	}
--- a/dispatch/regions_test.go
+++ b/dispatch/regions_test.go
@@ -27,25 +27,25 @@
 	return rollup.Message{From: "far", Remote: []rollup.RegionReport{{Region: region, Digests: body}}}
 }
 
-func plain(id string) dispatch.Ask {
-	return dispatch.Ask{ID: id, Service: "review", Prompt: dispatch.Prompt{TokensIn: 9000, TokensOut: 50}}
+func plain(id string) dispatch.Request {
+	return dispatch.Request{ID: id, Service: "review", Prompt: dispatch.Prompt{InputTokens: 9000, OutputTokens: 50}}
 }
 
 func TestARequestGoesAwayOnlyWhereThatIsFaster(t *testing.T) {
 	w := newWorld(1, 1)
 	g := w.gateways[0]
-	g.Hear(far("kano", 4, 0))
+	g.Receive(far("kano", 4, 0))
 	must.Eq(t, "lagos", g.ChooseRegion(plain("r"), true, []string{"kano"}).Region)
 	for i := range 6 {
 		acquire(t, g, plain(fmt.Sprint(i)))
 	}
 	must.Eq(t, "kano", g.ChooseRegion(plain("r"), true, []string{"kano"}).Region)
 	must.Eq(t, "lagos", g.ChooseRegion(plain("r"), true, nil).Region, must.Sprint("no gateway there"))
-	g.Hear(far("kano", 4, 200_000))
+	g.Receive(far("kano", 4, 200_000))
 	must.Eq(t, "lagos", g.ChooseRegion(plain("r"), true, []string{"kano"}).Region, must.Sprint("busy there too"))
-	g.Hear(far("kano", 0, 0))
+	g.Receive(far("kano", 0, 0))
 	must.Eq(t, "lagos", g.ChooseRegion(plain("r"), true, []string{"kano"}).Region, must.Sprint("no engines there"))
-	g.Hear(far("kano", 4, 0))
+	g.Receive(far("kano", 4, 0))
 	w.pass(2 * time.Second)
 	must.Eq(t, "lagos", g.ChooseRegion(plain("r"), true, []string{"kano"}).Region, must.Sprint("the word is old"))
 }
@@ -57,23 +57,23 @@
 		acquire(t, g, plain(fmt.Sprint(i)))
 	}
 	goesAway := func() bool { return g.ChooseRegion(plain("r"), true, []string{"kano"}).Region == "kano" }
-	g.Hear(far("kano", 1, 0))
-	var sent []*dispatch.Away
+	g.Receive(far("kano", 1, 0))
+	var sent []*dispatch.RemoteRequest
 	for goesAway() {
-		sent = append(sent, g.Sent("kano", plain("r")))
+		sent = append(sent, g.BeginRemote("kano", plain("r")))
 		must.Less(t, 20, len(sent), must.Sprint("everything goes away"))
 	}
 	must.Positive(t, len(sent))
 	w.pass(100 * time.Millisecond)
-	g.Hear(far("kano", 1, 0))
+	g.Receive(far("kano", 1, 0))
 	must.False(t, goesAway(), must.Sprint("a word of before it arrived there"))
 	w.pass(100 * time.Millisecond)
-	g.Hear(far("kano", 1, 0))
+	g.Receive(far("kano", 1, 0))
 	must.True(t, goesAway())
 
 	// What was answered, or never left, counts no longer.
 	for goesAway() {
-		sent = append(sent, g.Sent("kano", plain("r")))
+		sent = append(sent, g.BeginRemote("kano", plain("r")))
 	}
 	for _, a := range sent {
 		a.End()
@@ -88,17 +88,17 @@
 	w := newWorld(1, 1)
 	g := w.gateways[0]
 	hear := func() {
-		g.Hear(far("kano", 4, 0))
-		g.Hear(far("abuja", 4, 0))
+		g.Receive(far("kano", 4, 0))
+		g.Receive(far("abuja", 4, 0))
 	}
 	hear()
 	ask := long("r0", "p")
 	place := g.ChooseRegion(ask, false, []string{"kano", "abuja"})
 	other := map[string]string{"kano": "abuja", "abuja": "kano"}[place.Region]
 	first := g.ChooseRegion(ask, false, []string{other})
-	g.Sent(other, ask).End()
+	g.BeginRemote(other, ask).End()
 	hear()
-	must.Less(t, first.There, g.ChooseRegion(long("r1", "p"), false, []string{other}).There)
+	must.Less(t, first.Cost, g.ChooseRegion(long("r1", "p"), false, []string{other}).Cost)
 }
 
 // TestPartsHaveOneHomeRegion asks two regions' gateways for many parts: they
@@ -106,15 +106,15 @@
 func TestPartsHaveOneHomeRegion(t *testing.T) {
 	w := newWorld(1, 4)
 	g := w.gateways[0]
-	g.Hear(far("kano", 4, 0))
+	g.Receive(far("kano", 4, 0))
 	homes := map[string]int{}
 	for i := range 200 {
 		ask := long(fmt.Sprint(i), fmt.Sprint("part", i))
 		place := g.ChooseRegion(ask, true, []string{"kano"})
-		must.True(t, place.Home)
+		must.True(t, place.IsHome)
 		homes[place.Region]++
 		ask.Permitted = func(region string) bool { return region == "lagos" }
-		must.True(t, g.ChooseRegion(ask, true, nil).Home)
+		must.True(t, g.ChooseRegion(ask, true, nil).IsHome)
 	}
 	must.Between(t, 70, homes["kano"], 130)
 }
@@ -124,7 +124,7 @@
 	w.hosts = append(w.hosts, roster.Host{Name: "far", Role: roster.RoleGateway, Region: "kano", Peer: "10.9.0.1:1"})
 	speak := 0
 	for _, g := range w.gateways {
-		out := g.Tell()
+		out := g.Outgoing()
 		must.SliceLen(t, 4, out[0].To, must.Sprint("the others of this region"))
 		if len(out) == 1 {
 			continue
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -78,7 +78,7 @@
 			zap.Duration("token_out", t.OutputPerToken), zap.Duration("hold", t.SlotTime), zap.Duration("usual_error", estimator.usualError()), zap.Int("answers", estimator.answers))
 	}
 	for _, region := range slices.Sorted(maps.Keys(d.remotes)) {
-		roundTrip, known := d.Trip(region)
+		roundTrip, known := d.RoundTripTo(region)
 		d.Log.Info("round-trip estimate", zap.String("region", region), zap.Duration("round_trip", roundTrip), zap.Bool("known", known), zap.Duration("word_age", d.Clock().Sub(d.remotes[region].reportedAt)))
 	}
 }
@@ -87,7 +87,7 @@
 // does so only if the engine was warm and had a free slot: then nothing but the reading
 // of prompts precedes the event.
 func (t *Ticket) recordFirstEvent(now time.Time) {
-	if t.Cold || t.queued || t.CopyFrom != "" || t.pool.service.Model == nil {
+	if t.Cold || t.queued || t.TransferFrom != "" || t.pool.service.Model == nil {
 		return
 	}
 	took := now.Sub(t.sentAt)
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -187,9 +187,9 @@
 	return e.nextWarmRequest
 }
 
-// Opens returns the time until some engine of a service may get a request from this
+// AvailableIn returns the time until some engine of a service may get a request from this
 // gateway; 0 if one may now, or if that isn't known.
-func (d *Dispatcher) Opens(service string) time.Duration {
+func (d *Dispatcher) AvailableIn(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.pools[service]
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -13,14 +13,14 @@
 
 // Ticket permits sending one request to one engine.
 type Ticket struct {
-	Engine  string // ID of the engine
-	Address string
-	Why     string // score of the engine, for the log
-	Cold    bool
-	Wait    time.Duration // expected time until the answer begins
-	// CopyFrom is the address of the engine from which this one transfers the prompt's
+	Engine       string // ID of the engine
+	Address      string
+	Explanation  string // score of the engine, for the log
+	Cold         bool
+	ExpectedWait time.Duration // expected time until the answer begins
+	// TransferFrom is the address of the engine from which this one transfers the prompt's
 	// shared blocks; "" if it reads them or has cached them itself.
-	CopyFrom string
+	TransferFrom string
 
 	dispatcher   *Dispatcher
 	pool         *pool
@@ -43,18 +43,18 @@
 
 // issueTicket issues a ticket for an engine and counts its load. The dispatcher's lock is
 // held.
-func (d *Dispatcher) issueTicket(p *pool, e *engine, req Ask, s score, now time.Time) *Ticket {
+func (d *Dispatcher) issueTicket(p *pool, e *engine, req Request, s score, now time.Time) *Ticket {
 	t := &Ticket{
-		Engine: e.ID, Address: e.Address, Why: s.String(), Cold: d.isCold(p, e, now), Wait: s.wait,
-		dispatcher: d, pool: p, engine: e, sentAt: now, load: Load{Requests: 1}, route: req.Route, outputTokens: req.Prompt.TokensOut, queued: s.load.Requests >= e.Slots, fingerprint: req.Fingerprint,
+		Engine: e.ID, Address: e.Address, Explanation: s.String(), Cold: d.isCold(p, e, now), ExpectedWait: s.wait,
+		dispatcher: d, pool: p, engine: e, sentAt: now, load: Load{Requests: 1}, route: req.Route, outputTokens: req.Prompt.OutputTokens, queued: s.load.Requests >= e.Slots, fingerprint: req.Fingerprint,
 	}
 	if s.transferred > 0 {
-		t.CopyFrom = s.source.Address
+		t.TransferFrom = s.source.Address
 	}
 	if p.service.Model != nil {
-		t.load.Unread = max(0, req.Prompt.TokensIn-s.cached)
+		t.load.Unread = max(0, req.Prompt.InputTokens-s.cached)
 		t.readTokens = float64(s.load.Unread + t.load.Unread)
-		t.load.Reserved = req.Prompt.TokensIn + req.Prompt.TokensOut
+		t.load.Reserved = req.Prompt.InputTokens + req.Prompt.OutputTokens
 		e.readRate.add(float64(t.load.Unread), now)
 		p.recordPrompt(e, req.Prompt, now)
 		d.recordSentBlock(req.Prompt, e, now)
@@ -74,10 +74,10 @@
 	return l.plus(Load{-o.Requests, -o.Unread, -o.Reserved, -o.ReadRate})
 }
 
-// Begun records the first byte of the answer: the prompt has been read. It returns the
+// FirstByte records the first byte of the answer: the prompt has been read. It returns the
 // time since the ticket was issued. served is false if the answer is a failure of the
 // engine itself, which says nothing about its throughput.
-func (t *Ticket) Begun(served bool) time.Duration {
+func (t *Ticket) FirstByte(served bool) time.Duration {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,8 +172,8 @@
 	return ok && p.retryBudget.Take(d.Clock(), len(d.Peers()))
 }
 
-// First counts the first send of a request, which earns retry budget.
-func (d *Dispatcher) First(service string) {
+// CountFirstSend counts the first send of a request, which earns retry budget.
+func (d *Dispatcher) CountFirstSend(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p, ok := d.pools[service]; ok {
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -49,8 +49,8 @@
 		name := fmt.Sprintf("g%d", i)
 		w.hosts = append(w.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "lagos", Peer: "10.0.0." + fmt.Sprint(i) + ":1"})
 		w.gateways = append(w.gateways, dispatch.New(dispatch.Deps{
-			Name: name, Region: "lagos", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
-			Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
+			Name: name, Region: "lagos", RegionOf: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
+			Peers: func() []roster.Host { return w.hosts }, RoundTripTo: knownTrip, RetryBudget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
 			Log: zap.NewNop(), Clock: w.clock,
 		}))
 	}
@@ -94,14 +94,14 @@
 	w.index++
 	w.state = ledger.State{Index: w.index, Catalog: catalog.Catalog{Version: 1, Services: services}, Evacuated: evacuated}
 	for _, g := range w.gateways {
-		g.Take(w.state, catalog.NewTable(w.state.Catalog))
+		g.ApplyState(w.state, catalog.NewTable(w.state.Catalog))
 	}
 }
 
 // tell brings every gateway's messages to those whom they are for.
 func (w *world) tell() {
 	for _, from := range w.gateways {
-		for _, out := range from.Tell() {
+		for _, out := range from.Outgoing() {
 			w.deliver(out)
 		}
 	}
@@ -110,7 +110,7 @@
 func (w *world) deliver(out rollup.OutgoingMessage) {
 	for i, to := range w.gateways {
 		if slices.Contains(out.To, w.hosts[i].Peer) {
-			to.Hear(out.Message)
+			to.Receive(out.Message)
 		}
 	}
 }
@@ -124,14 +124,14 @@
 }
 
 // long is the ask of a long review with that shared part.
-func long(id, part string) dispatch.Ask {
-	return dispatch.Ask{ID: id, Service: "review", Prompt: dispatch.Prompt{
-		TokensIn: 9000, TokensOut: 50,
-		Parts: []dispatch.Part{{ID: "system", Tokens: 2500}, {ID: part, Tokens: 3500}, {ID: "own-" + id, Tokens: 3000}},
+func long(id, part string) dispatch.Request {
+	return dispatch.Request{ID: id, Service: "review", Prompt: dispatch.Prompt{
+		InputTokens: 9000, OutputTokens: 50,
+		Blocks: []dispatch.Block{{ID: "system", Tokens: 2500}, {ID: part, Tokens: 3500}, {ID: "own-" + id, Tokens: 3000}},
 	}}
 }
 
-func acquire(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Ask) *dispatch.Ticket {
+func acquire(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Request) *dispatch.Ticket {
 	t.Helper()
 	ticket, err := g.Acquire(ask)
 	must.NoError(t, err)
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -58,7 +58,7 @@
 	if errors.As(p.lastErr, &rejection) {
 		return rejection
 	}
-	wait := max(engineRetryAfter, s.Dispatcher.Opens(x.service))
+	wait := max(engineRetryAfter, s.Dispatcher.AvailableIn(x.service))
 	return &request.NotRun{Reason: request.ReasonNoEngine, Message: p.lastErr.Error(), RetryAfter: wait}
 }
 
@@ -75,7 +75,7 @@
 	}
 	p.triedEngines = append(p.triedEngines, ticket.Engine)
 	s.Log.Info("engine chosen", x.logFields(zap.String("engine", ticket.Engine), zap.String("address", ticket.Address),
-		zap.Int("attempt", p.sends+p.unreachable+1), zap.String("why", ticket.Why), zap.String("part", x.meta.Prompt.Affinity()), zap.Bool("cold", ticket.Cold), zap.String("copy_from", ticket.CopyFrom), zap.Duration("remaining", s.remaining(x)), zap.Stringer("fingerprint", x.fingerprint), zap.String("limit", ticket.Limit()))...)
+		zap.Int("attempt", p.sends+p.unreachable+1), zap.String("why", ticket.Explanation), zap.String("part", x.meta.Prompt.AffinityKey()), zap.Bool("cold", ticket.Cold), zap.String("copy_from", ticket.TransferFrom), zap.Duration("remaining", s.remaining(x)), zap.Stringer("fingerprint", x.fingerprint), zap.String("limit", ticket.Limit()))...)
 	x.announceSend()
 	err = s.send(x, p, ticket)
 	retry = s.finishAttempt(x, p, ticket, err)
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if p.sends == 0 {
-		s.Dispatcher.First(x.service)
+		s.Dispatcher.CountFirstSend(x.service)
 		return ticket, nil
 	}
 	if !s.Dispatcher.Retry(x.service) {
@@ -135,14 +135,14 @@
 		Method: x.r.Method, URL: "http://" + ticket.Address + x.r.URL.RequestURI(), Host: x.r.Host,
 		Header: s.Dialect.EngineHeader(relay.Forwardable(x.r.Header), EngineRequest{
 			Engine: ticket.Engine, Timeout: s.remaining(x), LastEventID: p.lastEventID,
-			RemoveKey: x.catalog.table.HasAccounts(), Account: x.account.Name, TransferFrom: ticket.CopyFrom,
+			RemoveKey: x.catalog.table.HasAccounts(), Account: x.account.Name, TransferFrom: ticket.TransferFrom,
 		}),
 		Body: x.bodyReader(), Length: int64(len(x.body)),
 		// Engines often crash together. A second send on a pooled connection could be reset by
 		// another crashed engine and use up the last send. Opening a new connection to a
 		// crashed engine fails, which proves that it didn't receive the request.
 		Echoes: true, Fresh: !x.route.Repeatable() || p.sends > 0,
-		Wanted: ticket.Wanted,
+		Wanted: ticket.CheckUsable,
 		Judge:  func(resp *http.Response) error { return s.checkAnswer(x, p, ticket, resp) },
 	})
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 	defer resp.Body.Close()
 	succeeded := resp.StatusCode == http.StatusOK
-	return s.relayAnswer(x, resp, func() { x.firstByteAfter = ticket.Begun(succeeded) })
+	return s.relayAnswer(x, resp, func() { x.firstByteAfter = ticket.FirstByte(succeeded) })
 }
 
 // misdirectedAnswer is the error for an engine that has taken over the address of the
@@ -193,8 +193,8 @@
 	if err == nil {
 		s.countOutcome(x, "answered")
 		s.Metrics.First(x.service, x.firstByteAfter, 0)
-		s.Metrics.Predicted(x.service, x.firstByteAfter-ticket.Wait)
-		s.Log.Info("answered", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("expected", ticket.Wait), zap.Duration("first", x.firstByteAfter), zap.Duration("longest_pause", x.longestPause), zap.Duration("took", s.Clock().Sub(x.startedAt)))...)
+		s.Metrics.Predicted(x.service, x.firstByteAfter-ticket.ExpectedWait)
+		s.Log.Info("answered", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("expected", ticket.ExpectedWait), zap.Duration("first", x.firstByteAfter), zap.Duration("longest_pause", x.longestPause), zap.Duration("took", s.Clock().Sub(x.startedAt)))...)
 		return false
 	}
 	s.Log.Warn("attempt failed", x.logFields(zap.String("engine", ticket.Engine), zap.String("outcome", outcome.String()),
@@ -212,7 +212,7 @@
 	var misdirect *misdirectedAnswer
 	var failure *relay.Failure
 	var callerErr *relay.CallerError
-	var unwanted *dispatch.Unwanted
+	var unwanted *dispatch.EngineUnusable
 	switch {
 	case err == nil:
 		return dispatch.Answered, false
--- a/ingress/examine.go
+++ b/ingress/examine.go
@@ -39,15 +39,15 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case suspect := <-s.Dispatcher.Doubts():
+		case suspect := <-s.Dispatcher.SuspectEngines():
 			group.Go(func() { s.probeSuspect(ctx, suspect) })
 		}
 	}
 }
 
-func (s *Server) probeSuspect(ctx context.Context, suspect dispatch.Doubt) {
+func (s *Server) probeSuspect(ctx context.Context, suspect dispatch.SuspectEngine) {
 	if s.refusesConnections(ctx, suspect.Address) {
-		s.Dispatcher.Refused(suspect)
+		s.Dispatcher.ConnectionRefused(suspect)
 	}
 }
 
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -80,7 +80,7 @@
 	handover := request.Request{ID: x.meta.ID, Deadline: x.deadline, Sends: x.progress.sends}.WithVisit(s.Self.Name)
 	handover.SetHandover(header, s.Clock(), uint64(x.catalog.table.Version()))
 	sendsBefore := x.progress.sends
-	remote := s.Dispatcher.Sent(gateway.Region, x.dispatchRequest(nil))
+	remote := s.Dispatcher.BeginRemote(gateway.Region, x.dispatchRequest(nil))
 	var announcedSends atomic.Int64
 	resp, err := s.Peers.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + gateway.Handover + x.r.URL.RequestURI(), Host: x.r.Host,
--- a/ingress/handover_test.go
+++ b/ingress/handover_test.go
@@ -138,7 +138,7 @@
 	lagos, kano := newGateway(t, "g1", "lagos"), newGateway(t, "g2", "kano")
 	lagos.peers = []roster.Host{{Name: "g2", Role: roster.RoleGateway, Region: "kano", Handover: hostPort(kano.handover)}}
 	for _, g := range []*gateway{lagos, kano} {
-		g.server.Dispatcher.Budget = retry.Policy{Window: time.Minute}
+		g.server.Dispatcher.RetryBudget = retry.Policy{Window: time.Minute}
 		g.declare()
 	}
 	faulty := lagos.start(t, "portal", "a")
@@ -154,7 +154,7 @@
 // a gateway without retry budget. The gateway must reject it, not abort the connection.
 func TestHandOverWithEmptyRetryBudgetIsRejected(t *testing.T) {
 	kano := newGateway(t, "g2", "kano")
-	kano.server.Dispatcher.Budget = retry.Policy{Window: time.Minute}
+	kano.server.Dispatcher.RetryBudget = retry.Policy{Window: time.Minute}
 	kano.declare()
 	healthy := kano.start(t, "portal", "b")
 	header := make(http.Header)
--- a/ingress/hear.go
+++ b/ingress/hear.go
@@ -28,9 +28,9 @@
 // also accepts them from a late answer to another request: a backoff received late ends
 // late, and an engine that drains doesn't return.
 func (s *Server) recordPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, v AnswerMetadata) {
-	ticket.HeardPushback(v.Pushback)
+	ticket.ApplyPushback(v.Pushback)
 	if !v.NotRun && resp.StatusCode != http.StatusServiceUnavailable {
-		ticket.Taken()
+		ticket.Accepted()
 	}
 	switch signal := v.Pushback.(type) {
 	case pushback.Backoff:
@@ -41,7 +41,7 @@
 	case pushback.NoSignal:
 	}
 	if v.Draining {
-		ticket.HeardLeaving()
+		ticket.ApplyDraining()
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 		s.Log.Info("engine announced that it is draining", x.logFields(zap.String("engine", ticket.Engine), zap.Int("status", resp.StatusCode))...)
 	}
@@ -53,7 +53,7 @@
 	if v.ID != x.meta.ID && !(v.NotRun && v.ID == "") {
 		return
 	}
-	ticket.HeardLimit(v.Limit)
+	ticket.ApplyLimit(v.Limit)
 	if _, unlimited := v.Limit.(ratelimit.Unlimited); unlimited {
 		return
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -93,7 +93,7 @@
 		return
 	}
 	table := catalog.NewTable(state.Catalog)
-	s.Dispatcher.Take(state, table)
+	s.Dispatcher.ApplyState(state, table)
 	s.catalog.Store(&catalogSnapshot{state.Index, table})
 	s.Metrics.Revision(state.Catalog.Version)
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -68,8 +68,8 @@
 	must.NoError(t, err)
 	self := roster.Host{Name: name, Role: roster.RoleGateway, Region: region}
 	dispatcher := dispatch.New(dispatch.Deps{
-		Name: name, Region: region, Regions: map[string]string{"a": "lagos", "b": "kano"}, Engines: g.engines,
-		Peers: func() []roster.Host { return g.peers }, Trip: func(string) (time.Duration, bool) { return 0, false }, Budget: retry.Policy{Share: 0.2, Extra: 100, Window: 10 * time.Second},
+		Name: name, Region: region, RegionOf: map[string]string{"a": "lagos", "b": "kano"}, Engines: g.engines,
+		Peers: func() []roster.Host { return g.peers }, RoundTripTo: func(string) (time.Duration, bool) { return 0, false }, RetryBudget: retry.Policy{Share: 0.2, Extra: 100, Window: 10 * time.Second},
 		Log: zap.NewNop(), Clock: clock,
 	})
 	dialer := &net.Dialer{Timeout: 300 * time.Millisecond}
--- a/ingress/place.go
+++ b/ingress/place.go
@@ -96,6 +96,6 @@
 		// No state of the other regions is known: choose a random one.
 		choice.Region = reachable[s.Random()%uint64(len(reachable))]
 	}
-	s.Log.Info("region chosen", x.logFields(zap.String("region", choice.Region), zap.Duration("here", choice.Here), zap.Duration("there", choice.There), zap.Duration("queue", choice.Queue), zap.Bool("home", choice.Home))...)
+	s.Log.Info("region chosen", x.logFields(zap.String("region", choice.Region), zap.Duration("here", choice.LocalCost), zap.Duration("there", choice.Cost), zap.Duration("queue", choice.Queue), zap.Bool("home", choice.IsHome))...)
 	return choice.Region, true, choice.Refusal
 }
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -77,7 +77,7 @@
 func (c *cluster) exchangeReports() {
 	for range 6 {
 		for _, g := range c.gateways {
-			for _, out := range g.server.Dispatcher.Tell() {
+			for _, out := range g.server.Dispatcher.Outgoing() {
 				c.deliver(out)
 			}
 		}
@@ -89,7 +89,7 @@
 	for _, to := range out.To {
 		for _, g := range c.gateways {
 			if g.server.Self.Name == to {
-				g.server.Dispatcher.Hear(out.Message)
+				g.server.Dispatcher.Receive(out.Message)
 			}
 		}
 	}
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -181,8 +181,8 @@
 }
 
 // dispatchRequest returns the description of the request for the dispatcher.
-func (x *exchange) dispatchRequest(triedEngines []string) dispatch.Ask {
-	return dispatch.Ask{
+func (x *exchange) dispatchRequest(triedEngines []string) dispatch.Request {
+	return dispatch.Request{
 		ID: x.meta.ID, Route: x.route.Name, Service: x.service, Prompt: x.meta.Prompt, Deadline: x.deadline, Tried: triedEngines,
 		Target: x.route.Target, Permitted: x.mayRunIn, Fingerprint: x.fingerprint,
 	}
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -92,10 +92,10 @@
 func (r *simulatedRegion) exchangeReports() {
 	for _, g := range r.gateways {
 		g.server.Dispatcher.Tick()
-		for _, out := range g.server.Dispatcher.Tell() {
+		for _, out := range g.server.Dispatcher.Outgoing() {
 			for _, to := range r.gateways {
 				if to != g {
-					to.server.Dispatcher.Hear(out.Message)
+					to.server.Dispatcher.Receive(out.Message)
 				}
 			}
 		}
--- a/internal/dispatchbench/exchange.go
+++ b/internal/dispatchbench/exchange.go
@@ -18,8 +18,8 @@
 	sends    int
 	engine   *engine
 	run      *run
-	last     time.Duration  // of the newest event
-	away     *dispatch.Away // where it was handed over
+	last     time.Duration           // of the newest event
+	away     *dispatch.RemoteRequest // where it was handed over
 }
 
 // arrived ends its counting as on its way to another region.
@@ -67,13 +67,13 @@
 	return len(a.kind.Homes) == 0 || slices.Contains(a.kind.Homes, region)
 }
 
-func (w *World) ask(x *exchange) dispatch.Ask {
+func (w *World) ask(x *exchange) dispatch.Request {
 	a := x.a
-	p := dispatch.Prompt{Model: "m", TokensIn: a.tokensIn, TokensOut: a.tokensOut}
+	p := dispatch.Prompt{Model: "m", InputTokens: a.tokensIn, OutputTokens: a.tokensOut}
 	for _, part := range a.parts {
-		p.Parts = append(p.Parts, dispatch.Part{ID: part.id, Tokens: part.tokens})
+		p.Blocks = append(p.Blocks, dispatch.Block{ID: part.id, Tokens: part.tokens})
 	}
-	return dispatch.Ask{
+	return dispatch.Request{
 		ID: a.id, Service: service, Prompt: p, Deadline: w.start.Add(x.deadline), Tried: x.tried,
 		Target: a.kind.Target, Permitted: func(region string) bool { return w.permitted(a, region) },
 	}
--- a/internal/dispatchbench/ways.go
+++ b/internal/dispatchbench/ways.go
@@ -34,7 +34,7 @@
 	ask := w.ask(x)
 	place := g.dispatcher.ChooseRegion(ask, here, reachable)
 	if place.Region != g.host.Region {
-		x.away = g.dispatcher.Sent(place.Region, ask)
+		x.away = g.dispatcher.BeginRemote(place.Region, ask)
 	}
 	if !here && place.Region == g.host.Region {
 		place.Region = reachable[0]
@@ -48,7 +48,7 @@
 		return "", ticket{}, err
 	}
 	ended := false
-	return t.Engine, ticket{heard: t.HeardLimit, begun: func() { t.Begun(true) }, end: func(o dispatch.Outcome) {
+	return t.Engine, ticket{heard: t.ApplyLimit, begun: func() { t.FirstByte(true) }, end: func(o dispatch.Outcome) {
 		if !ended {
 			ended = true
 			t.Done(o)
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -117,10 +117,10 @@
 	for _, h := range w.hosts {
 		g := &gateway{host: h, own: make(map[string]int)}
 		g.dispatcher = dispatch.New(dispatch.Deps{
-			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Regions: regions, Engines: w.tables[h.Region], Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip,
-			Budget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: w.time.Now,
+			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, RegionOf: regions, Engines: w.tables[h.Region], Peers: func() []roster.Host { return w.hosts }, RoundTripTo: knownTrip,
+			RetryBudget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: w.time.Now,
 		})
-		g.dispatcher.Take(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
+		g.dispatcher.ApplyState(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
 		w.gateways[h.Region] = append(w.gateways[h.Region], g)
 		w.byPeer[h.Peer] = g
 	}
@@ -187,7 +187,7 @@
 		return going()
 	})
 	w.time.Every(rollup.ReportInterval, func() bool {
-		for _, out := range g.dispatcher.Tell() {
+		for _, out := range g.dispatcher.Outgoing() {
 			for _, address := range out.To {
 				w.deliver(g, w.byPeer[address], out.Message)
 			}
@@ -202,7 +202,7 @@
 	if from.host.Region != to.host.Region {
 		delay = farDelay
 	}
-	w.time.After(delay, func() { to.dispatcher.Hear(m) })
+	w.time.After(delay, func() { to.dispatcher.Receive(m) })
 }
 
 func (w *World) nextArrival(r Region, since time.Duration) {
