--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -28,13 +28,13 @@
 	}{{5, 0, false}, {72, 0, false}, {72, 102, false}, {72, 102, true}, {600, 0, false}, {600, 200, true}}
 	for _, c := range cases {
 		b.Run(fmt.Sprintf("engines=%d/peers=%d/cold=%t", c.engines, c.peers, c.cold), func(b *testing.B) {
-			d := benchDispatcher(c.engines, c.peers, c.cold)
+			d := newBenchDispatcher(c.engines, c.peers, c.cold)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				ask := dispatch.Ask{ID: fmt.Sprint(i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 9000, TokensOut: 50, Parts: []dispatch.Part{{ID: "a", Tokens: 2500}, {ID: fmt.Sprint(i % 900), Tokens: 3700}, {ID: fmt.Sprint("own", i), Tokens: 2800}}}}
-				d.ChooseRegion(ask, true, nil)
-				t, err := d.Acquire(ask)
+				req := dispatch.Ask{ID: fmt.Sprint(i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 9000, TokensOut: 50, Parts: []dispatch.Part{{ID: "a", Tokens: 2500}, {ID: fmt.Sprint(i % 900), Tokens: 3700}, {ID: fmt.Sprint("own", i), Tokens: 2800}}}}
+				d.ChooseRegion(req, true, nil)
+				t, err := d.Acquire(req)
 				if err != nil && !c.cold {
 					b.Fatal(err)
 				}
@@ -46,8 +46,8 @@
 	}
 }
 
-// benchDispatcher makes a gateway before so many engines and beside so many others.
-func benchDispatcher(n, peers int, cold bool) *dispatch.Dispatcher {
+// newBenchDispatcher makes a gateway before so many engines and beside so many others.
+func newBenchDispatcher(n, peers int, cold bool) *dispatch.Dispatcher {
 	engines := registry.New("life", time.Second, time.Now)
 	for i := range n {
 		e := registry.Engine{ID: fmt.Sprintf("i-%04d", i), Service: "review", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), DataCentre: "a", Slots: 16, Sequence: 1}
@@ -62,7 +62,7 @@
 	}
 	d := dispatch.New(dispatch.Deps{
 		Name: "g1", Region: "here", Regions: map[string]string{"a": "here"}, Engines: engines,
-		Peers: func() []roster.Host { return hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second},
+		Peers: func() []roster.Host { return hosts }, Trip: fixedRoundTrip, Budget: retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second},
 		Log: zap.NewNop(), Clock: time.Now,
 	})
 	c := catalog.Catalog{Version: 1, Services: []catalog.Service{{Name: "review", ColdRate: 2, Model: &catalog.ModelSpec{Slots: 16, CacheTokens: 200000}}}}
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -20,128 +20,128 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// TestAnEngineIsLookedAtOnce breaks two connections to an engine, which is one doubt.
+// TestEngineIsSuspectedOnce breaks two connections to an engine, which is one doubt.
 // After it has answered something, the next break is a new one, and so is one of its
 // later life.
-func TestAnEngineIsLookedAtOnce(t *testing.T) {
-	w := newWorld(1, 1)
-	g := w.gateways[0]
-	acquire(t, g, long("r0", "p")).Done(dispatch.Broken)
-	acquire(t, g, long("r1", "p")).Done(dispatch.Broken)
+func TestEngineIsSuspectedOnce(t *testing.T) {
+	env := newTestEnv(1, 1)
+	g := env.gateways[0]
+	acquire(t, g, longRequest("r0", "p")).Done(dispatch.Broken)
+	acquire(t, g, longRequest("r1", "p")).Done(dispatch.Broken)
 	must.Eq(t, 1, len(g.Doubts()))
 	must.Eq(t, "i-0", (<-g.Doubts()).Incarnation)
-	w.pass(1)
-	acquire(t, g, long("r2", "p")).Begun(true)
-	acquire(t, g, long("r3", "p")).Done(dispatch.Broken)
+	env.advance(1)
+	acquire(t, g, longRequest("r2", "p")).Begun(true)
+	acquire(t, g, longRequest("r3", "p")).Done(dispatch.Broken)
 	must.Eq(t, 1, len(g.Doubts()), must.Sprint("it had answered: the next break is a new doubt"))
-	w.beat(registry.Engine{ID: "i-0", Born: 5})
-	acquire(t, g, long("r4", "p")).Done(dispatch.Broken)
+	env.heartbeat(registry.Engine{ID: "i-0", Born: 5})
+	acquire(t, g, longRequest("r4", "p")).Done(dispatch.Broken)
 	must.Eq(t, 2, len(g.Doubts()), must.Sprint("another life is another engine"))
 }
 
-// newWideWorld is newWorld with as many gateways, and an engine, of another region.
-func newWideWorld(lagos, kano, engines int) *world {
-	w := newWorld(lagos, engines)
-	w.beat(registry.Engine{ID: "i-far", Service: "review", Slots: 16, DataCentre: "c"})
+// newTwoRegionEnv is newTestEnv with as many gateways, and an engine, of another region.
+func newTwoRegionEnv(lagos, kano, engines int) *testEnv {
+	env := newTestEnv(lagos, engines)
+	env.heartbeat(registry.Engine{ID: "i-far", Service: "review", Slots: 16, DataCentre: "c"})
 	for i := range kano {
 		name := fmt.Sprint("k", i)
-		w.hosts = append(w.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "kano", Peer: "10.9.0." + fmt.Sprint(i) + ":1"})
-		w.gateways = append(w.gateways, dispatch.New(dispatch.Deps{
-			Name: name, Region: "kano", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
-			Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
-			Log: zap.NewNop(), Clock: w.clock,
+		env.hosts = append(env.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "kano", Peer: "10.9.0." + fmt.Sprint(i) + ":1"})
+		env.gateways = append(env.gateways, dispatch.New(dispatch.Deps{
+			Name: name, Region: "kano", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: env.engines,
+			Peers: func() []roster.Host { return env.hosts }, Trip: fixedRoundTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
+			Log: zap.NewNop(), Clock: env.clock,
 		}))
 	}
-	w.declare()
-	return w
+	env.applyState()
+	return env
 }
 
-// crash lets the engine that a gateway chooses end under a request.
-func (w *world) crash(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Ask) {
+// crashEngine lets the engine that a gateway chooses end under a request.
+func (env *testEnv) crashEngine(t *testing.T, g *dispatch.Dispatcher, req dispatch.Ask) {
 	t.Helper()
-	ticket := acquire(t, g, ask)
+	ticket := acquire(t, g, req)
 	ticket.Done(dispatch.Broken)
 	g.Refused(<-g.Doubts())
-	w.engines.Leave(ticket.Engine, 0)
-	w.tick()
+	env.engines.Leave(ticket.Engine, 0)
+	env.tick()
 }
 
-// refuses tells whether a gateway keeps a request from its engines.
-func refuses(g *dispatch.Dispatcher, ask dispatch.Ask) bool {
-	ticket, err := g.Acquire(ask)
+// isQuarantined tells whether a gateway keeps a request from its engines.
+func isQuarantined(g *dispatch.Dispatcher, req dispatch.Ask) bool {
+	ticket, err := g.Acquire(req)
 	if err == nil {
 		ticket.Done(dispatch.Abandoned)
 	}
-	var refusal *request.NotRun
-	return errors.As(err, &refusal) && refusal.Reason == request.ReasonQuarantined
+	var rejection *request.NotRun
+	return errors.As(err, &rejection) && rejection.Reason == request.ReasonQuarantined
 }
 
-// TestCrashesAreKnownInAllRegions lets three of forty gateways of one region lose an engine
+// TestCrashReportsReachAllRegions lets three of forty gateways of one region lose an engine
 // each under the same request, of which no two know before. Within a second all gateways of
 // both regions must keep it from engines; so must one that hears nobody meanwhile, within
 // two seconds of hearing again.
-func TestCrashesAreKnownInAllRegions(t *testing.T) {
-	w := newWideWorld(40, 12, 30)
-	w.tellAll()
-	cut := w.gateways[39]
-	hosts, gateways := slices.Clone(w.hosts), slices.Clone(w.gateways)
-	poison := long("r", "p")
+func TestCrashReportsReachAllRegions(t *testing.T) {
+	env := newTwoRegionEnv(40, 12, 30)
+	env.propagateReports()
+	cut := env.gateways[39]
+	hosts, gateways := slices.Clone(env.hosts), slices.Clone(env.gateways)
+	poison := longRequest("r", "p")
 	poison.Fingerprint = 77
-	for _, g := range w.gateways[:3] {
-		w.crash(t, g, poison)
+	for _, g := range env.gateways[:3] {
+		env.crashEngine(t, g, poison)
 		for range 3 {
-			must.False(t, refuses(w.gateways[10], poison), must.Sprint("three crashes are too many, not fewer"))
+			must.False(t, isQuarantined(env.gateways[10], poison), must.Sprint("three crashes are too many, not fewer"))
 		}
 	}
-	w.hosts = slices.Delete(w.hosts, 39, 40)
-	w.gateways = slices.Delete(w.gateways, 39, 40)
+	env.hosts = slices.Delete(env.hosts, 39, 40)
+	env.gateways = slices.Delete(env.gateways, 39, 40)
 	for range 10 {
-		w.tell()
-		w.pass(rollup.Every)
+		env.exchangeReports()
+		env.advance(rollup.Every)
 	}
-	for i, g := range w.gateways {
-		must.True(t, refuses(g, poison), must.Sprint("gateway ", w.hosts[i].Name))
+	for i, g := range env.gateways {
+		must.True(t, isQuarantined(g, poison), must.Sprint("gateway ", env.hosts[i].Name))
 	}
-	must.False(t, refuses(cut, poison))
-	w.hosts, w.gateways = hosts, gateways
+	must.False(t, isQuarantined(cut, poison))
+	env.hosts, env.gateways = hosts, gateways
 	for range 20 {
-		w.tell()
-		w.pass(rollup.Every)
+		env.exchangeReports()
+		env.advance(rollup.Every)
 	}
-	must.True(t, refuses(cut, poison))
-	good := long("r9", "p")
+	must.True(t, isQuarantined(cut, poison))
+	good := longRequest("r9", "p")
 	good.Fingerprint = 78
-	must.False(t, refuses(cut, good))
+	must.False(t, isQuarantined(cut, good))
 }
 
-// TestAnEngineThatWasToEndHasNotCrashed lets an engine that drains end with a request on it.
-func TestAnEngineThatWasToEndHasNotCrashed(t *testing.T) {
-	w := newWorld(1, 4)
-	g := w.gateways[0]
-	ask := long("r", "p")
-	ask.Fingerprint = 77
+// TestEndOfDrainingEngineIsNoCrash lets an engine that drains end with a request on it.
+func TestEndOfDrainingEngineIsNoCrash(t *testing.T) {
+	env := newTestEnv(1, 4)
+	g := env.gateways[0]
+	req := longRequest("r", "p")
+	req.Fingerprint = 77
 	for i := range 3 {
-		ticket := acquire(t, g, ask)
-		w.beat(registry.Engine{ID: ticket.Engine, Phase: registry.Draining})
+		ticket := acquire(t, g, req)
+		env.heartbeat(registry.Engine{ID: ticket.Engine, Phase: registry.Draining})
 		ticket.Done(dispatch.Broken)
 		g.Refused(<-g.Doubts())
-		must.False(t, refuses(g, ask), must.Sprint("after ", i+1))
+		must.False(t, isQuarantined(g, req), must.Sprint("after ", i+1))
 	}
 }
 
-// TestAStormOfCrashesIsToldInLittle lets each of forty gateways lose an engine with fifty
+// TestManyCrashesKeepMessagesSmall lets each of forty gateways lose an engine with fifty
 // requests on it at once, and counts what they tell until all is told. A link between
 // regions carries all their traffic together, and datagrams are what it drops first: no
 // message may grow with the storm, and what goes to other regions is little beside answers.
-func TestAStormOfCrashesIsToldInLittle(t *testing.T) {
-	w := newWideWorld(40, 12, 60)
-	w.tellAll()
-	for i, g := range w.gateways[:40] {
+func TestManyCrashesKeepMessagesSmall(t *testing.T) {
+	env := newTwoRegionEnv(40, 12, 60)
+	env.propagateReports()
+	for i, g := range env.gateways[:40] {
 		var tickets []*dispatch.Ticket
 		for j := range 50 {
-			ask := long(fmt.Sprint("r", i, j), "p")
-			ask.Fingerprint = quarantine.Fingerprint(1 + i*50 + j)
-			tickets = append(tickets, acquire(t, g, ask))
+			req := longRequest(fmt.Sprint("r", i, j), "p")
+			req.Fingerprint = quarantine.Fingerprint(1 + i*50 + j)
+			tickets = append(tickets, acquire(t, g, req))
 		}
 		for _, ticket := range tickets {
 			ticket.Done(dispatch.Broken)
@@ -153,7 +153,7 @@
 	largest, far := 0, 0
 	const seconds = 5
 	for range seconds * int(time.Second/rollup.Every) {
-		for _, g := range w.gateways {
+		for _, g := range env.gateways {
 			for _, out := range g.Tell() {
 				data, err := cbor.Marshal(out.Message)
 				must.NoError(t, err)
@@ -161,10 +161,10 @@
 				if len(out.Message.Members) == 0 {
 					far += len(data) * len(out.To)
 				}
-				w.deliver(out)
+				env.deliver(out)
 			}
 		}
-		w.pass(rollup.Every)
+		env.advance(rollup.Every)
 	}
 	t.Log("largest message", largest, "bytes; between regions", far/seconds, "bytes a second")
 	must.LessEq(t, 16<<10, largest)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -12,172 +12,174 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-func TestEnginesThatMayNotBeUsedGetNothing(t *testing.T) {
+func TestExcludedEnginesGetNoRequests(t *testing.T) {
 	cases := map[string]struct {
-		change func(w *world)
+		change func(env *testEnv)
 		then   time.Duration
 	}{
-		"draining":   {func(w *world) { w.beat(registry.Engine{ID: "i-0", Phase: registry.Draining}) }, 0},
-		"left":       {func(w *world) { w.engines.Leave("i-0", 0); w.tick() }, 0},
-		"evacuated":  {func(w *world) { w.declare("a") }, 0},
-		"taken away": {func(w *world) { w.beat(registry.Engine{ID: "i-0", GoneAt: w.now.Add(time.Second)}) }, 2 * time.Second},
+		"draining":   {func(env *testEnv) { env.heartbeat(registry.Engine{ID: "i-0", Phase: registry.Draining}) }, 0},
+		"left":       {func(env *testEnv) { env.engines.Leave("i-0", 0); env.tick() }, 0},
+		"evacuated":  {func(env *testEnv) { env.applyState("a") }, 0},
+		"taken away": {func(env *testEnv) { env.heartbeat(registry.Engine{ID: "i-0", GoneAt: env.now.Add(time.Second)}) }, 2 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 1) // i-0 stands in data centre a
-			acquire(t, w.gateways[0], long("r0", "p")).Done(dispatch.Answered)
-			c.change(w)
-			w.pass(c.then)
-			_, err := w.gateways[0].Acquire(long("r1", "p"))
-			refusal := notRun(t, err)
-			must.Eq(t, request.ReasonNoEngine, refusal.Reason)
-			must.StrContains(t, refusal.Message, name)
-			must.Positive(t, refusal.RetryAfter)
+			env := newTestEnv(1, 1) // i-0 stands in data centre a
+			acquire(t, env.gateways[0], longRequest("r0", "p")).Done(dispatch.Answered)
+			c.change(env)
+			env.advance(c.then)
+			_, err := env.gateways[0].Acquire(longRequest("r1", "p"))
+			rejection := requireNotRun(t, err)
+			must.Eq(t, request.ReasonNoEngine, rejection.Reason)
+			must.StrContains(t, rejection.Message, name)
+			must.Positive(t, rejection.RetryAfter)
 		})
 	}
 }
 
-func TestAReplacedEngineGetsNothing(t *testing.T) {
-	w := newWorld(1, 1)
-	acquire(t, w.gateways[0], long("r0", "p")).Done(dispatch.Misdirected)
-	_, err := w.gateways[0].Acquire(long("r1", "p"))
-	must.StrContains(t, notRun(t, err).Message, "replaced")
+func TestReplacedEngineGetsNoRequests(t *testing.T) {
+	env := newTestEnv(1, 1)
+	acquire(t, env.gateways[0], longRequest("r0", "p")).Done(dispatch.Misdirected)
+	_, err := env.gateways[0].Acquire(longRequest("r1", "p"))
+	must.StrContains(t, requireNotRun(t, err).Message, "replaced")
 }
 
-// TestColdEnginesGetLittleFromAllGatewaysTogether counts what a cold engine gets
+// TestColdEnginesGetFewRequestsFromAllGateways counts what a cold engine gets
 // from many gateways, and what it gets right after an evacuation.
-func TestColdEnginesGetLittleFromAllGatewaysTogether(t *testing.T) {
-	cases := map[string]func(w *world){
-		"from its start": func(w *world) { w.beat(registry.Engine{ID: "i-0", ColdUntil: w.now.Add(2500 * time.Millisecond)}) },
-		"after an evacuation": func(w *world) {
-			w.declare("a")
-			w.pass(time.Second)
-			w.declare()
+func TestColdEnginesGetFewRequestsFromAllGateways(t *testing.T) {
+	cases := map[string]func(env *testEnv){
+		"from its start": func(env *testEnv) {
+			env.heartbeat(registry.Engine{ID: "i-0", ColdUntil: env.now.Add(2500 * time.Millisecond)})
+		},
+		"after an evacuation": func(env *testEnv) {
+			env.applyState("a")
+			env.advance(time.Second)
+			env.applyState()
 		},
 	}
 	for name, begin := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(9, 1)
-			begin(w)
+			env := newTestEnv(9, 1)
+			begin(env)
 			got := 0
 			for i := range 100 { // two seconds
-				for j, g := range w.gateways {
-					if ticket, err := g.Acquire(long(fmt.Sprint(i, j), "p")); err == nil {
+				for j, g := range env.gateways {
+					if ticket, err := g.Acquire(longRequest(fmt.Sprint(i, j), "p")); err == nil {
 						must.True(t, ticket.Cold)
 						got++
 					}
 				}
-				w.pass(20 * time.Millisecond)
+				env.advance(20 * time.Millisecond)
 			}
 			must.Between(t, 1, got, 5, must.Sprint("2 a second, and one at the start"))
-			w.pass(2 * time.Second)
-			must.False(t, acquire(t, w.gateways[0], long("after", "p")).Cold)
+			env.advance(2 * time.Second)
+			must.False(t, acquire(t, env.gateways[0], longRequest("after", "p")).Cold)
 		})
 	}
 }
 
-// TestGatewaysAgreeOnWhoKeepsAPart sends prompts with the same shared parts
+// TestGatewaysAgreeOnCacheHolder sends prompts with the same shared parts
 // through gateways that tell each other nothing of prompts.
-func TestGatewaysAgreeOnWhoKeepsAPart(t *testing.T) {
-	w := newWorld(4, 8)
+func TestGatewaysAgreeOnCacheHolder(t *testing.T) {
+	env := newTestEnv(4, 8)
 	for part := range 12 {
 		used := map[string]bool{}
 		for i := range 8 {
-			ticket := acquire(t, w.gateways[i%4], long(fmt.Sprint(part, i), fmt.Sprint("part", part)))
+			ticket := acquire(t, env.gateways[i%4], longRequest(fmt.Sprint(part, i), fmt.Sprint("part", part)))
 			used[ticket.Engine] = true
 			ticket.Done(dispatch.Answered)
-			w.pass(100 * time.Millisecond)
+			env.advance(100 * time.Millisecond)
 		}
 		must.MapLen(t, 1, used)
 	}
 }
 
-// TestGatewaysTellWhatTheySent lets a gateway send a part to another engine than
+// TestGatewaysReportSentBlocks lets a gateway send a part to another engine than
 // the one ranked first: once it has told, the others know.
-func TestGatewaysTellWhatTheySent(t *testing.T) {
-	w := newWorld(2, 6)
-	ranked := acquire(t, w.gateways[0], long("r0", "p"))
-	ask := long("r1", "p")
-	ask.Tried = []string{ranked.Engine}
-	other := acquire(t, w.gateways[0], ask)
+func TestGatewaysReportSentBlocks(t *testing.T) {
+	env := newTestEnv(2, 6)
+	ranked := acquire(t, env.gateways[0], longRequest("r0", "p"))
+	req := longRequest("r1", "p")
+	req.Tried = []string{ranked.Engine}
+	other := acquire(t, env.gateways[0], req)
 	must.NotEq(t, ranked.Engine, other.Engine)
 	other.Done(dispatch.Answered)
-	ask = long("r2", "p")
-	ask.Tried = []string{ranked.Engine}
-	w.tell()
-	must.Eq(t, other.Engine, acquire(t, w.gateways[1], ask).Engine)
+	req = longRequest("r2", "p")
+	req.Tried = []string{ranked.Engine}
+	env.exchangeReports()
+	must.Eq(t, other.Engine, acquire(t, env.gateways[1], req).Engine)
 }
 
-// TestALoadedKeeperIsPassedOver lets the engine that keeps a part be busy for
+// TestLoadedCacheHolderIsNotChosen lets the engine that keeps a part be busy for
 // longer than another needs to read it.
-func TestALoadedKeeperIsPassedOver(t *testing.T) {
-	w := newWorld(1, 4)
-	g := w.gateways[0]
-	keeper := acquire(t, g, long("r0", "p"))
+func TestLoadedCacheHolderIsNotChosen(t *testing.T) {
+	env := newTestEnv(1, 4)
+	g := env.gateways[0]
+	keeper := acquire(t, g, longRequest("r0", "p"))
 	for i := range 20 {
-		if ticket := acquire(t, g, long(fmt.Sprint("more", i), "p")); ticket.Engine != keeper.Engine {
+		if ticket := acquire(t, g, longRequest(fmt.Sprint("more", i), "p")); ticket.Engine != keeper.Engine {
 			return
 		}
 	}
 	t.Fatal("one engine got 21 long prompts at once")
 }
 
-func TestOtherGatewaysLoadCounts(t *testing.T) {
-	w := newWorld(2, 2)
-	busy := acquire(t, w.gateways[0], long("r0", "p"))
+func TestPeerLoadIsCounted(t *testing.T) {
+	env := newTestEnv(2, 2)
+	busy := acquire(t, env.gateways[0], longRequest("r0", "p"))
 	for i := range 6 {
-		acquire(t, w.gateways[0], long(fmt.Sprint(i), "p"))
+		acquire(t, env.gateways[0], longRequest(fmt.Sprint(i), "p"))
 	}
-	w.tell()
-	ticket := acquire(t, w.gateways[1], dispatch.Ask{ID: "x", Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
+	env.exchangeReports()
+	ticket := acquire(t, env.gateways[1], dispatch.Ask{ID: "x", Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
 	must.NotEq(t, busy.Engine, ticket.Engine)
-	must.Positive(t, len(w.gateways[0].Tell()[0].Message.Report.Engines))
+	must.Positive(t, len(env.gateways[0].Tell()[0].Message.Report.Engines))
 
 	// A gateway that has fallen silent counts for nothing after a while.
 	for i := range 2 {
-		w.beat(registry.Engine{ID: fmt.Sprint("i-", i)})
+		env.heartbeat(registry.Engine{ID: fmt.Sprint("i-", i)})
 	}
-	w.pass(2 * time.Second)
+	env.advance(2 * time.Second)
 	used := map[string]bool{}
 	for i := range 30 {
-		ticket := acquire(t, w.gateways[1], dispatch.Ask{ID: fmt.Sprint("y", i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
+		ticket := acquire(t, env.gateways[1], dispatch.Ask{ID: fmt.Sprint("y", i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
 		used[ticket.Engine] = true
 		ticket.Done(dispatch.Answered)
 	}
 	must.MapLen(t, 2, used)
 }
 
-func TestWhatWouldComeTooLateIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(1, 1)
-	g := w.gateways[0]
-	patient, hasty := long("p", "p"), long("h", "p")
+func TestRequestsThatWouldBeLateAreRejected(t *testing.T) {
+	env := newTestEnv(1, 1)
+	g := env.gateways[0]
+	patient, hasty := longRequest("p", "p"), longRequest("h", "p")
 	patient.Target, hasty.Target = 4*time.Second, time.Second
 	for i := range 8 {
-		acquire(t, g, long(fmt.Sprint(i), fmt.Sprint("part", i)))
+		acquire(t, g, longRequest(fmt.Sprint(i), fmt.Sprint("part", i)))
 	}
 	_, err := g.Acquire(hasty)
-	refusal := notRun(t, err)
-	must.Eq(t, request.ReasonOverload, refusal.Reason)
-	must.Between(t, 400*time.Millisecond, refusal.RetryAfter, 3*time.Second)
+	rejection := requireNotRun(t, err)
+	must.Eq(t, request.ReasonOverload, rejection.Reason)
+	must.Between(t, 400*time.Millisecond, rejection.RetryAfter, 3*time.Second)
 	acquire(t, g, patient)
 }
 
-// TestALongPromptIsAdmittedWhereNothingWaits asks for a prompt whose own reading
+// TestLongPromptIsAdmittedWithoutQueue asks for a prompt whose own reading
 // takes longer than the patience: only what is before it counts.
-func TestALongPromptIsAdmittedWhereNothingWaits(t *testing.T) {
-	w := newWorld(1, 1)
-	ask := dispatch.Ask{ID: "r", Service: "review", Prompt: dispatch.Prompt{TokensIn: 60_000, TokensOut: 50}, Target: 1400 * time.Millisecond}
-	must.NoError(t, w.gateways[0].ChooseRegion(ask, true, nil).Refusal)
-	acquire(t, w.gateways[0], ask)
-	again := ask
+func TestLongPromptIsAdmittedWithoutQueue(t *testing.T) {
+	env := newTestEnv(1, 1)
+	req := dispatch.Ask{ID: "r", Service: "review", Prompt: dispatch.Prompt{TokensIn: 60_000, TokensOut: 50}, Target: 1400 * time.Millisecond}
+	must.NoError(t, env.gateways[0].ChooseRegion(req, true, nil).Refusal)
+	acquire(t, env.gateways[0], req)
+	again := req
 	again.ID = "r2"
-	_, err := w.gateways[0].Acquire(again)
-	must.Eq(t, request.ReasonOverload, notRun(t, err).Reason)
+	_, err := env.gateways[0].Acquire(again)
+	must.Eq(t, request.ReasonOverload, requireNotRun(t, err).Reason)
 }
 
-func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	w := newWorld(1, 1)
-	g := w.gateways[0]
+func TestRetriesStayWithinBudget(t *testing.T) {
+	env := newTestEnv(1, 1)
+	g := env.gateways[0]
 	for range 20 {
 		g.First("review")
 	}
@@ -191,32 +193,32 @@
 	must.False(t, g.Retry("unknown"))
 }
 
-// TestLoadIsKnownAmongManyGateways has one of 100 gateways send much to one engine:
+// TestLoadReachesManyGateways has one of 100 gateways send much to one engine:
 // all others know of it 0.3 s later, each by itself and none twice.
-func TestLoadIsKnownAmongManyGateways(t *testing.T) {
-	w := newWorld(100, 2)
-	busy := acquire(t, w.gateways[7], long("r0", "p")).Engine
+func TestLoadReachesManyGateways(t *testing.T) {
+	env := newTestEnv(100, 2)
+	busy := acquire(t, env.gateways[7], longRequest("r0", "p")).Engine
 	for i := 1; i < 6; i++ {
-		ask := long(fmt.Sprint("r", i), "p")
-		ask.Tried = []string{map[string]string{"i-0": "i-1", "i-1": "i-0"}[busy]}
-		acquire(t, w.gateways[7], ask)
+		req := longRequest(fmt.Sprint("r", i), "p")
+		req.Tried = []string{map[string]string{"i-0": "i-1", "i-1": "i-0"}[busy]}
+		acquire(t, env.gateways[7], req)
 	}
-	w.tellAll()
-	for _, g := range w.gateways {
+	env.propagateReports()
+	for _, g := range env.gateways {
 		ticket := acquire(t, g, dispatch.Ask{ID: "x", Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}, Tried: []string{map[string]string{"i-0": "i-1", "i-1": "i-0"}[busy]}})
 		must.StrContains(t, ticket.Why, "requests=6 ")
 		ticket.Done(dispatch.Abandoned)
 	}
 }
 
-// TestAPlainRequestWaitsByWhatPlainRequestsTake has plain requests that take 15 ms fill
+// TestPlainRequestsQueueBySlotTime has plain requests that take 15 ms fill
 // every slot: one with a target of 300 ms waits for some queue, as it will be in time.
-func TestAPlainRequestWaitsByWhatPlainRequestsTake(t *testing.T) {
-	w := newWorld(1, 1)
-	g := w.gateways[0]
+func TestPlainRequestsQueueBySlotTime(t *testing.T) {
+	env := newTestEnv(1, 1)
+	g := env.gateways[0]
 	for n := range 100 {
 		ticket := acquire(t, g, dispatch.Ask{ID: fmt.Sprint(n), Service: "portal"})
-		w.now = w.now.Add(15 * time.Millisecond)
+		env.now = env.now.Add(15 * time.Millisecond)
 		ticket.Begun(true)
 		ticket.Done(dispatch.Answered)
 	}
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -20,8 +20,8 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// world is one region with some gateways before the same engines.
-type world struct {
+// testEnv is one region with some gateways before the same engines.
+type testEnv struct {
 	now      time.Time
 	engines  *registry.Table
 	gateways []*dispatch.Dispatcher
@@ -36,47 +36,47 @@
 	{Name: "portal"},
 }
 
-// newWorld makes so many gateways and review engines, in data centres a and b
+// newTestEnv makes so many gateways and review engines, in data centres a and b
 // of one region by turns, and one portal engine.
-func newWorld(gateways, engines int) *world {
-	w := &world{now: time.Unix(1000, 0)}
-	w.engines = registry.New("life", time.Second, w.clock)
+func newTestEnv(gateways, engines int) *testEnv {
+	env := &testEnv{now: time.Unix(1000, 0)}
+	env.engines = registry.New("life", time.Second, env.clock)
 	for i := range engines {
-		w.beat(registry.Engine{ID: fmt.Sprintf("i-%d", i), Service: "review", Slots: 16})
+		env.heartbeat(registry.Engine{ID: fmt.Sprintf("i-%d", i), Service: "review", Slots: 16})
 	}
-	w.beat(registry.Engine{ID: "i-portal", Service: "portal", Slots: 2})
+	env.heartbeat(registry.Engine{ID: "i-portal", Service: "portal", Slots: 2})
 	for i := range gateways {
 		name := fmt.Sprintf("g%d", i)
-		w.hosts = append(w.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "lagos", Peer: "10.0.0." + fmt.Sprint(i) + ":1"})
-		w.gateways = append(w.gateways, dispatch.New(dispatch.Deps{
-			Name: name, Region: "lagos", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: w.engines,
-			Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
-			Log: zap.NewNop(), Clock: w.clock,
+		env.hosts = append(env.hosts, roster.Host{Name: name, Role: roster.RoleGateway, Region: "lagos", Peer: "10.0.0." + fmt.Sprint(i) + ":1"})
+		env.gateways = append(env.gateways, dispatch.New(dispatch.Deps{
+			Name: name, Region: "lagos", Regions: map[string]string{"a": "lagos", "b": "lagos", "c": "kano"}, Engines: env.engines,
+			Peers: func() []roster.Host { return env.hosts }, Trip: fixedRoundTrip, Budget: retry.Policy{Share: 0.2, Extra: 10, Window: 10 * time.Second},
+			Log: zap.NewNop(), Clock: env.clock,
 		}))
 	}
-	w.declare()
-	return w
+	env.applyState()
+	return env
 }
 
-func (w *world) clock() time.Time { return w.now }
+func (env *testEnv) clock() time.Time { return env.now }
 
-// knownTrip is a round trip of 160 ms to any region.
-func knownTrip(string) (time.Duration, bool) { return 160 * time.Millisecond, true }
+// fixedRoundTrip is a round trip of 160 ms to any region.
+func fixedRoundTrip(string) (time.Duration, bool) { return 160 * time.Millisecond, true }
 
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.tick()
+func (env *testEnv) advance(d time.Duration) {
+	env.now = env.now.Add(d)
+	env.tick()
 }
 
-func (w *world) tick() {
-	for _, g := range w.gateways {
+func (env *testEnv) tick() {
+	for _, g := range env.gateways {
 		g.Tick()
 	}
 }
 
-// beat registers an engine; what isn't given has defaults.
-func (w *world) beat(e registry.Engine) {
-	known, _ := w.engines.Get(e.ID)
+// heartbeat registers an engine; what isn't given has defaults.
+func (env *testEnv) heartbeat(e registry.Engine) {
+	known, _ := env.engines.Get(e.ID)
 	e.Sequence = known.Sequence + 1
 	if e.Service == "" {
 		e.Service, e.Slots = known.Service, known.Slots
@@ -85,62 +85,62 @@
 		e.DataCentre = []string{"a", "b"}[int(e.ID[len(e.ID)-1])%2]
 	}
 	e.Address = "10.1.0.1:" + e.ID
-	w.engines.Beat(e)
-	w.tick()
+	env.engines.Beat(e)
+	env.tick()
 }
 
-// declare gives the gateways the services, with these data centres evacuated.
-func (w *world) declare(evacuated ...string) {
-	w.index++
-	w.state = ledger.State{Index: w.index, Catalog: catalog.Catalog{Version: 1, Services: services}, Evacuated: evacuated}
-	for _, g := range w.gateways {
-		g.Take(w.state, catalog.NewTable(w.state.Catalog))
+// applyState gives the gateways the services, with these data centres evacuated.
+func (env *testEnv) applyState(evacuated ...string) {
+	env.index++
+	env.state = ledger.State{Index: env.index, Catalog: catalog.Catalog{Version: 1, Services: services}, Evacuated: evacuated}
+	for _, g := range env.gateways {
+		g.Take(env.state, catalog.NewTable(env.state.Catalog))
 	}
 }
 
-// tell brings every gateway's messages to those whom they are for.
-func (w *world) tell() {
-	for _, from := range w.gateways {
+// exchangeReports brings every gateway's messages to those whom they are for.
+func (env *testEnv) exchangeReports() {
+	for _, from := range env.gateways {
 		for _, out := range from.Tell() {
-			w.deliver(out)
+			env.deliver(out)
 		}
 	}
 }
 
-func (w *world) deliver(out rollup.Outgoing) {
-	for i, to := range w.gateways {
-		if slices.Contains(out.To, w.hosts[i].Peer) {
+func (env *testEnv) deliver(out rollup.Outgoing) {
+	for i, to := range env.gateways {
+		if slices.Contains(out.To, env.hosts[i].Peer) {
 			to.Hear(out.Message)
 		}
 	}
 }
 
-// tellAll lets time pass until what one gateway does is known to all.
-func (w *world) tellAll() {
+// propagateReports lets time pass until what one gateway does is known to all.
+func (env *testEnv) propagateReports() {
 	for range 4 {
-		w.tell()
-		w.pass(rollup.Every)
+		env.exchangeReports()
+		env.advance(rollup.Every)
 	}
 }
 
-// long is the ask of a long review with that shared part.
-func long(id, part string) dispatch.Ask {
+// longRequest is the ask of a long review with that shared part.
+func longRequest(id, part string) dispatch.Ask {
 	return dispatch.Ask{ID: id, Service: "review", Prompt: dispatch.Prompt{
 		TokensIn: 9000, TokensOut: 50,
 		Parts: []dispatch.Part{{ID: "system", Tokens: 2500}, {ID: part, Tokens: 3500}, {ID: "own-" + id, Tokens: 3000}},
 	}}
 }
 
-func acquire(t *testing.T, g *dispatch.Dispatcher, ask dispatch.Ask) *dispatch.Ticket {
+func acquire(t *testing.T, g *dispatch.Dispatcher, req dispatch.Ask) *dispatch.Ticket {
 	t.Helper()
-	ticket, err := g.Acquire(ask)
+	ticket, err := g.Acquire(req)
 	must.NoError(t, err)
 	return ticket
 }
 
-func notRun(t *testing.T, err error) *request.NotRun {
+func requireNotRun(t *testing.T, err error) *request.NotRun {
 	t.Helper()
-	var refusal *request.NotRun
-	must.True(t, errors.As(err, &refusal), must.Sprint(err))
-	return refusal
+	var rejection *request.NotRun
+	must.True(t, errors.As(err, &rejection), must.Sprint(err))
+	return rejection
 }
