--- a/dispatch/accounts_test.go
+++ b/dispatch/accounts_test.go
@@ -18,9 +18,9 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// TestLowAccountUsageReachesAllGateways lets each of twenty gateways admit a request
-// of an account now and then, which is counted in requests: each must know of all, though
-// none does more than one in two seconds.
+// TestLowAccountUsageReachesAllGateways has each of twenty gateways admit one request of
+// an account every two seconds. Usage below one request per second must not be rounded to
+// nothing in the reports: each gateway must see the sum.
 func TestLowAccountUsageReachesAllGateways(t *testing.T) {
 	env := &testEnv{now: time.Unix(1000, 0)}
 	const gateways = 20
@@ -43,8 +43,8 @@
 	for _, g := range env.gateways {
 		g.Take(state, catalog.NewTable(state.Catalog))
 	}
-	asked := 0.0
-	for step := range 100 { // ten seconds; each gateway asks each two seconds
+	meanAsked := 0.0
+	for step := range 100 { // ten seconds; each gateway admits one request every two seconds
 		for i, m := range meters {
 			if step%gateways == i {
 				_, err := m.Ask("club", 1, env.now)
@@ -54,8 +54,8 @@
 		env.exchangeReports()
 		env.advance(rollup.Every)
 		if step >= 50 {
-			asked += meters[0].Statuses(env.now)[0].Asked / 50
+			meanAsked += meters[0].Statuses(env.now)[0].Asked / 50
 		}
 	}
-	must.Between(t, 7, asked, 13, must.Sprint("ten requests a second"))
+	must.Between(t, 7, meanAsked, 13, must.Sprint("ten requests per second"))
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -15,12 +15,12 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// BenchmarkChoice measures the choice of a region and an engine: with so many
-// engines in the region, warm or just back and cold, and so many other gateways
-// before them. On a busy server, when all engines were ranked and sorted for each
-// request, and the gateways for each cold one: 7, 39 and 314 us with 5, 72 and 600 warm
-// engines, 1.5 ms with 72 cold ones before 102 other gateways, 30 ms with 600 before 200.
-// Now 6, 10 and 20 us, 5 us, and 32 us.
+// BenchmarkChoice measures the choice of a region and an engine, by the number of engines
+// in the region (warm or cold) and of other gateways. When all engines were ranked and
+// sorted for each request, and all gateways for each cold engine, it took 7, 39 and 314
+// us with 5, 72 and 600 warm engines, 1.5 ms with 72 cold engines and 102 other gateways,
+// and 30 ms with 600 and 200, on a busy server. Now it takes 6, 10 and 20 us, 5 us, and
+// 32 us.
 func BenchmarkChoice(b *testing.B) {
 	cases := []struct {
 		engines, peers int
@@ -46,7 +46,8 @@
 	}
 }
 
-// newBenchDispatcher makes a gateway before so many engines and beside so many others.
+// newBenchDispatcher returns a gateway's dispatcher with n engines and the given number
+// of other gateways.
 func newBenchDispatcher(n, peers int, cold bool) *dispatch.Dispatcher {
 	engines := registry.New("life", time.Second, time.Now)
 	for i := range n {
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -14,56 +14,57 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// enableTransfers declares engines that copy from each other at 550 Gbit/s, 320 KB a token: 6,000
-// tokens take 29 ms, and 167 ms to read.
+// enableTransfers lets the engines transfer caches at 550 Gbit/s, 320 KB per token: 6,000
+// tokens take 29 ms, while reading them takes 167 ms.
 func (env *testEnv) enableTransfers() {
 	env.index++
-	copies := []catalog.Service{services[0], services[1]}
-	copies[0].Model = &catalog.ModelSpec{Slots: 16, CacheTokens: 100_000, TokenBytes: 327_680, LinkRate: 550e9}
-	env.state = ledger.State{Index: env.index, Catalog: catalog.Catalog{Version: 2, Services: copies}}
+	transferring := []catalog.Service{services[0], services[1]}
+	transferring[0].Model = &catalog.ModelSpec{Slots: 16, CacheTokens: 100_000, TokenBytes: 327_680, LinkRate: 550e9}
+	env.state = ledger.State{Index: env.index, Catalog: catalog.Catalog{Version: 2, Services: transferring}}
 	for _, g := range env.gateways {
 		g.Take(env.state, catalog.NewTable(env.state.Catalog))
 	}
 }
 
-// cachePrompt has one engine read a shared part, and gives it.
+// cachePrompt has one engine read a shared block, and returns the ticket for that engine.
 func cachePrompt(t *testing.T, env *testEnv) *dispatch.Ticket {
 	t.Helper()
-	first := acquire(t, env.gateways[0], longRequest("r0", "p"))
-	must.Eq(t, "", first.CopyFrom, must.Sprint("nobody keeps it yet"))
-	first.Done(dispatch.Answered)
-	return first
+	ticket := acquire(t, env.gateways[0], longRequest("r0", "p"))
+	must.Eq(t, "", ticket.CopyFrom, must.Sprint("no engine has cached the block yet"))
+	ticket.Done(dispatch.Answered)
+	return ticket
 }
 
-// TestSharedBlocksAreTransferred sends requests with the same shared part until the engine that
-// keeps it has more to read than a copy takes: others copy it from there, and are keepers
-// from then on.
+// TestSharedBlocksAreTransferred sends requests with the same shared block until the
+// engine that has cached it has more to read than a transfer takes. Other engines must
+// then transfer the block, once each, and count as cache holders from then on.
 func TestSharedBlocksAreTransferred(t *testing.T) {
 	env := newTestEnv(1, 4)
 	env.enableTransfers()
-	first := cachePrompt(t, env)
-	copied := map[string]string{}
+	holder := cachePrompt(t, env)
+	sources := map[string]string{}
 	for i := range 12 {
 		ticket := acquire(t, env.gateways[0], longRequest(fmt.Sprint("r", i+1), "p"))
 		if ticket.CopyFrom != "" {
 			must.NotEq(t, ticket.Address, ticket.CopyFrom)
-			must.MapNotContainsKey(t, copied, ticket.Engine, must.Sprint("it keeps the part already"))
-			copied[ticket.Engine] = ticket.CopyFrom
+			must.MapNotContainsKey(t, sources, ticket.Engine, must.Sprint("the engine has cached the block already"))
+			sources[ticket.Engine] = ticket.CopyFrom
 		}
 	}
-	must.Positive(t, len(copied))
-	must.MapNotContainsKey(t, copied, first.Engine)
+	must.Positive(t, len(sources))
+	must.MapNotContainsKey(t, sources, holder.Engine)
 }
 
-// TestNoTransferWithoutUsableSource looks at engines that can't copy, and at keepers that can't be
-// copied from: then a part is read again, or its keeper is waited for.
+// TestNoTransferWithoutUsableSource checks engines that can't transfer, and cache holders
+// that can't serve transfers: the block is read again, or the request waits for the
+// holder.
 func TestNoTransferWithoutUsableSource(t *testing.T) {
-	for name, change := range map[string]func(env *testEnv, keeper string){
-		"engines that can't": func(env *testEnv, _ string) { env.applyState() },
-		"a draining keeper":  func(env *testEnv, id string) { env.heartbeat(registry.Engine{ID: id, Phase: registry.Draining}) },
-		"a keeper that left": func(env *testEnv, id string) { env.engines.Leave(id, 0); env.tick() },
-		"a part long unused": func(env *testEnv, _ string) { env.advance(time.Minute) },
-		"a keeper taken away": func(env *testEnv, id string) {
+	for name, change := range map[string]func(env *testEnv, holder string){
+		"engines without transfers": func(env *testEnv, _ string) { env.applyState() },
+		"draining holder":           func(env *testEnv, id string) { env.heartbeat(registry.Engine{ID: id, Phase: registry.Draining}) },
+		"holder that left":          func(env *testEnv, id string) { env.engines.Leave(id, 0); env.tick() },
+		"expired block":             func(env *testEnv, _ string) { env.advance(time.Minute) },
+		"recalled holder": func(env *testEnv, id string) {
 			env.heartbeat(registry.Engine{ID: id, GoneAt: env.now})
 			env.advance(time.Second)
 		},
@@ -77,29 +78,30 @@
 	}
 }
 
-// TestNoTransferFromEngineWithPushback has the keeper ask for rest, or leave.
+// TestNoTransferFromEngineWithPushback has the cache holder ask for backoff or announce
+// draining. Transfers would load an engine that wants less load, or that is about to end.
 func TestNoTransferFromEngineWithPushback(t *testing.T) {
-	for name, says := range map[string]func(answered *dispatch.Ticket){
-		"resting": func(answered *dispatch.Ticket) { answered.HeardPushback(pushback.Rest{For: time.Second}) },
-		"leaving": func(answered *dispatch.Ticket) { answered.HeardLeaving() },
+	for name, announce := range map[string]func(ticket *dispatch.Ticket){
+		"backing off": func(ticket *dispatch.Ticket) { ticket.HeardPushback(pushback.Rest{For: time.Second}) },
+		"draining":    func(ticket *dispatch.Ticket) { ticket.HeardLeaving() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(1, 4)
 			env.enableTransfers()
-			says(cachePrompt(t, env))
+			announce(cachePrompt(t, env))
 			must.Eq(t, "", acquire(t, env.gateways[0], longRequest("r", "p")).CopyFrom)
 		})
 	}
 }
 
-// TestNoTransferFromUnreachableEngine can't reach the keeper.
+// TestNoTransferFromUnreachableEngine has a connection to the cache holder fail.
 func TestNoTransferFromUnreachableEngine(t *testing.T) {
 	env := newTestEnv(1, 4)
 	env.enableTransfers()
-	first := cachePrompt(t, env)
+	holder := cachePrompt(t, env)
 	for i := 0; ; i++ {
 		ticket := acquire(t, env.gateways[0], longRequest(fmt.Sprint("r", i), "p"))
-		if ticket.Engine == first.Engine {
+		if ticket.Engine == holder.Engine {
 			ticket.Done(dispatch.Unreached)
 			break
 		}
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -20,9 +20,9 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// TestEngineIsSuspectedOnce breaks two connections to an engine, which is one doubt.
-// After it has answered something, the next break is a new one, and so is one of its
-// later life.
+// TestEngineIsSuspectedOnce breaks two connections to an engine, which must make it a
+// suspect once. After an answer of the engine, the next broken connection makes it a
+// suspect again, and so does one to its next incarnation.
 func TestEngineIsSuspectedOnce(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
@@ -33,13 +33,14 @@
 	env.advance(1)
 	acquire(t, g, longRequest("r2", "p")).Begun(true)
 	acquire(t, g, longRequest("r3", "p")).Done(dispatch.Broken)
-	must.Eq(t, 1, len(g.Doubts()), must.Sprint("it had answered: the next break is a new doubt"))
+	must.Eq(t, 1, len(g.Doubts()), must.Sprint("suspected again: it had answered after the first breaks"))
 	env.heartbeat(registry.Engine{ID: "i-0", Born: 5})
 	acquire(t, g, longRequest("r4", "p")).Done(dispatch.Broken)
-	must.Eq(t, 2, len(g.Doubts()), must.Sprint("another life is another engine"))
+	must.Eq(t, 2, len(g.Doubts()), must.Sprint("another incarnation is another engine"))
 }
 
-// newTwoRegionEnv is newTestEnv with as many gateways, and an engine, of another region.
+// newTwoRegionEnv is newTestEnv with a second region, kano, that has the given number of
+// gateways and one engine.
 func newTwoRegionEnv(lagos, kano, engines int) *testEnv {
 	env := newTestEnv(lagos, engines)
 	env.heartbeat(registry.Engine{ID: "i-far", Service: "review", Slots: 16, DataCentre: "c"})
@@ -56,7 +57,8 @@
 	return env
 }
 
-// crashEngine lets the engine that a gateway chooses end under a request.
+// crashEngine has the engine that a gateway chooses for the request crash while the
+// request runs.
 func (env *testEnv) crashEngine(t *testing.T, g *dispatch.Dispatcher, req dispatch.Ask) {
 	t.Helper()
 	ticket := acquire(t, g, req)
@@ -66,7 +68,7 @@
 	env.tick()
 }
 
-// isQuarantined tells whether a gateway keeps a request from its engines.
+// isQuarantined reports whether a gateway rejects a request because it is quarantined.
 func isQuarantined(g *dispatch.Dispatcher, req dispatch.Ask) bool {
 	ticket, err := g.Acquire(req)
 	if err == nil {
@@ -76,21 +78,21 @@
 	return errors.As(err, &rejection) && rejection.Reason == request.ReasonQuarantined
 }
 
-// TestCrashReportsReachAllRegions lets three of forty gateways of one region lose an engine
-// each under the same request, of which no two know before. Within a second all gateways of
-// both regions must keep it from engines; so must one that hears nobody meanwhile, within
-// two seconds of hearing again.
+// TestCrashReportsReachAllRegions has three of forty gateways of a region each lose an
+// engine under the same request; no gateway alone sees enough crashes. Within a second
+// all gateways of both regions must quarantine the request. An isolated gateway must do
+// so within two seconds after it is connected again.
 func TestCrashReportsReachAllRegions(t *testing.T) {
 	env := newTwoRegionEnv(40, 12, 30)
 	env.propagateReports()
-	cut := env.gateways[39]
-	hosts, gateways := slices.Clone(env.hosts), slices.Clone(env.gateways)
-	poison := longRequest("r", "p")
-	poison.Fingerprint = 77
+	isolated := env.gateways[39]
+	allHosts, allGateways := slices.Clone(env.hosts), slices.Clone(env.gateways)
+	crashing := longRequest("r", "p")
+	crashing.Fingerprint = 77
 	for _, g := range env.gateways[:3] {
-		env.crashEngine(t, g, poison)
+		env.crashEngine(t, g, crashing)
 		for range 3 {
-			must.False(t, isQuarantined(env.gateways[10], poison), must.Sprint("three crashes are too many, not fewer"))
+			must.False(t, isQuarantined(env.gateways[10], crashing), must.Sprint("fewer than three crashes known"))
 		}
 	}
 	env.hosts = slices.Delete(env.hosts, 39, 40)
@@ -100,21 +102,22 @@
 		env.advance(rollup.Every)
 	}
 	for i, g := range env.gateways {
-		must.True(t, isQuarantined(g, poison), must.Sprint("gateway ", env.hosts[i].Name))
+		must.True(t, isQuarantined(g, crashing), must.Sprint("gateway ", env.hosts[i].Name))
 	}
-	must.False(t, isQuarantined(cut, poison))
-	env.hosts, env.gateways = hosts, gateways
+	must.False(t, isQuarantined(isolated, crashing))
+	env.hosts, env.gateways = allHosts, allGateways
 	for range 20 {
 		env.exchangeReports()
 		env.advance(rollup.Every)
 	}
-	must.True(t, isQuarantined(cut, poison))
-	good := longRequest("r9", "p")
-	good.Fingerprint = 78
-	must.False(t, isQuarantined(cut, good))
+	must.True(t, isQuarantined(isolated, crashing))
+	harmless := longRequest("r9", "p")
+	harmless.Fingerprint = 78
+	must.False(t, isQuarantined(isolated, harmless))
 }
 
-// TestEndOfDrainingEngineIsNoCrash lets an engine that drains end with a request on it.
+// TestEndOfDrainingEngineIsNoCrash checks that the end of a draining engine doesn't count
+// as a crash against the request that was running there.
 func TestEndOfDrainingEngineIsNoCrash(t *testing.T) {
 	env := newTestEnv(1, 4)
 	g := env.gateways[0]
@@ -125,14 +128,15 @@
 		env.heartbeat(registry.Engine{ID: ticket.Engine, Phase: registry.Draining})
 		ticket.Done(dispatch.Broken)
 		g.Refused(<-g.Doubts())
-		must.False(t, isQuarantined(g, req), must.Sprint("after ", i+1))
+		must.False(t, isQuarantined(g, req), must.Sprint("engines ended: ", i+1))
 	}
 }
 
-// TestManyCrashesKeepMessagesSmall lets each of forty gateways lose an engine with fifty
-// requests on it at once, and counts what they tell until all is told. A link between
-// regions carries all their traffic together, and datagrams are what it drops first: no
-// message may grow with the storm, and what goes to other regions is little beside answers.
+// TestManyCrashesKeepMessagesSmall has each of forty gateways lose an engine with fifty
+// requests at the same time, and measures the messages until all crashes are reported.
+// All traffic between two regions shares a link, which drops datagrams first. So no
+// message may grow with the number of crashes, and messages between regions must stay
+// small beside answers.
 func TestManyCrashesKeepMessagesSmall(t *testing.T) {
 	env := newTwoRegionEnv(40, 12, 60)
 	env.propagateReports()
@@ -150,7 +154,7 @@
 			g.Refused(<-g.Doubts())
 		}
 	}
-	largest, far := 0, 0
+	largest, crossRegion := 0, 0
 	const seconds = 5
 	for range seconds * int(time.Second/rollup.Every) {
 		for _, g := range env.gateways {
@@ -159,14 +163,14 @@
 				must.NoError(t, err)
 				largest = max(largest, len(data))
 				if len(out.Message.Members) == 0 {
-					far += len(data) * len(out.To)
+					crossRegion += len(data) * len(out.To)
 				}
 				env.deliver(out)
 			}
 		}
 		env.advance(rollup.Every)
 	}
-	t.Log("largest message", largest, "bytes; between regions", far/seconds, "bytes a second")
+	t.Log("largest message", largest, "bytes; between regions", crossRegion/seconds, "bytes per second")
 	must.LessEq(t, 16<<10, largest)
-	must.LessEq(t, 100<<10, far/seconds)
+	must.LessEq(t, 100<<10, crossRegion/seconds)
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -15,7 +15,7 @@
 func TestExcludedEnginesGetNoRequests(t *testing.T) {
 	cases := map[string]struct {
 		change func(env *testEnv)
-		then   time.Duration
+		wait   time.Duration
 	}{
 		"draining":   {func(env *testEnv) { env.heartbeat(registry.Engine{ID: "i-0", Phase: registry.Draining}) }, 0},
 		"left":       {func(env *testEnv) { env.engines.Leave("i-0", 0); env.tick() }, 0},
@@ -24,10 +24,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			env := newTestEnv(1, 1) // i-0 stands in data centre a
+			env := newTestEnv(1, 1) // i-0 is in data centre a
 			acquire(t, env.gateways[0], longRequest("r0", "p")).Done(dispatch.Answered)
 			c.change(env)
-			env.advance(c.then)
+			env.advance(c.wait)
 			_, err := env.gateways[0].Acquire(longRequest("r1", "p"))
 			rejection := requireNotRun(t, err)
 			must.Eq(t, request.ReasonNoEngine, rejection.Reason)
@@ -44,11 +44,12 @@
 	must.StrContains(t, requireNotRun(t, err).Message, "replaced")
 }
 
-// TestColdEnginesGetFewRequestsFromAllGateways counts what a cold engine gets
-// from many gateways, and what it gets right after an evacuation.
+// TestColdEnginesGetFewRequestsFromAllGateways checks that several gateways together keep
+// to a cold engine's rate. Engines are also cold after an evacuation, until their
+// heartbeats report otherwise.
 func TestColdEnginesGetFewRequestsFromAllGateways(t *testing.T) {
 	cases := map[string]func(env *testEnv){
-		"from its start": func(env *testEnv) {
+		"after a start": func(env *testEnv) {
 			env.heartbeat(registry.Engine{ID: "i-0", ColdUntil: env.now.Add(2500 * time.Millisecond)})
 		},
 		"after an evacuation": func(env *testEnv) {
@@ -57,45 +58,45 @@
 			env.applyState()
 		},
 	}
-	for name, begin := range cases {
+	for name, makeCold := range cases {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(9, 1)
-			begin(env)
-			got := 0
-			for i := range 100 { // two seconds
+			makeCold(env)
+			admitted := 0
+			for i := range 100 { // for two seconds
 				for j, g := range env.gateways {
 					if ticket, err := g.Acquire(longRequest(fmt.Sprint(i, j), "p")); err == nil {
 						must.True(t, ticket.Cold)
-						got++
+						admitted++
 					}
 				}
 				env.advance(20 * time.Millisecond)
 			}
-			must.Between(t, 1, got, 5, must.Sprint("2 a second, and one at the start"))
+			must.Between(t, 1, admitted, 5, must.Sprint("2 per second, and one at the start"))
 			env.advance(2 * time.Second)
 			must.False(t, acquire(t, env.gateways[0], longRequest("after", "p")).Cold)
 		})
 	}
 }
 
-// TestGatewaysAgreeOnCacheHolder sends prompts with the same shared parts
-// through gateways that tell each other nothing of prompts.
+// TestGatewaysAgreeOnCacheHolder sends prompts with the same shared block through
+// gateways that don't exchange reports: all of them must choose the same engine.
 func TestGatewaysAgreeOnCacheHolder(t *testing.T) {
 	env := newTestEnv(4, 8)
-	for part := range 12 {
-		used := map[string]bool{}
+	for block := range 12 {
+		engines := map[string]bool{}
 		for i := range 8 {
-			ticket := acquire(t, env.gateways[i%4], longRequest(fmt.Sprint(part, i), fmt.Sprint("part", part)))
-			used[ticket.Engine] = true
+			ticket := acquire(t, env.gateways[i%4], longRequest(fmt.Sprint(block, i), fmt.Sprint("part", block)))
+			engines[ticket.Engine] = true
 			ticket.Done(dispatch.Answered)
 			env.advance(100 * time.Millisecond)
 		}
-		must.MapLen(t, 1, used)
+		must.MapLen(t, 1, engines)
 	}
 }
 
-// TestGatewaysReportSentBlocks lets a gateway send a part to another engine than
-// the one ranked first: once it has told, the others know.
+// TestGatewaysReportSentBlocks has a gateway send a block to another engine than the one
+// ranked first. Once it has reported this, the other gateway chooses the same engine.
 func TestGatewaysReportSentBlocks(t *testing.T) {
 	env := newTestEnv(2, 6)
 	ranked := acquire(t, env.gateways[0], longRequest("r0", "p"))
@@ -110,20 +111,22 @@
 	must.Eq(t, other.Engine, acquire(t, env.gateways[1], req).Engine)
 }
 
-// TestLoadedCacheHolderIsNotChosen lets the engine that keeps a part be busy for
-// longer than another needs to read it.
+// TestLoadedCacheHolderIsNotChosen loads the engine that has cached a block until waiting
+// for it takes longer than reading the block at another engine.
 func TestLoadedCacheHolderIsNotChosen(t *testing.T) {
 	env := newTestEnv(1, 4)
 	g := env.gateways[0]
-	keeper := acquire(t, g, longRequest("r0", "p"))
+	holder := acquire(t, g, longRequest("r0", "p"))
 	for i := range 20 {
-		if ticket := acquire(t, g, longRequest(fmt.Sprint("more", i), "p")); ticket.Engine != keeper.Engine {
+		if ticket := acquire(t, g, longRequest(fmt.Sprint("more", i), "p")); ticket.Engine != holder.Engine {
 			return
 		}
 	}
-	t.Fatal("one engine got 21 long prompts at once")
+	t.Fatal("one engine got 21 long prompts at the same time")
 }
 
+// TestPeerLoadIsCounted loads an engine through one gateway: another gateway must choose
+// another engine. The reported load must expire when the first gateway stops reporting.
 func TestPeerLoadIsCounted(t *testing.T) {
 	env := newTestEnv(2, 2)
 	busy := acquire(t, env.gateways[0], longRequest("r0", "p"))
@@ -135,37 +138,37 @@
 	must.NotEq(t, busy.Engine, ticket.Engine)
 	must.Positive(t, len(env.gateways[0].Tell()[0].Message.Report.Engines))
 
-	// A gateway that has fallen silent counts for nothing after a while.
+	// The load of a gateway that has stopped reporting is dropped after a while.
 	for i := range 2 {
 		env.heartbeat(registry.Engine{ID: fmt.Sprint("i-", i)})
 	}
 	env.advance(2 * time.Second)
-	used := map[string]bool{}
+	engines := map[string]bool{}
 	for i := range 30 {
 		ticket := acquire(t, env.gateways[1], dispatch.Ask{ID: fmt.Sprint("y", i), Service: "review", Prompt: dispatch.Prompt{TokensIn: 600, TokensOut: 300}})
-		used[ticket.Engine] = true
+		engines[ticket.Engine] = true
 		ticket.Done(dispatch.Answered)
 	}
-	must.MapLen(t, 2, used)
+	must.MapLen(t, 2, engines)
 }
 
 func TestRequestsThatWouldBeLateAreRejected(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
-	patient, hasty := longRequest("p", "p"), longRequest("h", "p")
-	patient.Target, hasty.Target = 4*time.Second, time.Second
+	patient, impatient := longRequest("p", "p"), longRequest("h", "p")
+	patient.Target, impatient.Target = 4*time.Second, time.Second
 	for i := range 8 {
 		acquire(t, g, longRequest(fmt.Sprint(i), fmt.Sprint("part", i)))
 	}
-	_, err := g.Acquire(hasty)
+	_, err := g.Acquire(impatient)
 	rejection := requireNotRun(t, err)
 	must.Eq(t, request.ReasonOverload, rejection.Reason)
 	must.Between(t, 400*time.Millisecond, rejection.RetryAfter, 3*time.Second)
 	acquire(t, g, patient)
 }
 
-// TestLongPromptIsAdmittedWithoutQueue asks for a prompt whose own reading
-// takes longer than the patience: only what is before it counts.
+// TestLongPromptIsAdmittedWithoutQueue sends a prompt that alone takes longer to read
+// than the target allows. Only the queue before it may cause a rejection.
 func TestLongPromptIsAdmittedWithoutQueue(t *testing.T) {
 	env := newTestEnv(1, 1)
 	req := dispatch.Ask{ID: "r", Service: "review", Prompt: dispatch.Prompt{TokensIn: 60_000, TokensOut: 50}, Target: 1400 * time.Millisecond}
@@ -189,12 +192,12 @@
 			granted++
 		}
 	}
-	must.Between(t, 5, granted, 14, must.Sprint("a fifth of 20, and 10"))
+	must.Between(t, 5, granted, 14, must.Sprint("a fifth of 20 first sends, and 10 extra"))
 	must.False(t, g.Retry("unknown"))
 }
 
-// TestLoadReachesManyGateways has one of 100 gateways send much to one engine:
-// all others know of it 0.3 s later, each by itself and none twice.
+// TestLoadReachesManyGateways has one of 100 gateways send several requests to one
+// engine. Within 0.4 s each of the others must count all of them, and none twice.
 func TestLoadReachesManyGateways(t *testing.T) {
 	env := newTestEnv(100, 2)
 	busy := acquire(t, env.gateways[7], longRequest("r0", "p")).Engine
@@ -211,8 +214,9 @@
 	}
 }
 
-// TestPlainRequestsQueueBySlotTime has plain requests that take 15 ms fill
-// every slot: one with a target of 300 ms waits for some queue, as it will be in time.
+// TestPlainRequestsQueueBySlotTime occupies every slot with plain requests that take 15
+// ms. Further requests with a target of 300 ms are admitted as long as they start in
+// time.
 func TestPlainRequestsQueueBySlotTime(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
@@ -222,11 +226,11 @@
 		ticket.Begun(true)
 		ticket.Done(dispatch.Answered)
 	}
-	waiting := 0
-	for ; waiting < 200; waiting++ {
-		if _, err := g.Acquire(dispatch.Ask{ID: fmt.Sprint("w", waiting), Service: "portal", Target: 300 * time.Millisecond}); err != nil {
+	admitted := 0
+	for ; admitted < 200; admitted++ {
+		if _, err := g.Acquire(dispatch.Ask{ID: fmt.Sprint("w", admitted), Service: "portal", Target: 300 * time.Millisecond}); err != nil {
 			break
 		}
 	}
-	must.Between(t, 22, waiting, 28, must.Sprint("2 slots, and 0.6 of 300 ms before them at 7.5 ms each"))
+	must.Between(t, 22, admitted, 28, must.Sprint("2 slots, and a queue of 0.6 * 300 ms at 7.5 ms per request"))
 }
--- a/dispatch/failing_test.go
+++ b/dispatch/failing_test.go
@@ -27,48 +27,49 @@
 	must.Eq(t, failed.Engine, acquire(t, g, req).Engine)
 }
 
-// TestGatewaysReportUnreachableEngines has one gateway fail to connect to an engine:
-// the others avoid it for a moment, but not one that has just had an answer.
+// TestGatewaysReportUnreachableEngines has one gateway fail to connect to an engine. The
+// others must exclude the engine for a moment, except one that has just received an
+// answer from it.
 func TestGatewaysReportUnreachableEngines(t *testing.T) {
 	env := newTestEnv(3, 2)
-	var failed, answered *dispatch.Ticket
-	for n := 0; failed == nil || answered == nil; n++ {
+	var failed, served *dispatch.Ticket
+	for n := 0; failed == nil || served == nil; n++ {
 		if t := acquireNth(t, env.gateways[0], n); t.Engine == "i-0" {
 			failed = t
 		}
 		if t := acquireNth(t, env.gateways[1], n); t.Engine == "i-0" {
-			answered = t
+			served = t
 		}
 	}
 	env.advance(10 * time.Second)
 	failed.Done(dispatch.Unreached)
-	answered.Done(dispatch.Answered)
+	served.Done(dispatch.Answered)
 	env.exchangeReports()
-	used := func(g int) map[string]bool {
+	enginesUsedBy := func(g int) map[string]bool {
 		out := make(map[string]bool)
 		for n := range 20 {
-			one := acquireNth(t, env.gateways[g], n)
-			out[one.Engine] = true
-			one.Done(dispatch.Abandoned)
+			ticket := acquireNth(t, env.gateways[g], n)
+			out[ticket.Engine] = true
+			ticket.Done(dispatch.Abandoned)
 		}
 		return out
 	}
-	must.MapContainsKey(t, used(1), "i-0")
-	must.MapNotContainsKey(t, used(2), "i-0")
+	must.MapContainsKey(t, enginesUsedBy(1), "i-0")
+	must.MapNotContainsKey(t, enginesUsedBy(2), "i-0")
 	env.advance(time.Second)
-	must.MapContainsKey(t, used(2), "i-0", must.Sprint("it is tried again soon"))
+	must.MapContainsKey(t, enginesUsedBy(2), "i-0", must.Sprint("the engine is tried again soon"))
 }
 
-// TestGatewaysReportReplacedEngines has one gateway learn that another
-// incarnation answers at an engine's address: none sends anything there any more, but
-// one that has just had an answer from it.
+// TestGatewaysReportReplacedEngines has one gateway find that another incarnation answers
+// at an engine's address. No gateway may send requests there any more, except one that
+// has just received an answer from the engine.
 func TestGatewaysReportReplacedEngines(t *testing.T) {
 	env := newTestEnv(3, 2)
 	tickets := make([]*dispatch.Ticket, 2)
 	for n := 0; tickets[0] == nil || tickets[1] == nil; n++ {
 		for g := range tickets {
-			if one := acquireNth(t, env.gateways[g], n); one.Engine == "i-0" {
-				tickets[g] = one
+			if ticket := acquireNth(t, env.gateways[g], n); ticket.Engine == "i-0" {
+				tickets[g] = ticket
 			}
 		}
 	}
@@ -81,27 +82,28 @@
 		must.Eq(t, "i-1", acquireNth(t, env.gateways[0], n).Engine)
 		must.Eq(t, "i-1", acquireNth(t, env.gateways[2], n).Engine)
 	}
-	used := make(map[string]bool)
+	engines := make(map[string]bool)
 	for n := range 20 {
-		used[acquireNth(t, env.gateways[1], n).Engine] = true
+		engines[acquireNth(t, env.gateways[1], n).Engine] = true
 	}
-	must.MapContainsKey(t, used, "i-0")
+	must.MapContainsKey(t, engines, "i-0")
 }
 
-// acquireNth gets a ticket for the nth of many requests without shared parts.
+// acquireNth acquires a ticket for the nth of several requests without shared blocks.
 func acquireNth(t *testing.T, g *dispatch.Dispatcher, n int) *dispatch.Ticket {
 	t.Helper()
 	return acquire(t, g, dispatch.Ask{ID: fmt.Sprint("any", n), Service: "review", Prompt: dispatch.Prompt{TokensIn: 10, TokensOut: 10}})
 }
 
-// TestRequestsThatFailAtAnyEngineStayInRegion lets one in seven requests of a route fail
-// by itself before the only engine here: all of them, and those of other routes,
-// stay in this region, but for chance.
+// TestRequestsThatFailAtAnyEngineStayInRegion has one in seven requests of a route fail
+// for its own reasons at the region's only engine. Such failures must not count against
+// the engine: apart from chance, neither this route's requests nor others may go to
+// another region.
 func TestRequestsThatFailAtAnyEngineStayInRegion(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
 	random := rand.New(rand.NewPCG(1, 2))
-	away := 0
+	remote := 0
 	for n := range 1000 {
 		g.Hear(digestReport("kano", dispatch.Digest{Service: "portal", Engines: 1, Slots: 6}))
 		req := dispatch.Ask{ID: fmt.Sprint(n), Route: "fetch", Service: "portal"}
@@ -109,7 +111,7 @@
 			req.Route = "lookup"
 		}
 		if g.ChooseRegion(req, true, []string{"kano"}).Region != "lagos" {
-			away++
+			remote++
 		}
 		ticket := acquire(t, g, req)
 		outcome := dispatch.Answered
@@ -119,21 +121,21 @@
 		ticket.Done(outcome)
 		env.advance(100 * time.Millisecond)
 	}
-	must.Less(t, 50, away)
+	must.Less(t, 50, remote)
 }
 
-// TestEngineWithHighFailureRateGetsFewRequests lets one of two engines fail half of its
-// requests, after a time in which both were well.
+// TestEngineWithHighFailureRateGetsFewRequests has one of two engines fail half of its
+// requests after both were healthy for a while.
 func TestEngineWithHighFailureRateGetsFewRequests(t *testing.T) {
 	env := newTestEnv(1, 2)
 	g := env.gateways[0]
 	random := rand.New(rand.NewPCG(1, 2))
-	ill := 0
+	sentAfter := 0
 	for n := range 400 {
 		ticket := acquireNth(t, g, n)
 		outcome := dispatch.Answered
 		if ticket.Engine == "i-0" && n >= 200 {
-			ill++
+			sentAfter++
 			if random.IntN(2) == 0 {
 				outcome = dispatch.Failed
 			}
@@ -141,5 +143,5 @@
 		ticket.Done(outcome)
 		env.advance(50 * time.Millisecond)
 	}
-	must.Less(t, 30, ill, must.Sprint("of 200 requests"))
+	must.Less(t, 30, sentAfter, must.Sprint("of 200 requests with failures"))
 }
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -14,9 +14,9 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// announceLimit has an engine's answer to a gateway's next request name a limit. The others are tried
-// already.
-func (env *testEnv) announceLimit(t *testing.T, gateway int, engine string, word ratelimit.Word) {
+// announceLimit has an engine announce a rate limit in its answer to a gateway's request.
+// The request counts as already sent to all other engines.
+func (env *testEnv) announceLimit(t *testing.T, gateway int, engine string, signal ratelimit.Word) {
 	t.Helper()
 	req := unsharedRequest("named")
 	for _, e := range env.engines.All() {
@@ -27,11 +27,12 @@
 	ticket := acquire(t, env.gateways[gateway], req)
 	must.Eq(t, engine, ticket.Engine)
 	env.now = env.now.Add(10 * time.Millisecond)
-	ticket.HeardLimit(word)
+	ticket.HeardLimit(signal)
 	ticket.Done(dispatch.Answered)
 }
 
-// countLimits counts the gateways that know of any limit, and adds their shares up.
+// countLimits returns the number of known limits over all gateways, and the sum of the
+// gateways' shares.
 func (env *testEnv) countLimits() (gateways int, share float64) {
 	for _, g := range env.gateways {
 		for _, l := range g.Limits() {
@@ -42,8 +43,9 @@
 	return gateways, share
 }
 
-// TestLimitsReachManyGateways has one of 100 gateways read an engine's limit, and later
-// that it is lifted: 0.4 s later all know, and what they share out is the limit.
+// TestLimitsReachManyGateways has one of 100 gateways receive an engine's rate limit, and
+// later that the limit is lifted. Within 0.4 s all must know, and their shares must add
+// up to the limit.
 func TestLimitsReachManyGateways(t *testing.T) {
 	env := newTestEnv(100, 3)
 	env.announceLimit(t, 7, "i-1", ratelimit.Limited{PerSecond: 12.5})
@@ -51,23 +53,24 @@
 	gateways, share := env.countLimits()
 	must.Eq(t, 100, gateways)
 	must.InDelta(t, 12.5, share, 0.001)
-	sharing := 0
+	sharer := 0
 	for i, g := range env.gateways {
 		for _, l := range g.Limits() {
 			if l.Share > 0 {
-				sharing = i
+				sharer = i
 			}
 		}
 	}
 	env.advance(2 * time.Second)
-	env.announceLimit(t, sharing, "i-1", ratelimit.Unlimited{})
+	env.announceLimit(t, sharer, "i-1", ratelimit.Unlimited{})
 	env.propagateReports()
 	gateways, _ = env.countLimits()
 	must.Eq(t, 0, gateways)
 }
 
-// TestRequestsOverLimitGoElsewhere has one engine of three, and then all, name that
-// they take one request a second, before one gateway.
+// TestRequestsOverLimitGoElsewhere has one of three engines announce a limit of one
+// request per second: the rest must go to the others. Then all three have limits: the
+// rest must be rejected at once.
 func TestRequestsOverLimitGoElsewhere(t *testing.T) {
 	env := newTestEnv(1, 3)
 	env.announceLimit(t, 0, "i-1", ratelimit.Limited{PerSecond: 1})
@@ -78,13 +81,13 @@
 		counts[ticket.Engine]++
 		ticket.Done(dispatch.Answered)
 	}
-	must.Between(t, 8, counts["i-1"], 11, must.Sprint("in ten seconds"))
+	must.Between(t, 8, counts["i-1"], 11, must.Sprint("requests in ten seconds"))
 
 	for _, e := range []string{"i-0", "i-2"} {
 		env.announceLimit(t, 0, e, ratelimit.Limited{PerSecond: 0.1})
 	}
 	env.advance(0)
-	refused := 0
+	rejected := 0
 	for i := range 100 {
 		env.advance(100 * time.Millisecond)
 		ticket, err := env.gateways[0].Acquire(unsharedRequest(fmt.Sprint("s", i)))
@@ -92,16 +95,17 @@
 			ticket.Done(dispatch.Answered)
 			continue
 		}
-		refused++
+		rejected++
 		rejection := requireNotRun(t, err)
 		must.Eq(t, request.ReasonNoEngine, rejection.Reason)
 		must.StrContains(t, rejection.Message, "3 limited")
 		must.Between(t, 400*time.Millisecond, rejection.RetryAfter, time.Second)
 	}
-	must.Between(t, 80, refused, 88, must.Sprint("of 100 in ten seconds; 1.5 a second are served"))
+	must.Between(t, 80, rejected, 88, must.Sprint("of 100 requests in ten seconds; about 1.5 per second are served"))
 }
 
-// TestRestartedEngineHasNoLimit starts an engine again under its ID.
+// TestRestartedEngineHasNoLimit restarts an engine under its ID. The limit of its earlier
+// incarnation must not apply any more.
 func TestRestartedEngineHasNoLimit(t *testing.T) {
 	env := newTestEnv(2, 1)
 	env.announceLimit(t, 0, "i-0", ratelimit.Limited{})
@@ -114,8 +118,8 @@
 	acquire(t, env.gateways[0], unsharedRequest("r"))
 }
 
-// TestStoppingGatewayReleasesItsShare has a gateway of three stop: two seconds later the others
-// have all of a limit, and meanwhile nobody has more than that.
+// TestStoppingGatewayReleasesItsShare stops one of three gateways. Two seconds later the
+// others must share the whole limit, and meanwhile the shares may not exceed it.
 func TestStoppingGatewayReleasesItsShare(t *testing.T) {
 	env := newTestEnv(3, 2)
 	env.announceLimit(t, 0, "i-1", ratelimit.Limited{PerSecond: 9})
--- a/dispatch/lives_test.go
+++ b/dispatch/lives_test.go
@@ -9,9 +9,9 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// TestRestartedEngineStartsWithoutState lets an engine keep a part, have a request and
-// fail; when it starts again under its id, nothing of that counts, and the end of the old
-// request takes nothing from the new life.
+// TestRestartedEngineStartsWithoutState restarts an engine under its ID while a request
+// runs. The cached blocks, requests and failures of the earlier incarnation must not
+// count, and the end of its request must not reduce the load of the new one.
 func TestRestartedEngineStartsWithoutState(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -14,7 +14,7 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// otherEngines are all engines of a service but one.
+// otherEngines returns the IDs of a service's engines except one.
 func (env *testEnv) otherEngines(service, engine string) []string {
 	var out []string
 	for _, e := range env.engines.All() {
@@ -25,19 +25,19 @@
 	return out
 }
 
-// announceBackoff has an engine refuse a gateway's request and ask for rest.
-func (env *testEnv) announceBackoff(t *testing.T, gateway int, engine string, length time.Duration) {
+// announceBackoff has an engine reject a gateway's request and ask for backoff.
+func (env *testEnv) announceBackoff(t *testing.T, gateway int, engine string, duration time.Duration) {
 	t.Helper()
 	req := unsharedRequest("refused")
 	req.Tried = env.otherEngines("review", engine)
 	ticket := acquire(t, env.gateways[gateway], req)
 	must.Eq(t, engine, ticket.Engine)
-	ticket.HeardPushback(pushback.Rest{For: length})
+	ticket.HeardPushback(pushback.Rest{For: duration})
 	ticket.Done(dispatch.Shed)
 }
 
-// TestEngineBackingOffIsNoFallback has the others of a service fail: the one that asked for rest
-// isn't taken instead, and callers are told to come back when the first is to be had.
+// TestEngineBackingOffIsNoFallback has an engine fail while the others back off. The
+// failing one must be chosen as the fallback rather than one that asked for backoff.
 func TestEngineBackingOffIsNoFallback(t *testing.T) {
 	env := newTestEnv(1, 3)
 	env.announceBackoff(t, 0, "i-0", 3*time.Second)
@@ -51,14 +51,15 @@
 		env.advance(100 * time.Millisecond)
 	}
 	ticket := acquire(t, env.gateways[0], unsharedRequest("last"))
-	must.Eq(t, "i-2", ticket.Engine, must.Sprint("it fails, and is all that is left"))
+	must.Eq(t, "i-2", ticket.Engine, must.Sprint("it fails, but no other engine can be used"))
 	req := unsharedRequest("again")
 	req.Tried = []string{"i-2"}
 	_, err := env.gateways[0].Acquire(req)
 	must.StrContains(t, requireNotRun(t, err).Message, "1 failing, 2 resting")
 }
 
-// TestRetryAfterWhenAllEnginesBackOff refuses at once, with the time until the first rest ends.
+// TestRetryAfterWhenAllEnginesBackOff checks that a request is rejected at once if all
+// engines back off, with the time until the first backoff ends.
 func TestRetryAfterWhenAllEnginesBackOff(t *testing.T) {
 	env := newTestEnv(2, 2)
 	env.announceBackoff(t, 0, "i-0", 3*time.Second)
@@ -69,24 +70,25 @@
 	must.Eq(t, request.ReasonNoEngine, rejection.Reason)
 	must.Eq(t, time.Second, rejection.RetryAfter)
 	must.Eq(t, time.Second, env.gateways[0].Opens("review"))
-	acquire(t, env.gateways[1], unsharedRequest("r")) // it was asked for nothing
-	must.Eq(t, 0, reportedEngines(t, env.gateways[0], "review"), must.Sprint("none of them is capacity that others may use"))
+	acquire(t, env.gateways[1], unsharedRequest("r")) // not asked for backoff
+	must.Eq(t, 0, reportedEngines(t, env.gateways[0], "review"), must.Sprint("engines that back off are no capacity for other regions"))
 	env.advance(time.Second)
 	must.Eq(t, "i-1", acquire(t, env.gateways[0], unsharedRequest("s")).Engine)
 }
 
-// TestOneTrialRequestAfterBackoff has ten requests wait for the end of the only engine's rest.
+// TestOneTrialRequestAfterBackoff has ten requests wait for the end of the only engine's
+// backoff. Only one may be sent until the engine has accepted it.
 func TestOneTrialRequestAfterBackoff(t *testing.T) {
 	env := newTestEnv(1, 1)
 	env.announceBackoff(t, 0, "i-0", time.Second)
 	env.advance(time.Second)
-	first := acquire(t, env.gateways[0], unsharedRequest("first"))
+	trial := acquire(t, env.gateways[0], unsharedRequest("first"))
 	for i := range 9 {
 		_, err := env.gateways[0].Acquire(unsharedRequest(fmt.Sprint(i)))
 		must.StrContains(t, requireNotRun(t, err).Message, "1 trying")
 	}
-	first.HeardPushback(pushback.Rest{For: time.Second})
-	first.Done(dispatch.Shed)
+	trial.HeardPushback(pushback.Rest{For: time.Second})
+	trial.Done(dispatch.Shed)
 	env.advance(999 * time.Millisecond)
 	_, err := env.gateways[0].Acquire(unsharedRequest("early"))
 	must.StrContains(t, requireNotRun(t, err).Message, "1 resting")
@@ -96,20 +98,22 @@
 	acquire(t, env.gateways[0], unsharedRequest("third"))
 }
 
-// TestAnswerToEarlierRequestDoesNotEndBackoff has an engine answer a request well that it got before
-// it asked for rest.
+// TestAnswerToEarlierRequestDoesNotEndBackoff has an engine answer a request that it got
+// before it asked for backoff. That answer doesn't show that the engine accepts new
+// requests.
 func TestAnswerToEarlierRequestDoesNotEndBackoff(t *testing.T) {
 	env := newTestEnv(1, 1)
-	before := acquire(t, env.gateways[0], unsharedRequest("before"))
+	earlier := acquire(t, env.gateways[0], unsharedRequest("before"))
 	env.announceBackoff(t, 0, "i-0", time.Second)
-	before.Taken()
-	before.Begun(true)
-	before.Done(dispatch.Answered)
+	earlier.Taken()
+	earlier.Begun(true)
+	earlier.Done(dispatch.Answered)
 	_, err := env.gateways[0].Acquire(unsharedRequest("r"))
 	must.StrContains(t, requireNotRun(t, err).Message, "1 resting")
 }
 
-// TestRestartedEngineHasNoPushback starts an engine again under its ID.
+// TestRestartedEngineHasNoPushback restarts engines under their IDs. The backoff and
+// draining of their earlier incarnations must not apply any more.
 func TestRestartedEngineHasNoPushback(t *testing.T) {
 	env := newTestEnv(1, 2)
 	env.announceBackoff(t, 0, "i-0", time.Hour)
@@ -124,20 +128,22 @@
 	must.Eq(t, "i-0", acquire(t, env.gateways[0], dispatch.Ask{ID: "s", Route: req.Route, Service: req.Service, Tried: []string{"i-1"}}).Engine)
 }
 
-// reportedEngines gives how many engines of a service a gateway tells other regions of.
+// reportedEngines returns the number of a service's engines in a gateway's report to
+// other regions.
 func reportedEngines(t *testing.T, g *dispatch.Dispatcher, service string) int {
 	t.Helper()
 	var digests []dispatch.Digest
 	must.NoError(t, cbor.Unmarshal(g.RegionReport().Far[0].Body, &digests))
-	for _, one := range digests {
-		if one.Service == service {
-			return one.Engines
+	for _, digest := range digests {
+		if digest.Service == service {
+			return digest.Engines
 		}
 	}
 	return 0
 }
 
-// announceDraining has an engine answer a gateway's request well and say that it leaves.
+// announceDraining has an engine answer a gateway's request and announce in the answer
+// that it is draining.
 func (env *testEnv) announceDraining(t *testing.T, gateway int, engine string) {
 	t.Helper()
 	req := unsharedRequest("answered")
@@ -149,8 +155,9 @@
 	ticket.Done(dispatch.Answered)
 }
 
-// TestDrainingEngineGetsNoRequestsFromAnyGateway has one of 40 gateways read that an engine leaves,
-// while its heartbeats go on saying that it is ready: 0.4 s later all know, and for good.
+// TestDrainingEngineGetsNoRequestsFromAnyGateway has an engine announce draining in an
+// answer to one of 40 gateways, while its heartbeats still report it ready. Within 0.4 s
+// all gateways must exclude it, permanently.
 func TestDrainingEngineGetsNoRequestsFromAnyGateway(t *testing.T) {
 	env := newTestEnv(40, 2)
 	env.announceDraining(t, 3, "i-0")
@@ -165,55 +172,56 @@
 	}
 }
 
-// TestEngineIsCheckedAgainAfterConnectionWait has an engine ask for rest, leave, and say that it
-// drains, while another request waits for a connection to it.
+// TestEngineIsCheckedAgainAfterConnectionWait excludes an engine while a request waits
+// for a connection to it: the request must not be sent there any more.
 func TestEngineIsCheckedAgainAfterConnectionWait(t *testing.T) {
 	cases := map[string]func(t *testing.T, env *testEnv){
 		"resting":  func(t *testing.T, env *testEnv) { env.announceBackoff(t, 0, "i-0", time.Second) },
 		"leaving":  func(t *testing.T, env *testEnv) { env.announceDraining(t, 0, "i-0") },
 		"draining": func(_ *testing.T, env *testEnv) { env.heartbeat(registry.Engine{ID: "i-0", Phase: registry.Draining}) },
 	}
-	for why, happens := range cases {
-		t.Run(why, func(t *testing.T) {
+	for exclusion, exclude := range cases {
+		t.Run(exclusion, func(t *testing.T) {
 			env := newTestEnv(1, 1)
-			waits := acquire(t, env.gateways[0], unsharedRequest("waits"))
-			must.NoError(t, waits.Wanted())
-			happens(t, env)
-			must.Eq(t, error(&dispatch.Unwanted{Engine: "i-0", Why: why}), waits.Wanted())
-			waits.Done(dispatch.Unsent)
+			ticket := acquire(t, env.gateways[0], unsharedRequest("waits"))
+			must.NoError(t, ticket.Wanted())
+			exclude(t, env)
+			must.Eq(t, error(&dispatch.Unwanted{Engine: "i-0", Why: exclusion}), ticket.Wanted())
+			ticket.Done(dispatch.Unsent)
 		})
 	}
 }
 
-// TestEngineStatusesShowExclusions has one engine rest, one leave and one serve.
+// TestEngineStatusesShowExclusions checks the status of three engines: one backing off,
+// one draining and one serving.
 func TestEngineStatusesShowExclusions(t *testing.T) {
 	env := newTestEnv(1, 3)
 	env.announceBackoff(t, 0, "i-0", 3*time.Second)
 	env.announceDraining(t, 0, "i-1")
 	env.advance(time.Second)
 	acquire(t, env.gateways[0], unsharedRequest("kept away from both"))
-	shown := make(map[string]dispatch.EngineStatus)
+	statuses := make(map[string]dispatch.EngineStatus)
 	for _, s := range env.gateways[0].EngineStatuses() {
-		shown[s.Engine] = s
+		statuses[s.Engine] = s
 	}
 	must.Eq(t, dispatch.EngineStatus{
 		Engine: "i-0", Service: "review", Why: "resting", For: time.Second, Ends: 2 * time.Second, Counts: pushback.Counts{Asked: 1, KeptAway: 1},
-	}, shown["i-0"])
-	must.Eq(t, "leaving", shown["i-1"].Why)
-	must.Eq(t, pushback.Counts{KeptAway: 1}, shown["i-1"].Counts)
-	must.Eq(t, "", shown["i-2"].Why)
-	must.Eq(t, 1, shown["i-2"].Requests)
-	must.MapLen(t, 4, shown)
+	}, statuses["i-0"])
+	must.Eq(t, "leaving", statuses["i-1"].Why)
+	must.Eq(t, pushback.Counts{KeptAway: 1}, statuses["i-1"].Counts)
+	must.Eq(t, "", statuses["i-2"].Why)
+	must.Eq(t, 1, statuses["i-2"].Requests)
+	must.MapLen(t, 4, statuses)
 }
 
-// countRejections has each of a region's gateways send requests, in turn and for so long, to engines of
-// which one refuses those gateways for which refuses is true and asks each for three seconds of rest.
-// It gives how often it refused, and how often it served.
-func (env *testEnv) countRejections(t *testing.T, length time.Duration, refuses func(gateway int) bool) (refused, served int) {
+// countRejections has each gateway in turn send requests for the given duration. Engine
+// i-0 rejects the requests of the gateways for which rejects is true, and asks each for
+// three seconds of backoff. It returns how many requests i-0 rejected and served.
+func (env *testEnv) countRejections(t *testing.T, duration time.Duration, rejects func(gateway int) bool) (rejected, served int) {
 	t.Helper()
 	env.propagateReports()
 	began := env.now
-	for i := 0; env.now.Sub(began) < length; i++ {
+	for i := 0; env.now.Sub(began) < duration; i++ {
 		env.now = env.now.Add(5 * time.Millisecond)
 		if i%20 == 0 {
 			env.tick()
@@ -226,8 +234,8 @@
 			ticket.Taken()
 			ticket.Begun(true)
 			ticket.Done(dispatch.Answered)
-		case refuses(gateway):
-			refused++
+		case rejects(gateway):
+			rejected++
 			ticket.HeardPushback(pushback.Rest{For: 3 * time.Second})
 			ticket.Done(dispatch.Shed)
 		default:
@@ -237,22 +245,22 @@
 			ticket.Done(dispatch.Answered)
 		}
 	}
-	return refused, served
+	return rejected, served
 }
 
-// TestBackoffReportsReduceRejections has an engine refuse all of 40 gateways: each would be refused
-// once a rest if none heard of it from the others. One that refuses a single gateway goes on
-// serving the rest as before.
+// TestBackoffReportsReduceRejections has an engine reject the requests of all 40
+// gateways. Without the others' reports, each gateway would be rejected once per backoff.
+// An engine that rejects only one gateway must keep serving the others.
 func TestBackoffReportsReduceRejections(t *testing.T) {
-	refused, _ := newTestEnv(40, 5).countRejections(t, 3*time.Second, func(int) bool { return true })
-	must.LessEq(t, 20, refused, must.Sprint("half of what each would be refused"))
-	refused, served := newTestEnv(40, 5).countRejections(t, 9*time.Second, func(gateway int) bool { return gateway == 3 })
-	must.LessEq(t, 4, refused)
-	must.GreaterEq(t, 300, served, must.Sprint("of 1,800 requests before five engines"))
+	rejected, _ := newTestEnv(40, 5).countRejections(t, 3*time.Second, func(int) bool { return true })
+	must.LessEq(t, 20, rejected, must.Sprint("half of one rejection per gateway"))
+	rejected, served := newTestEnv(40, 5).countRejections(t, 9*time.Second, func(gateway int) bool { return gateway == 3 })
+	must.LessEq(t, 4, rejected)
+	must.GreaterEq(t, 300, served, must.Sprint("of 1,800 requests to five engines"))
 }
 
-// TestEngineWithPeerBackoffIsFallback has the only engine refuse two of twelve
-// gateways.
+// TestEngineWithPeerBackoffIsFallback has the only engine ask two of twelve gateways for
+// backoff. The others exclude it, but must still use it because there is no other.
 func TestEngineWithPeerBackoffIsFallback(t *testing.T) {
 	env := newTestEnv(12, 1)
 	env.advance(time.Minute)
@@ -265,20 +273,20 @@
 	must.StrContains(t, requireNotRun(t, err).Message, "1 resting")
 }
 
-// TestColdFallbackStaysWithinColdRate has the only engine, which is cold and bears two
-// requests a second, refuse what it gets. It got every request that came while it counted as
-// failing, as the last resort: that reason was found before the cold.
+// TestColdFallbackStaysWithinColdRate has the only engine, which is cold and accepts two
+// requests per second, reject what it gets. If the exclusion after a failure is checked
+// before the one of cold engines, the engine becomes the fallback and gets every request.
 func TestColdFallbackStaysWithinColdRate(t *testing.T) {
 	env := newTestEnv(1, 1)
 	env.heartbeat(registry.Engine{ID: "i-0", ColdUntil: env.now.Add(time.Minute)})
-	got := 0
+	admitted := 0
 	for i := range 20 {
 		env.advance(50 * time.Millisecond)
 		if ticket, err := env.gateways[0].Acquire(unsharedRequest(fmt.Sprint(i))); err == nil {
-			got++
+			admitted++
 			ticket.Done(dispatch.Shed)
 		}
 	}
-	must.LessEq(t, 3, got, must.Sprint("in a second"))
-	must.Positive(t, got)
+	must.LessEq(t, 3, admitted, must.Sprint("in one second"))
+	must.Positive(t, admitted)
 }
--- a/dispatch/regions_test.go
+++ b/dispatch/regions_test.go
@@ -13,12 +13,14 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// loadReport gives a word of another region whose engines have so many unread tokens.
+// loadReport returns a report of another region with the given number of engines, and of
+// unread prompt tokens at each.
 func loadReport(region string, engines, unread int) rollup.Message {
 	load := dispatch.DigestLoad{Requests: unread / 9000, Unread: unread, Reserved: unread}
 	return digestReport(region, dispatch.Digest{Service: "review", Engines: engines, Slots: 16, CacheTokens: 100_000, MeanLoad: load, LeastLoad: load})
 }
 
+// digestReport returns a report of another region with one digest.
 func digestReport(region string, digest dispatch.Digest) rollup.Message {
 	body, err := cbor.Marshal([]dispatch.Digest{digest})
 	if err != nil {
@@ -27,6 +29,7 @@
 	return rollup.Message{From: "far", Far: []rollup.FarWord{{Region: region, Body: body}}}
 }
 
+// unsharedRequest returns a request with a long prompt without shared blocks.
 func unsharedRequest(id string) dispatch.Ask {
 	return dispatch.Ask{ID: id, Service: "review", Prompt: dispatch.Prompt{TokensIn: 9000, TokensOut: 50}}
 }
@@ -40,69 +43,74 @@
 		acquire(t, g, unsharedRequest(fmt.Sprint(i)))
 	}
 	must.Eq(t, "kano", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region)
-	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, nil).Region, must.Sprint("no gateway there"))
+	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, nil).Region, must.Sprint("kano has no gateway"))
 	g.Hear(loadReport("kano", 4, 200_000))
-	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("busy there too"))
+	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("kano is loaded too"))
 	g.Hear(loadReport("kano", 0, 0))
-	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("no engines there"))
+	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("kano has no engines"))
 	g.Hear(loadReport("kano", 4, 0))
 	env.advance(2 * time.Second)
-	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("the word is old"))
+	must.Eq(t, "lagos", g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region, must.Sprint("kano's report is too old"))
 }
 
+// TestRemoteRequestsCountUntilReported has a gateway hand over requests to another
+// region. They must count as load there until a report that includes them arrives:
+// otherwise the gateway sends everything there in the meantime.
 func TestRemoteRequestsCountUntilReported(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
 	for i := range 6 {
 		acquire(t, g, unsharedRequest(fmt.Sprint(i)))
 	}
-	goesAway := func() bool { return g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region == "kano" }
+	choosesRemote := func() bool { return g.ChooseRegion(unsharedRequest("r"), true, []string{"kano"}).Region == "kano" }
 	g.Hear(loadReport("kano", 1, 0))
 	var sent []*dispatch.Away
-	for goesAway() {
+	for choosesRemote() {
 		sent = append(sent, g.Sent("kano", unsharedRequest("r")))
-		must.Less(t, 20, len(sent), must.Sprint("everything goes away"))
+		must.Less(t, 20, len(sent), must.Sprint("every request goes to kano"))
 	}
 	must.Positive(t, len(sent))
 	env.advance(100 * time.Millisecond)
 	g.Hear(loadReport("kano", 1, 0))
-	must.False(t, goesAway(), must.Sprint("a word of before it arrived there"))
+	must.False(t, choosesRemote(), must.Sprint("the report is from before the requests arrived there"))
 	env.advance(100 * time.Millisecond)
 	g.Hear(loadReport("kano", 1, 0))
-	must.True(t, goesAway())
+	must.True(t, choosesRemote())
 
-	// What was answered, or never left, counts no longer.
-	for goesAway() {
+	// Requests that were answered, or failed, no longer count.
+	for choosesRemote() {
 		sent = append(sent, g.Sent("kano", unsharedRequest("r")))
 	}
 	for _, a := range sent {
 		a.End()
 		a.End()
 	}
-	must.True(t, goesAway())
+	must.True(t, choosesRemote())
 }
 
-// TestBlocksSentToRemoteRegionAreCachedThere sends prompts to a region that isn't their
-// home: the next with the same parts is expected to be cheaper there.
+// TestBlocksSentToRemoteRegionAreCachedThere sends a prompt to a region that isn't its
+// home. The next prompt with the same shared blocks must have a lower expected cost
+// there.
 func TestBlocksSentToRemoteRegionAreCachedThere(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
-	hear := func() {
+	receiveReports := func() {
 		g.Hear(loadReport("kano", 4, 0))
 		g.Hear(loadReport("abuja", 4, 0))
 	}
-	hear()
+	receiveReports()
 	req := longRequest("r0", "p")
-	place := g.ChooseRegion(req, false, []string{"kano", "abuja"})
-	other := map[string]string{"kano": "abuja", "abuja": "kano"}[place.Region]
-	first := g.ChooseRegion(req, false, []string{other})
-	g.Sent(other, req).End()
-	hear()
-	must.Less(t, first.There, g.ChooseRegion(longRequest("r1", "p"), false, []string{other}).There)
+	placement := g.ChooseRegion(req, false, []string{"kano", "abuja"})
+	otherRegion := map[string]string{"kano": "abuja", "abuja": "kano"}[placement.Region]
+	first := g.ChooseRegion(req, false, []string{otherRegion})
+	g.Sent(otherRegion, req).End()
+	receiveReports()
+	must.Less(t, first.There, g.ChooseRegion(longRequest("r1", "p"), false, []string{otherRegion}).There)
 }
 
-// TestSharedBlocksHaveOneHomeRegion asks two regions' gateways for many parts: they
-// agree on the home of each, and only of permitted regions.
+// TestSharedBlocksHaveOneHomeRegion checks that requests go to the home region of their
+// shared blocks, that the homes are spread over the regions, and that only permitted
+// regions are homes.
 func TestSharedBlocksHaveOneHomeRegion(t *testing.T) {
 	env := newTestEnv(1, 4)
 	g := env.gateways[0]
@@ -110,9 +118,9 @@
 	homes := map[string]int{}
 	for i := range 200 {
 		req := longRequest(fmt.Sprint(i), fmt.Sprint("part", i))
-		place := g.ChooseRegion(req, true, []string{"kano"})
-		must.True(t, place.Home)
-		homes[place.Region]++
+		placement := g.ChooseRegion(req, true, []string{"kano"})
+		must.True(t, placement.Home)
+		homes[placement.Region]++
 		req.Permitted = func(region string) bool { return region == "lagos" }
 		must.True(t, g.ChooseRegion(req, true, nil).Home)
 	}
@@ -122,20 +130,20 @@
 func TestTwoGatewaysReportForRegion(t *testing.T) {
 	env := newTestEnv(5, 3)
 	env.hosts = append(env.hosts, roster.Host{Name: "far", Role: roster.RoleGateway, Region: "kano", Peer: "10.9.0.1:1"})
-	speak := 0
+	reporters := 0
 	for _, g := range env.gateways {
 		out := g.Tell()
-		must.SliceLen(t, 4, out[0].To, must.Sprint("the others of this region"))
+		must.SliceLen(t, 4, out[0].To, must.Sprint("the other gateways of this region"))
 		if len(out) == 1 {
 			continue
 		}
-		speak++
+		reporters++
 		must.Eq(t, []string{"10.9.0.1:1"}, out[1].To)
-		word := out[1].Message.Far[0]
-		must.Eq(t, "lagos", word.Region)
+		report := out[1].Message.Far[0]
+		must.Eq(t, "lagos", report.Region)
 		var digests []dispatch.Digest
-		must.NoError(t, cbor.Unmarshal(word.Body, &digests))
+		must.NoError(t, cbor.Unmarshal(report.Body, &digests))
 		must.Eq(t, 3, digests[0].Engines)
 	}
-	must.Eq(t, 2, speak)
+	must.Eq(t, 2, reporters)
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -20,7 +20,8 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// testEnv is one region with some gateways before the same engines.
+// testEnv is one region: some gateways that share the same engines, and a clock that the
+// test advances.
 type testEnv struct {
 	now      time.Time
 	engines  *registry.Table
@@ -30,14 +31,14 @@
 	index    uint64
 }
 
-// services of every world: one with a model, one without.
+// services are the services of every testEnv: one with a model and one without.
 var services = []catalog.Service{
 	{Name: "review", ColdRate: 2, Model: &catalog.ModelSpec{Slots: 16, CacheTokens: 100_000}},
 	{Name: "portal"},
 }
 
-// newTestEnv makes so many gateways and review engines, in data centres a and b
-// of one region by turns, and one portal engine.
+// newTestEnv returns a region with the given numbers of gateways and review engines, and
+// one portal engine. The engines alternate between the data centres a and b.
 func newTestEnv(gateways, engines int) *testEnv {
 	env := &testEnv{now: time.Unix(1000, 0)}
 	env.engines = registry.New("life", time.Second, env.clock)
@@ -60,9 +61,10 @@
 
 func (env *testEnv) clock() time.Time { return env.now }
 
-// fixedRoundTrip is a round trip of 160 ms to any region.
+// fixedRoundTrip returns a measured round trip of 160 ms for every region.
 func fixedRoundTrip(string) (time.Duration, bool) { return 160 * time.Millisecond, true }
 
+// advance moves the clock and applies the changes in the registry.
 func (env *testEnv) advance(d time.Duration) {
 	env.now = env.now.Add(d)
 	env.tick()
@@ -74,7 +76,8 @@
 	}
 }
 
-// heartbeat registers an engine; what isn't given has defaults.
+// heartbeat applies a heartbeat of an engine. Fields that are not set keep their
+// registered values or get defaults.
 func (env *testEnv) heartbeat(e registry.Engine) {
 	known, _ := env.engines.Get(e.ID)
 	e.Sequence = known.Sequence + 1
@@ -89,7 +92,8 @@
 	env.tick()
 }
 
-// applyState gives the gateways the services, with these data centres evacuated.
+// applyState applies a ledger state with the test services and the given data centres
+// evacuated.
 func (env *testEnv) applyState(evacuated ...string) {
 	env.index++
 	env.state = ledger.State{Index: env.index, Catalog: catalog.Catalog{Version: 1, Services: services}, Evacuated: evacuated}
@@ -98,7 +102,7 @@
 	}
 }
 
-// exchangeReports brings every gateway's messages to those whom they are for.
+// exchangeReports delivers the pending messages of every gateway to their recipients.
 func (env *testEnv) exchangeReports() {
 	for _, from := range env.gateways {
 		for _, out := range from.Tell() {
@@ -115,7 +119,7 @@
 	}
 }
 
-// propagateReports lets time pass until what one gateway does is known to all.
+// propagateReports exchanges reports until all gateways have the state of each.
 func (env *testEnv) propagateReports() {
 	for range 4 {
 		env.exchangeReports()
@@ -123,11 +127,11 @@
 	}
 }
 
-// longRequest is the ask of a long review with that shared part.
-func longRequest(id, part string) dispatch.Ask {
+// longRequest returns a request with a long prompt, of which the given block is shared.
+func longRequest(id, block string) dispatch.Ask {
 	return dispatch.Ask{ID: id, Service: "review", Prompt: dispatch.Prompt{
 		TokensIn: 9000, TokensOut: 50,
-		Parts: []dispatch.Part{{ID: "system", Tokens: 2500}, {ID: part, Tokens: 3500}, {ID: "own-" + id, Tokens: 3000}},
+		Parts: []dispatch.Part{{ID: "system", Tokens: 2500}, {ID: block, Tokens: 3500}, {ID: "own-" + id, Tokens: 3000}},
 	}}
 }
 
