--- a/internal/dispatchbench/dispatchbench_test.go
+++ b/internal/dispatchbench/dispatchbench_test.go
@@ -10,21 +10,21 @@
 	"github.com/linenscale/linenscale/internal/dispatchbench"
 )
 
-// TestARunRepeats plays one seed twice: the same arrivals and the same choices must
+// TestRunsAreReproducible plays one seed twice: the same arrivals and the same choices must
 // give the same figures, or no two of them can be compared.
-func TestARunRepeats(t *testing.T) {
+func TestRunsAreReproducible(t *testing.T) {
 	must.Eq(t, dispatchbench.Run(dispatchbench.Overload(3)), dispatchbench.Run(dispatchbench.Overload(3)))
 }
 
-// TestAnswersOfALongOverloadAreInTime offers several times what the engines can
+// TestAdmittedRequestsAreInTimeUnderOverload offers several times what the engines can
 // serve. What is admitted must be answered in time as a rule, and not stand in a
 // queue that is as long as the target. One seed says little: of 24, the luck of which
 // engines are looked at gives 0.51 to 0.66, so that the mean is checked.
-func TestAnswersOfALongOverloadAreInTime(t *testing.T) {
+func TestAdmittedRequestsAreInTimeUnderOverload(t *testing.T) {
 	const seeds = 24
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		sum += dispatchbench.Run(dispatchbench.Overload(seed)).Worth
+		sum += dispatchbench.Run(dispatchbench.Overload(seed)).EarnedShare
 	}
 	must.Greater(t, 0.585, sum/seeds)
 }
@@ -34,14 +34,14 @@
 // is little, and must be known to the others: told by each to all, once in 1.3 s, it gave
 // 0.81 of the worth over the whole day instead of 0.90.
 func TestManyGatewaysServeAsWellAsFew(t *testing.T) {
-	play := func(gateways int) dispatchbench.Result {
-		o := dispatchbench.Wide(1, 1.1, gateways)
-		o.Length = 6 * time.Second
+	simulate := func(gateways int) dispatchbench.Result {
+		o := dispatchbench.LargeSite(1, 1.1, gateways)
+		o.Duration = 6 * time.Second
 		return dispatchbench.Run(o)
 	}
-	few, many := play(30), play(294)
-	t.Logf("30 gateways: %.3f, 294: %.3f", few.Worth, many.Worth)
-	must.Greater(t, few.Worth-0.04, many.Worth)
+	few, many := simulate(30), simulate(294)
+	t.Logf("30 gateways: %.3f, 294: %.3f", few.EarnedShare, many.EarnedShare)
+	must.Greater(t, few.EarnedShare-0.04, many.EarnedShare)
 }
 
 // TestGoodputHoldsUnderAnyLoad offers 2 to 10 times the usual load to engines that are
@@ -51,10 +51,10 @@
 	for _, speed := range []float64{1, 2.5} {
 		t.Run(fmt.Sprint(speed), func(t *testing.T) {
 			best := 0.0
-			for _, times := range []float64{2, 3, 5, 10} {
-				r := dispatchbench.Run(dispatchbench.Burst(1, times, speed))
-				t.Logf("%g times the load: earned %.0f, %d refused, %d failed, %d late of %d", times, r.Earned, r.Refused, r.Failed, r.Late, r.Requests)
-				must.Greater(t, 0.9*best, r.Earned, must.Sprintf("%g times the load", times))
+			for _, factor := range []float64{2, 3, 5, 10} {
+				r := dispatchbench.Run(dispatchbench.Burst(1, factor, speed))
+				t.Logf("%g times the load: earned %.0f, %d refused, %d failed, %d late of %d", factor, r.Earned, r.Rejected, r.Failed, r.Late, r.Requests)
+				must.Greater(t, 0.9*best, r.Earned, must.Sprintf("%g times the load", factor))
 				must.Less(t, r.Requests/12, r.Failed)
 				best = max(best, r.Earned)
 			}
@@ -62,22 +62,22 @@
 	}
 }
 
-// TestEnginesThatNameLimitsGetWhatTheyTake has a sixth of a region's engines, and then all of
+// TestRateLimitsAreObservedAndUsed has a sixth of a region's engines, and then all of
 // them, name a limit before few and many gateways. Each may get one and a half times that and
 // five requests within four seconds, and what it takes and doesn't get is lost to callers.
-func TestEnginesThatNameLimitsGetWhatTheyTake(t *testing.T) {
+func TestRateLimitsAreObservedAndUsed(t *testing.T) {
 	for _, gateways := range []int{6, 60} {
 		for _, perSecond := range []float64{1, 4} {
 			for _, share := range []float64{0.15, 1} {
 				t.Run(fmt.Sprintf("%d gateways, %g a second, share %g", gateways, perSecond, share), func(t *testing.T) {
 					r := dispatchbench.Run(dispatchbench.Limited(1, gateways, share, perSecond))
-					used := 0.0
-					for _, e := range r.Limited {
-						must.LessEq(t, 0, e.Over)
-						used += e.Used / float64(len(r.Limited))
+					usedShare := 0.0
+					for _, e := range r.LimitedEngines {
+						must.LessEq(t, 0, e.Excess)
+						usedShare += e.UsedShare / float64(len(r.LimitedEngines))
 					}
-					t.Logf("used %.2f of the limits; worth %.3f, %d refused, %d failed, %d late of %d", used, r.Worth, r.Refused, r.Failed, r.Late, r.Requests)
-					must.GreaterEq(t, 0.8, used)
+					t.Logf("used %.2f of the limits; worth %.3f, %d refused, %d failed, %d late of %d", usedShare, r.EarnedShare, r.Rejected, r.Failed, r.Late, r.Requests)
+					must.GreaterEq(t, 0.8, usedShare)
 				})
 			}
 		}
--- a/internal/dispatchbench/exchange.go
+++ b/internal/dispatchbench/exchange.go
@@ -12,165 +12,167 @@
 
 // exchange is one request on its way through one gateway, or two.
 type exchange struct {
-	a        *arrival
-	deadline time.Duration
-	tried    []string // engines
-	sends    int
-	engine   *engine
-	run      *run
-	last     time.Duration  // of the newest event
-	away     *dispatch.Away // where it was handed over
+	arrival   *arrival
+	deadline  time.Duration
+	tried     []string // engines
+	sends     int
+	engine    *engine
+	run       *run
+	lastEvent time.Duration  // of the newest event
+	remote    *dispatch.Away // where it was handed over
 }
 
-// arrived ends its counting as on its way to another region.
-func (x *exchange) arrived() {
-	if x.away != nil {
-		x.away.End()
+// endRemote ends its counting as on its way to another region.
+func (x *exchange) endRemote() {
+	if x.remote != nil {
+		x.remote.End()
 	}
 }
 
-// mostSends bounds the engines that a request which may be resumed is sent to.
-const mostSends = 2
+// maxSends bounds the engines that a request which may be resumed is sent to.
+const maxSends = 2
 
-// arrive is a caller's request reaching a gateway of its region.
-func (w *World) arrive(a *arrival) {
-	x := &exchange{a: a, deadline: a.at + a.kind.Deadline}
-	w.place(x, w.pick(a.region))
-	w.time.After(x.deadline-w.since(), func() {
+// handleArrival is a caller's request reaching a gateway of its region.
+func (s *Simulation) handleArrival(a *arrival) {
+	x := &exchange{arrival: a, deadline: a.at + a.kind.Deadline}
+	s.chooseRegion(x, s.randomGateway(a.region))
+	s.clock.After(x.deadline-s.elapsed(), func() {
 		if x.run != nil && !a.answered {
 			x.engine.cancel(x.run)
 		}
 	})
 }
 
-// place chooses the region, as the filter of package ingress does.
-func (w *World) place(x *exchange, g *gateway) {
+// chooseRegion chooses the region, as the filter of package ingress does.
+func (s *Simulation) chooseRegion(x *exchange, g *gateway) {
 	var reachable []string
-	for _, r := range w.Regions {
-		if r.Name != g.host.Region && w.permitted(x.a, r.Name) {
+	for _, r := range s.Regions {
+		if r.Name != g.host.Region && s.permitted(x.arrival, r.Name) {
 			reachable = append(reachable, r.Name)
 		}
 	}
-	region, err := w.Way.region(w, g, x, w.permitted(x.a, g.host.Region), reachable)
+	region, err := s.Strategy.chooseRegion(s, g, x, s.permitted(x.arrival, g.host.Region), reachable)
 	if err != nil {
-		w.refused(x, err)
+		s.rejected(x, err)
 		return
 	}
 	if region == g.host.Region {
-		w.attempt(x, g)
+		s.sendToEngine(x, g)
 		return
 	}
-	w.time.After(farDelay, func() { w.attempt(x, w.pick(region)) })
+	s.clock.After(remoteDelay, func() { s.sendToEngine(x, s.randomGateway(region)) })
 }
 
-func (w *World) permitted(a *arrival, region string) bool {
+func (s *Simulation) permitted(a *arrival, region string) bool {
 	return len(a.kind.Homes) == 0 || slices.Contains(a.kind.Homes, region)
 }
 
-func (w *World) ask(x *exchange) dispatch.Ask {
-	a := x.a
+func (s *Simulation) dispatchRequest(x *exchange) dispatch.Ask {
+	a := x.arrival
 	p := dispatch.Prompt{Model: "m", TokensIn: a.tokensIn, TokensOut: a.tokensOut}
-	for _, part := range a.parts {
-		p.Parts = append(p.Parts, dispatch.Part{ID: part.id, Tokens: part.tokens})
+	for _, b := range a.blocks {
+		p.Parts = append(p.Parts, dispatch.Part{ID: b.id, Tokens: b.tokens})
 	}
 	return dispatch.Ask{
-		ID: a.id, Service: service, Prompt: p, Deadline: w.start.Add(x.deadline), Tried: x.tried,
-		Target: a.kind.Target, Permitted: func(region string) bool { return w.permitted(a, region) },
+		ID: a.id, Service: serviceName, Prompt: p, Deadline: s.start.Add(x.deadline), Tried: x.tried,
+		Target: a.kind.Target, Permitted: func(region string) bool { return s.permitted(a, region) },
 	}
 }
 
-// attempt sends the request to an engine of the gateway's region.
-func (w *World) attempt(x *exchange, g *gateway) {
-	id, done, err := w.Way.engine(w, g, x)
+// sendToEngine sends the request to an engine of the gateway's region.
+func (s *Simulation) sendToEngine(x *exchange, g *gateway) {
+	id, done, err := s.Strategy.chooseEngine(s, g, x)
 	if err != nil {
-		w.refused(x, err)
+		s.rejected(x, err)
 		return
 	}
 	x.tried = append(x.tried, id)
-	w.sends++
-	e, up := w.engines[id]
+	s.sends++
+	e, up := s.engines[id]
 	if !up {
-		w.time.After(goneDelay, func() {
-			done.end(dispatch.Unreached)
-			w.attempt(x, g)
+		s.clock.After(connectFailureDelay, func() {
+			done.done(dispatch.Unreached)
+			s.sendToEngine(x, g)
 		})
 		return
 	}
-	w.time.After(nearDelay, func() { w.offer(x, g, e, done) })
+	s.clock.After(localDelay, func() { s.submit(x, g, e, done) })
 }
 
-func (w *World) offer(x *exchange, g *gateway, e *engine, done ticket) {
-	a := x.a
-	back := nearDelay + callerDelay
+func (s *Simulation) submit(x *exchange, g *gateway, e *engine, done ticketCallbacks) {
+	a := x.arrival
+	returnDelay := localDelay + callerDelay
 	if e.region != a.region {
-		back += farDelay
+		returnDelay += remoteDelay
 	}
-	w.countAgain(a, e)
-	e.limit.arrived(w.since())
-	began := false
-	one, ok := e.offer(a, func() {
-		at := w.since() + back
-		if !began {
-			began = true
-			done.heard(e.limit.word())
-			done.begun()
-			w.time.After(back, x.arrived)
+	s.countRereads(a, e)
+	e.limit.recordArrival(s.elapsed())
+	answerBegan := false
+	r, ok := e.submit(a, func() {
+		at := s.elapsed() + returnDelay
+		if !answerBegan {
+			answerBegan = true
+			done.limitReceived(e.limit.signal())
+			done.firstEvent()
+			s.clock.After(returnDelay, x.endRemote)
 		}
-		if a.first == 0 {
-			a.first = at
+		if a.firstEvent == 0 {
+			a.firstEvent = at
 		}
-		a.paused = a.paused || (x.last > 0 && at-x.last > a.kind.MaxPause)
-		x.last = at
+		a.pausedTooLong = a.pausedTooLong || (x.lastEvent > 0 && at-x.lastEvent > a.kind.MaxPause)
+		x.lastEvent = at
 	}, func(ok bool) {
 		x.run = nil
 		if ok {
-			done.end(dispatch.Answered)
-			a.answered, a.end, a.served = true, w.since()+back, e.region
+			done.done(dispatch.Answered)
+			a.answered, a.end, a.servedIn = true, s.elapsed()+returnDelay, e.region
 			return
 		}
-		done.end(dispatch.Failed)
+		done.done(dispatch.Failed)
 		x.sends++
-		if a.kind.Resumes && x.sends < mostSends && w.since() < x.deadline {
-			w.attempt(x, g)
+		if a.kind.Resumable && x.sends < maxSends && s.elapsed() < x.deadline {
+			s.sendToEngine(x, g)
 		}
 	})
 	if !ok {
-		done.end(dispatch.Shed)
-		w.refused(x, &request.NotRun{Reason: request.ReasonOverload, RetryAfter: 150 * time.Millisecond})
+		done.done(dispatch.Shed)
+		s.rejected(x, &request.NotRun{Reason: request.ReasonOverload, RetryAfter: 150 * time.Millisecond})
 		return
 	}
-	x.engine, x.run = e, one
-	w.time.After(x.deadline-w.since(), func() {
-		if x.run == one {
-			done.end(dispatch.Abandoned)
+	x.engine, x.run = e, r
+	s.clock.After(x.deadline-s.elapsed(), func() {
+		if x.run == r {
+			done.done(dispatch.Abandoned)
 		}
 	})
 }
 
-// countAgain counts the shared tokens that this engine must read although another
+// countRereads counts the shared tokens that this engine must read although another
 // has read them lately.
-func (w *World) countAgain(a *arrival, e *engine) {
-	kept := e.parts.use(a.parts[:len(a.parts)-1])
+func (s *Simulation) countRereads(a *arrival, e *engine) {
+	cached := e.cache.lookup(a.blocks[:len(a.blocks)-1])
 	total := 0
-	for _, p := range a.parts[:len(a.parts)-1] {
-		total += p.tokens
-		last, read := w.lastRead[p.id]
-		if total > kept && read && w.time.Now().Sub(last) < againTime {
-			a.again += p.tokens
+	for _, b := range a.blocks[:len(a.blocks)-1] {
+		total += b.tokens
+		lastRead, read := s.lastRead[b.id]
+		if total > cached && read && s.clock.Now().Sub(lastRead) < rereadWindow {
+			a.rereadTokens += b.tokens
 		}
-		w.lastRead[p.id] = w.time.Now()
+		s.lastRead[b.id] = s.clock.Now()
 	}
 }
 
-// refused is a refusal reaching the caller, who may come back once.
-func (w *World) refused(x *exchange, err error) {
-	x.arrived()
-	x.a.refusals++
-	var refusal *request.NotRun
-	left := x.deadline - w.since()
-	if !errors.As(err, &refusal) || x.a.refusals > callerRetries || x.sends > 0 || left <= 0 {
+// rejected is a refusal reaching the caller, who may come back once.
+func (s *Simulation) rejected(x *exchange, err error) {
+	x.endRemote()
+	x.arrival.rejections++
+	var rejection *request.NotRun
+	remaining := x.deadline - s.elapsed()
+	if !errors.As(err, &rejection) || x.arrival.rejections > callerRetries || x.sends > 0 || remaining <= 0 {
 		return
 	}
-	wait := min(refusal.RetryAfter, left/3)
-	w.time.After(wait+2*callerDelay, func() { w.place(&exchange{a: x.a, deadline: x.deadline}, w.pick(x.a.region)) })
+	wait := min(rejection.RetryAfter, remaining/3)
+	s.clock.After(wait+2*callerDelay, func() {
+		s.chooseRegion(&exchange{arrival: x.arrival, deadline: x.deadline}, s.randomGateway(x.arrival.region))
+	})
 }
--- a/internal/dispatchbench/result.go
+++ b/internal/dispatchbench/result.go
@@ -11,113 +11,113 @@
 
 // Result is what one run showed.
 type Result struct {
-	Requests int
-	Refused  int     // for good
-	Failed   int     // broken off, or not answered by the deadline
-	Late     int     // began after the target, or paused for too long
-	Worth    float64 // share of what all requests in time are worth
-	Earned   float64 // what was earned, in the worth of the kinds
-	Window   float64 // of the two worst spans of two seconds
-	Zone     float64 // of the worst-served region's callers
-	Kind     float64 // of the worst-served kind
-	Again    float64 // share of the shared tokens that were read again
-	Away     float64 // share that ran in another region
-	P50, P99 time.Duration
-	Sends    float64 // engines tried for each request
-	Score    float64 // the weighed sum of the above, less the prices
+	Requests        int
+	Rejected        int     // for good
+	Failed          int     // broken off, or not answered by the deadline
+	Late            int     // began after the target, or paused for too long
+	EarnedShare     float64 // share of what all requests in time are worth
+	Earned          float64 // what was earned, in the worth of the kinds
+	WorstWindows    float64 // of the two worst spans of two seconds
+	WorstRegion     float64 // of the worst-served region's callers
+	WorstKind       float64 // of the worst-served kind
+	RereadShare     float64 // share of the shared tokens that were read again
+	RemoteShare     float64 // share that ran in another region
+	P50, P99        time.Duration
+	SendsPerRequest float64 // engines tried for each request
+	Score           float64 // the weighed sum of the above, less the prices
 	// Limited are the engines that named limits, by how many requests the worst window of
 	// each was beyond what it may get (negative for less), and what it got of what it takes.
-	Limited []LimitedEngine
+	LimitedEngines []LimitedEngine
 }
 
 // LimitedEngine is what came of an engine's limit.
-type LimitedEngine struct{ Over, Used float64 }
+type LimitedEngine struct{ Excess, UsedShare float64 }
 
 // Weights and prices of the users' sheets.
 const (
-	weightDay, weightWindow, weightKind, weightZone = 0.4, 0.2, 0.1, 0.3
-	priceAgain                                      = 0.12 / 1000 // of a shared token read again
-	priceAway                                       = 0.06        // of a request that crosses regions: some 7 KB
-	windowLength                                    = 2 * time.Second
+	weightTotal, weightWindow, weightKind, weightRegion = 0.4, 0.2, 0.1, 0.3
+	priceReread                                         = 0.12 / 1000 // of a shared token read again
+	priceRemote                                         = 0.06        // of a request that crosses regions: some 7 KB
+	windowLength                                        = 2 * time.Second
 )
 
-// tally adds up what was earned of what was owed.
-type tally struct{ earned, owed float64 }
+// valueSum adds up what was earned of what was owed.
+type valueSum struct{ earned, possible float64 }
 
-func (t tally) share() float64 {
-	if t.owed == 0 {
+func (t valueSum) share() float64 {
+	if t.possible == 0 {
 		return 1
 	}
-	return t.earned / t.owed
+	return t.earned / t.possible
 }
 
-func (w *World) result() Result {
-	r := Result{Requests: len(w.arrivals), Limited: w.limitedEngines()}
-	var all tally
-	zones, kinds, windows := map[string]*tally{}, map[string]*tally{}, map[int]*tally{}
-	shared, again, away := 0, 0, 0
-	var firsts []time.Duration
-	for _, a := range w.arrivals {
-		worth := a.kind.Worth * a.size
+func (s *Simulation) result() Result {
+	r := Result{Requests: len(s.arrivals), LimitedEngines: s.limitResults()}
+	var total valueSum
+	regions, kinds, windows := map[string]*valueSum{}, map[string]*valueSum{}, map[int]*valueSum{}
+	shared, reread, remote := 0, 0, 0
+	var firstEvents []time.Duration
+	for _, a := range s.arrivals {
+		value := a.kind.Value * a.valueFactor
 		earned := 0.0
 		switch {
-		case !a.answered && a.refusals > callerRetries:
-			r.Refused++
+		case !a.answered && a.rejections > callerRetries:
+			r.Rejected++
 		case !a.answered:
 			r.Failed++
-		case a.first-a.at > a.kind.Target || a.paused:
+		case a.firstEvent-a.at > a.kind.Target || a.pausedTooLong:
 			r.Late++
-			earned = worth * a.kind.Late / a.kind.Worth
+			earned = value * a.kind.LateValue / a.kind.Value
 		default:
-			earned = worth
+			earned = value
 		}
 		if a.answered {
-			firsts = append(firsts, a.first-a.at)
+			firstEvents = append(firstEvents, a.firstEvent-a.at)
 		}
-		if a.answered && a.served != a.region {
-			away++
+		if a.answered && a.servedIn != a.region {
+			remote++
 		}
-		again += a.again
-		for _, p := range a.parts[:len(a.parts)-1] {
-			shared += p.tokens
+		reread += a.rereadTokens
+		for _, b := range a.blocks[:len(a.blocks)-1] {
+			shared += b.tokens
 		}
-		add(&all, earned, worth)
-		add(of(zones, a.region), earned, worth)
-		add(of(kinds, a.kind.Name), earned, worth)
-		add(of(windows, int(a.at/windowLength)), earned, worth)
+		add(&total, earned, value)
+		add(getOrCreate(regions, a.region), earned, value)
+		add(getOrCreate(kinds, a.kind.Name), earned, value)
+		add(getOrCreate(windows, int(a.at/windowLength)), earned, value)
 	}
-	r.Earned = all.earned
-	r.Worth, r.Zone, r.Kind = all.share(), worst(zones)[0], worst(kinds)[0]
-	spans := worst(windows)
-	r.Window = (spans[0] + spans[min(1, len(spans)-1)]) / 2
-	r.Again, r.Away = float64(again)/float64(max(1, shared)), float64(away)/float64(max(1, r.Requests))
-	r.Sends = float64(w.sends) / float64(max(1, r.Requests))
-	slices.Sort(firsts)
-	if n := len(firsts); n > 0 {
-		r.P50, r.P99 = firsts[n/2], firsts[n*99/100]
+	r.Earned = total.earned
+	r.EarnedShare, r.WorstRegion, r.WorstKind = total.share(), sortedShares(regions)[0], sortedShares(kinds)[0]
+	windowShares := sortedShares(windows)
+	r.WorstWindows = (windowShares[0] + windowShares[min(1, len(windowShares)-1)]) / 2
+	r.RereadShare, r.RemoteShare = float64(reread)/float64(max(1, shared)), float64(remote)/float64(max(1, r.Requests))
+	r.SendsPerRequest = float64(s.sends) / float64(max(1, r.Requests))
+	slices.Sort(firstEvents)
+	if n := len(firstEvents); n > 0 {
+		r.P50, r.P99 = firstEvents[n/2], firstEvents[n*99/100]
 	}
-	r.Score = weightDay*r.Worth + weightWindow*r.Window + weightKind*r.Kind + weightZone*r.Zone - (float64(again)*priceAgain+float64(away)*priceAway)/all.owed
+	r.Score = weightTotal*r.EarnedShare + weightWindow*r.WorstWindows + weightKind*r.WorstKind + weightRegion*r.WorstRegion - (float64(reread)*priceReread+float64(remote)*priceRemote)/total.possible
 	return r
 }
 
-func add(t *tally, earned, owed float64) {
+func add(t *valueSum, earned, possible float64) {
 	t.earned += earned
-	t.owed += owed
+	t.possible += possible
 }
 
-func of[K comparable](all map[K]*tally, key K) *tally {
-	t, ok := all[key]
+func getOrCreate[K comparable](sums map[K]*valueSum, key K) *valueSum {
+	t, ok := sums[key]
 	if !ok {
-		t = &tally{}
-		all[key] = t
+		t = &valueSum{}
+		sums[key] = t
 	}
 	return t
 }
 
-// worst gives the shares in rising order.
-func worst[K comparable](all map[K]*tally) []float64 {
+// sortedShares gives the shares in rising order.
+func sortedShares[K comparable](sums map[K]*valueSum) []float64 {
 	out := []float64{}
-	for _, t := range all {
+	for _, t := range sums {
 		out = append(out, t.share())
 	}
 	slices.Sort(out)
@@ -126,8 +126,8 @@
 
 // Row is one way in one scenario.
 type Row struct {
-	Way    string
-	Result Result
+	Strategy string
+	Result   Result
 }
 
 // Table is one scenario with all ways on the same arrivals.
@@ -145,9 +145,9 @@
 	for _, row := range t.Rows {
 		r := row.Result
 		share := func(n int) float64 { return float64(n) / float64(max(1, r.Requests)) }
-		if _, err := fmt.Fprintf(out, "%-22s %8d %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6dms %6dms %6.3f\n", row.Way,
-			r.Requests, r.Score, r.Worth, r.Window, r.Zone, r.Kind, share(r.Late), share(r.Refused), share(r.Failed), r.Again,
-			r.P50.Milliseconds(), r.P99.Milliseconds(), r.Sends); err != nil {
+		if _, err := fmt.Fprintf(out, "%-22s %8d %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6dms %6dms %6.3f\n", row.Strategy,
+			r.Requests, r.Score, r.EarnedShare, r.WorstWindows, r.WorstRegion, r.WorstKind, share(r.Late), share(r.Rejected), share(r.Failed), r.RereadShare,
+			r.P50.Milliseconds(), r.P99.Milliseconds(), r.SendsPerRequest); err != nil {
 			return errors.Trace(err)
 		}
 	}
--- a/internal/dispatchbench/ways.go
+++ b/internal/dispatchbench/ways.go
@@ -6,101 +6,101 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Way is a way to choose regions and engines.
-type Way interface {
+// Strategy is a way to choose regions and engines.
+type Strategy interface {
 	// region gives where a request runs; here tells whether it may run in the
 	// gateway's own region, reachable lists the others.
-	region(w *World, g *gateway, x *exchange, here bool, reachable []string) (string, error)
+	chooseRegion(s *Simulation, g *gateway, x *exchange, here bool, reachable []string) (string, error)
 	// engine gives the engine and how to tell its end.
-	engine(w *World, g *gateway, x *exchange) (string, ticket, error)
+	chooseEngine(s *Simulation, g *gateway, x *exchange) (string, ticketCallbacks, error)
 }
 
-// ticket is what a way wants to be told of a request.
-type ticket struct {
-	heard func(ratelimit.Word) // what the answer's head says of the engine's limit
-	begun func()
-	end   func(dispatch.Outcome)
+// ticketCallbacks is what a way wants to be told of a request.
+type ticketCallbacks struct {
+	limitReceived func(ratelimit.Word) // what the answer's head says of the engine's limit
+	firstEvent    func()
+	done          func(dispatch.Outcome)
 }
 
 var (
-	_ Way = ours{}
-	_ Way = baseline{}
+	_ Strategy = dispatchStrategy{}
+	_ Strategy = baselineStrategy{}
 )
 
-// ours is package dispatch.
-type ours struct{}
+// dispatchStrategy is package dispatch.
+type dispatchStrategy struct{}
 
-func (ours) region(w *World, g *gateway, x *exchange, here bool, reachable []string) (string, error) {
-	ask := w.ask(x)
-	place := g.dispatcher.ChooseRegion(ask, here, reachable)
-	if place.Region != g.host.Region {
-		x.away = g.dispatcher.Sent(place.Region, ask)
+func (dispatchStrategy) chooseRegion(s *Simulation, g *gateway, x *exchange, here bool, reachable []string) (string, error) {
+	req := s.dispatchRequest(x)
+	placement := g.dispatcher.ChooseRegion(req, here, reachable)
+	if placement.Region != g.host.Region {
+		x.remote = g.dispatcher.Sent(placement.Region, req)
 	}
-	if !here && place.Region == g.host.Region {
-		place.Region = reachable[0]
+	if !here && placement.Region == g.host.Region {
+		placement.Region = reachable[0]
 	}
-	return place.Region, place.Refusal
+	return placement.Region, placement.Refusal
 }
 
-func (ours) engine(w *World, g *gateway, x *exchange) (string, ticket, error) {
-	t, err := g.dispatcher.Acquire(w.ask(x))
+func (dispatchStrategy) chooseEngine(s *Simulation, g *gateway, x *exchange) (string, ticketCallbacks, error) {
+	t, err := g.dispatcher.Acquire(s.dispatchRequest(x))
 	if err != nil {
-		return "", ticket{}, err
+		return "", ticketCallbacks{}, err
 	}
-	ended := false
-	return t.Engine, ticket{heard: t.HeardLimit, begun: func() { t.Begun(true) }, end: func(o dispatch.Outcome) {
-		if !ended {
-			ended = true
+	done := false
+	return t.Engine, ticketCallbacks{limitReceived: t.HeardLimit, firstEvent: func() { t.Begun(true) }, done: func(o dispatch.Outcome) {
+		if !done {
+			done = true
 			t.Done(o)
 		}
 	}}, nil
 }
 
-// baseline keeps requests in their own region, or the first where they may run,
+// baselineStrategy keeps requests in their own region, or the first where they may run,
 // and admits all.
-type baseline struct {
+type baselineStrategy struct {
 	// choose gives the engine among those of the region that run.
-	choose func(w *World, g *gateway, a *arrival, engines []*engine) *engine
+	choose func(s *Simulation, g *gateway, a *arrival, engines []*engine) *engine
 }
 
-func (baseline) region(_ *World, g *gateway, _ *exchange, here bool, reachable []string) (string, error) {
+func (baselineStrategy) chooseRegion(_ *Simulation, g *gateway, _ *exchange, here bool, reachable []string) (string, error) {
 	if here {
 		return g.host.Region, nil
 	}
 	return reachable[0], nil
 }
 
-func (b baseline) engine(w *World, g *gateway, x *exchange) (string, ticket, error) {
-	var up []*engine
-	for _, e := range w.order[g.host.Region] {
-		if !w.time.Now().Before(e.cold) {
-			up = append(up, e)
+func (b baselineStrategy) chooseEngine(s *Simulation, g *gateway, x *exchange) (string, ticketCallbacks, error) {
+	var warm []*engine
+	for _, e := range s.enginesByRegion[g.host.Region] {
+		if !s.clock.Now().Before(e.coldUntil) {
+			warm = append(warm, e)
 		}
 	}
-	if len(up) == 0 {
-		return "", ticket{}, &request.NotRun{Reason: request.ReasonNoEngine, RetryAfter: beatDelay}
+	if len(warm) == 0 {
+		return "", ticketCallbacks{}, &request.NotRun{Reason: request.ReasonNoEngine, RetryAfter: registrationDelay}
 	}
-	e := b.choose(w, g, x.a, up)
-	g.own[e.id]++
-	ended := false
-	return e.id, ticket{heard: func(ratelimit.Word) {}, begun: func() {}, end: func(dispatch.Outcome) {
-		if !ended {
-			ended = true
-			g.own[e.id]--
+	e := b.choose(s, g, x.arrival, warm)
+	g.inFlight[e.id]++
+	done := false
+	return e.id, ticketCallbacks{limitReceived: func(ratelimit.Word) {}, firstEvent: func() {}, done: func(dispatch.Outcome) {
+		if !done {
+			done = true
+			g.inFlight[e.id]--
 		}
 	}}, nil
 }
 
-// random takes any engine.
-func random(w *World, _ *gateway, _ *arrival, engines []*engine) *engine {
-	return engines[w.random.IntN(len(engines))]
+// randomEngine takes any engine.
+func randomEngine(s *Simulation, _ *gateway, _ *arrival, engines []*engine) *engine {
+	return engines[s.random.IntN(len(engines))]
 }
 
 // fewestInFlight takes the engine with the fewest requests of this gateway.
-func fewestInFlight(_ *World, g *gateway, _ *arrival, engines []*engine) *engine {
+func fewestInFlight(_ *Simulation, g *gateway, _ *arrival, engines []*engine) *engine {
 	best := engines[0]
 	for _, e := range engines {
-		if g.own[e.id] < g.own[best.id] {
+		if g.inFlight[e.id] < g.inFlight[best.id] {
 			best = e
 		}
 	}
@@ -108,31 +108,31 @@
 }
 
 // twoChoices takes the better of two drawn engines.
-func twoChoices(w *World, g *gateway, a *arrival, engines []*engine) *engine {
-	one, two := random(w, g, a, engines), random(w, g, a, engines)
-	if g.own[two.id] < g.own[one.id] {
-		return two
+func twoChoices(s *Simulation, g *gateway, a *arrival, engines []*engine) *engine {
+	first, second := randomEngine(s, g, a, engines), randomEngine(s, g, a, engines)
+	if g.inFlight[second.id] < g.inFlight[first.id] {
+		return second
 	}
-	return one
+	return first
 }
 
-// bound is how much more than the mean an engine may have in a choice by prefix.
-const bound = 1.25
+// loadBound is how much more than the mean an engine may have in a choice by prefix.
+const loadBound = 1.25
 
 // prefixBounded takes the first engine, in the order that the prompt's deepest
 // shared part gives, which has no more than a bound over the mean (Mirrokni and
 // others, "Consistent hashing with bounded loads", 2018).
-func prefixBounded(_ *World, g *gateway, a *arrival, engines []*engine) *engine {
-	key := a.parts[max(0, len(a.parts)-2)].id
+func prefixBounded(_ *Simulation, g *gateway, a *arrival, engines []*engine) *engine {
+	key := a.blocks[max(0, len(a.blocks)-2)].id
 	total := 0
 	for _, e := range engines {
-		total += g.own[e.id]
+		total += g.inFlight[e.id]
 	}
-	most := int(bound*float64(total)/float64(len(engines))) + 1
+	limit := int(loadBound*float64(total)/float64(len(engines))) + 1
 	var best *engine
 	var highest uint64
 	for _, e := range engines {
-		if r := dispatch.Rank(key, e.id); g.own[e.id] < most && (best == nil || r > highest) {
+		if r := dispatch.Rank(key, e.id); g.inFlight[e.id] < limit && (best == nil || r > highest) {
 			best, highest = e, r
 		}
 	}
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -29,198 +29,198 @@
 // Options shapes one run.
 type Options struct {
 	Seed     uint64
-	Length   time.Duration
+	Duration time.Duration
 	Regions  []Region
-	Kinds    []*Kind
+	Kinds    []*RequestKind
 	Engine   EngineModel
 	ColdTime time.Duration
 	ColdRate float64
-	Way      Way
-	Faults   func(w *World)
+	Strategy Strategy
+	Faults   func(s *Simulation)
 }
 
 // Delays of the model, one way.
 const (
 	callerDelay = time.Millisecond
-	nearDelay   = time.Millisecond
-	farDelay    = 80 * time.Millisecond
-	// goneDelay is how long a gateway takes to notice that nothing answers at
+	localDelay  = time.Millisecond
+	remoteDelay = 80 * time.Millisecond
+	// connectFailureDelay is how long a gateway takes to notice that nothing answers at
 	// an engine's address.
-	goneDelay = 3 * time.Millisecond
-	// beatDelay is how long a new engine takes to be known.
-	beatDelay = 150 * time.Millisecond
-	// silenceTime is after how long an engine that ended counts as silent.
-	silenceTime = 4200 * time.Millisecond
-	heartbeat   = 1200 * time.Millisecond
-	// againTime is for how long after its last use a shared part counts as read
+	connectFailureDelay = 3 * time.Millisecond
+	// registrationDelay is how long a new engine takes to be known.
+	registrationDelay = 150 * time.Millisecond
+	// unresponsiveTime is after how long an engine that ended counts as silent.
+	unresponsiveTime  = 4200 * time.Millisecond
+	heartbeatInterval = 1200 * time.Millisecond
+	// rereadWindow is for how long after its last use a shared part counts as read
 	// again elsewhere.
-	againTime = 10 * time.Second
+	rereadWindow = 10 * time.Second
 	// callerRetries is how often a caller comes back after a refusal.
 	callerRetries = 1
-	// drain is how long a run goes on after the last arrival.
-	drain = 10 * time.Second
+	// drainTime is how long a run goes on after the last arrival.
+	drainTime = 10 * time.Second
 )
 
-const service = "model"
+const serviceName = "model"
 
 // gateway is one gateway.
 type gateway struct {
 	host       roster.Host
 	dispatcher *dispatch.Dispatcher
-	own        map[string]int // requests in flight by engine, for the baselines
+	inFlight   map[string]int // requests in flight by engine, for the baselines
 }
 
-// World is one run.
-type World struct {
+// Simulation is one run.
+type Simulation struct {
 	Options
-	time     *virtual.Time
-	start    time.Time
-	random   *rand.Rand // of the choices
-	traffic  *traffic
-	gateways map[string][]*gateway // by region
-	byPeer   map[string]*gateway   // by address
-	hosts    []roster.Host
-	tables   map[string]*registry.Table // by region
-	engines  map[string]*engine         // that run, by incarnation
-	order    map[string][]*engine       // by region, as they started
-	lives    int
-	lastRead map[string]time.Time // of shared parts
-	arrivals []*arrival
-	sends    int
+	clock            *virtual.Time
+	start            time.Time
+	random           *rand.Rand // of the choices
+	traffic          *trafficGenerator
+	gateways         map[string][]*gateway // by region
+	gatewayByAddress map[string]*gateway   // by address
+	hosts            []roster.Host
+	registries       map[string]*registry.Table // by region
+	engines          map[string]*engine         // that run, by incarnation
+	enginesByRegion  map[string][]*engine       // by region, as they started
+	incarnations     int
+	lastRead         map[string]time.Time // of shared parts
+	arrivals         []*arrival
+	sends            int
 }
 
-func newWorld(o Options) *World {
+func newSimulation(o Options) *Simulation {
 	start := time.Unix(1_700_000_000, 0)
-	w := &World{
-		Options: o, start: start, time: virtual.New(start), random: rand.New(rand.NewPCG(o.Seed, 5)),
-		traffic:  &traffic{random: rand.New(rand.NewPCG(o.Seed, 6)), kinds: o.Kinds, sizes: make(map[string]int)},
-		gateways: make(map[string][]*gateway), byPeer: make(map[string]*gateway), tables: make(map[string]*registry.Table), engines: make(map[string]*engine),
-		order: make(map[string][]*engine), lastRead: make(map[string]time.Time),
+	w := &Simulation{
+		Options: o, start: start, clock: virtual.New(start), random: rand.New(rand.NewPCG(o.Seed, 5)),
+		traffic:  &trafficGenerator{random: rand.New(rand.NewPCG(o.Seed, 6)), kinds: o.Kinds, blockTokens: make(map[string]int)},
+		gateways: make(map[string][]*gateway), gatewayByAddress: make(map[string]*gateway), registries: make(map[string]*registry.Table), engines: make(map[string]*engine),
+		enginesByRegion: make(map[string][]*engine), lastRead: make(map[string]time.Time),
 	}
 	regions := make(map[string]string)
-	for _, r := range o.Regions {
-		regions[r.Name] = r.Name
-		w.tables[r.Name] = registry.New(r.Name, heartbeat, w.time.Now)
-		for i := range r.Gateways {
-			name := fmt.Sprintf("%s-%d", r.Name, i)
+	for _, region := range o.Regions {
+		regions[region.Name] = region.Name
+		w.registries[region.Name] = registry.New(region.Name, heartbeatInterval, w.clock.Now)
+		for i := range region.Gateways {
+			name := fmt.Sprintf("%s-%d", region.Name, i)
 			w.hosts = append(w.hosts, roster.Host{
-				Name: name, Role: roster.RoleGateway, Region: r.Name, DataCentre: fmt.Sprintf("%s%d", r.Name, i%2), Peer: name, Handover: "h",
+				Name: name, Role: roster.RoleGateway, Region: region.Name, DataCentre: fmt.Sprintf("%s%d", region.Name, i%2), Peer: name, Handover: "h",
 			})
 		}
-		for i := range r.Engines {
-			w.startEngine(r.Name, fmt.Sprintf("%s:%d", r.Name, i), false)
+		for i := range region.Engines {
+			w.startEngine(region.Name, fmt.Sprintf("%s:%d", region.Name, i), false)
 		}
 	}
 	c := catalog.Catalog{Version: 1, Services: []catalog.Service{{
-		Name: service, ColdTime: o.ColdTime, ColdRate: o.ColdRate, Model: &catalog.ModelSpec{Slots: o.Engine.Slots, CacheTokens: o.Engine.Memory},
+		Name: serviceName, ColdTime: o.ColdTime, ColdRate: o.ColdRate, Model: &catalog.ModelSpec{Slots: o.Engine.Slots, CacheTokens: o.Engine.MemoryTokens},
 	}}}
 	for _, h := range w.hosts {
-		g := &gateway{host: h, own: make(map[string]int)}
+		g := &gateway{host: h, inFlight: make(map[string]int)}
 		g.dispatcher = dispatch.New(dispatch.Deps{
-			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Regions: regions, Engines: w.tables[h.Region], Peers: func() []roster.Host { return w.hosts }, Trip: knownTrip,
-			Budget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: w.time.Now,
+			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Regions: regions, Engines: w.registries[h.Region], Peers: func() []roster.Host { return w.hosts }, Trip: fixedRoundTrip,
+			Budget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: w.clock.Now,
 		})
 		g.dispatcher.Take(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
 		w.gateways[h.Region] = append(w.gateways[h.Region], g)
-		w.byPeer[h.Peer] = g
+		w.gatewayByAddress[h.Peer] = g
 	}
 	return w
 }
 
-// knownTrip is the round trip to any other region.
-func knownTrip(string) (time.Duration, bool) { return 2 * farDelay, true }
+// fixedRoundTrip is the round trip to any other region.
+func fixedRoundTrip(string) (time.Duration, bool) { return 2 * remoteDelay, true }
 
 // At runs do at a time of the run.
-func (w *World) At(at time.Duration, do func()) { w.time.After(at, do) }
+func (s *Simulation) At(at time.Duration, event func()) { s.clock.After(at, event) }
 
 // Crash ends a share of a region's engines, which come back cold and empty
 // after a while.
-func (w *World) Crash(region string, share float64, away time.Duration) {
-	all := slices.Clone(w.order[region])
-	w.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, e := range all[:int(share*float64(len(all)))] {
-		w.order[region] = slices.DeleteFunc(w.order[region], func(o *engine) bool { return o == e })
+func (s *Simulation) Crash(region string, share float64, downtime time.Duration) {
+	engines := slices.Clone(s.enginesByRegion[region])
+	s.random.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
+	for _, e := range engines[:int(share*float64(len(engines)))] {
+		s.enginesByRegion[region] = slices.DeleteFunc(s.enginesByRegion[region], func(o *engine) bool { return o == e })
 		e.crash()
-		delete(w.engines, e.id)
-		w.time.After(silenceTime, func() { w.tables[region].Leave(e.id, 0) })
-		w.time.After(away, func() { w.startEngine(region, e.address, true) })
+		delete(s.engines, e.id)
+		s.clock.After(unresponsiveTime, func() { s.registries[region].Leave(e.id, 0) })
+		s.clock.After(downtime, func() { s.startEngine(region, e.address, true) })
 	}
 }
 
 // startEngine starts an engine; a cold one bears few requests at first.
-func (w *World) startEngine(region, address string, cold bool) {
-	w.lives++
-	e := &engine{EngineModel: w.Engine, time: w.time, id: fmt.Sprintf("e%04d", w.lives), address: address, region: region, speed: 1, parts: newPartCache()}
-	beat := registry.Engine{ID: e.id, Service: service, Address: address, DataCentre: region, Slots: w.Engine.Slots, Sequence: 1}
+func (s *Simulation) startEngine(region, address string, cold bool) {
+	s.incarnations++
+	e := &engine{EngineModel: s.Engine, clock: s.clock, id: fmt.Sprintf("e%04d", s.incarnations), address: address, region: region, speed: 1, cache: newBlockCache()}
+	heartbeat := registry.Engine{ID: e.id, Service: serviceName, Address: address, DataCentre: region, Slots: s.Engine.Slots, Sequence: 1}
 	delay := time.Duration(0)
 	if cold {
-		delay, e.cold = beatDelay, w.time.Now().Add(w.ColdTime)
-		beat.ColdUntil = e.cold
+		delay, e.coldUntil = registrationDelay, s.clock.Now().Add(s.ColdTime)
+		heartbeat.ColdUntil = e.coldUntil
 	}
-	w.engines[e.id] = e
-	w.order[region] = append(w.order[region], e)
-	w.time.After(delay, func() { w.tables[region].Beat(beat) })
+	s.engines[e.id] = e
+	s.enginesByRegion[region] = append(s.enginesByRegion[region], e)
+	s.clock.After(delay, func() { s.registries[region].Beat(heartbeat) })
 }
 
-// tickEvery is how often gateways look at the engines, as package daemon has it.
-const tickEvery = 200 * time.Millisecond
+// tickInterval is how often gateways look at the engines, as package daemon has it.
+const tickInterval = 200 * time.Millisecond
 
 // run lets the time pass until nothing is left to happen.
-func (w *World) run() {
-	going := func() bool { return w.time.Now().Sub(w.start) < w.Length+drain }
-	for _, r := range w.Regions {
-		w.nextArrival(r, 0)
-		for i, g := range w.gateways[r.Name] {
-			w.At(time.Duration(i)*time.Millisecond, func() { w.duties(g, going) })
+func (s *Simulation) run() {
+	running := func() bool { return s.clock.Now().Sub(s.start) < s.Duration+drainTime }
+	for _, r := range s.Regions {
+		s.scheduleArrival(r, 0)
+		for i, g := range s.gateways[r.Name] {
+			s.At(time.Duration(i)*time.Millisecond, func() { s.startTimers(g, running) })
 		}
 	}
-	if w.Faults != nil {
-		w.Faults(w)
+	if s.Faults != nil {
+		s.Faults(s)
 	}
-	w.time.Run()
+	s.clock.Run()
 }
 
-// duties are what a gateway does beside requests.
-func (w *World) duties(g *gateway, going func() bool) {
-	w.time.Every(tickEvery, func() bool {
+// startTimers are what a gateway does beside requests.
+func (s *Simulation) startTimers(g *gateway, running func() bool) {
+	s.clock.Every(tickInterval, func() bool {
 		g.dispatcher.Tick()
-		return going()
+		return running()
 	})
-	w.time.Every(rollup.Every, func() bool {
+	s.clock.Every(rollup.Every, func() bool {
 		for _, out := range g.dispatcher.Tell() {
 			for _, address := range out.To {
-				w.deliver(g, w.byPeer[address], out.Message)
+				s.deliver(g, s.gatewayByAddress[address], out.Message)
 			}
 		}
-		return going()
+		return running()
 	})
 }
 
 // deliver brings one gateway's message to another.
-func (w *World) deliver(from, to *gateway, m rollup.Message) {
-	delay := nearDelay
+func (s *Simulation) deliver(from, to *gateway, m rollup.Message) {
+	delay := localDelay
 	if from.host.Region != to.host.Region {
-		delay = farDelay
+		delay = remoteDelay
 	}
-	w.time.After(delay, func() { to.dispatcher.Hear(m) })
+	s.clock.After(delay, func() { to.dispatcher.Hear(m) })
 }
 
-func (w *World) nextArrival(r Region, since time.Duration) {
-	gap := time.Duration(w.traffic.random.ExpFloat64() / max(r.Rate(since), 0.01) * float64(time.Second))
-	if since+gap > w.Length {
+func (s *Simulation) scheduleArrival(r Region, after time.Duration) {
+	gap := time.Duration(s.traffic.random.ExpFloat64() / max(r.Rate(after), 0.01) * float64(time.Second))
+	if after+gap > s.Duration {
 		return
 	}
-	a := w.traffic.draw(r.Name, since+gap)
-	w.arrivals = append(w.arrivals, a)
-	w.time.After(gap, func() {
-		w.time.After(callerDelay, func() { w.arrive(a) })
-		w.nextArrival(r, since+gap)
+	a := s.traffic.draw(r.Name, after+gap)
+	s.arrivals = append(s.arrivals, a)
+	s.clock.After(gap, func() {
+		s.clock.After(callerDelay, func() { s.handleArrival(a) })
+		s.scheduleArrival(r, after+gap)
 	})
 }
 
-func (w *World) pick(region string) *gateway {
-	all := w.gateways[region]
-	return all[w.random.IntN(len(all))]
+func (s *Simulation) randomGateway(region string) *gateway {
+	gateways := s.gateways[region]
+	return gateways[s.random.IntN(len(gateways))]
 }
 
-func (w *World) since() time.Duration { return w.time.Now().Sub(w.start) }
+func (s *Simulation) elapsed() time.Duration { return s.clock.Now().Sub(s.start) }
