--- a/internal/dispatchbench/doc.go
+++ b/internal/dispatchbench/doc.go
@@ -1,10 +1,10 @@
-// Package dispatchbench plays the load of a system with several regions in
-// virtual time: gateways with the real package dispatch before modelled engines,
-// beside baselines on the same arrivals.
+// Package dispatchbench simulates a system with several regions in virtual time. It runs
+// the gateways' real package dispatch against modelled engines, and compares it with
+// baseline strategies on the same arrivals.
 //
-// An engine is modelled as engines of language models work: requests share a
-// batch of slots, each step gives every running stream one token, and prompts
-// are read in pieces between the steps, which so take longer. Parts of prompts
-// stay in memory until others need it. What the gateways know of each other
-// travels late, as it does between processes.
+// An engine is modelled after those that serve language models. Requests share a batch of
+// slots, and each step generates one token for every running stream. Prompts are read in
+// chunks within the steps, which then take longer. Prompt blocks stay cached until other
+// requests need the memory. Reports between gateways are delayed, as they are between
+// processes.
 package dispatchbench
--- a/internal/dispatchbench/engine.go
+++ b/internal/dispatchbench/engine.go
@@ -7,27 +7,29 @@
 	"github.com/linenscale/linenscale/internal/virtual"
 )
 
-// EngineModel is how an engine works. The figures are those of the users' engines.
+// EngineModel describes the capacity and the speed of an engine. The values used are
+// those of the users' engines.
 type EngineModel struct {
 	Slots            int     // requests in one batch
-	QueueSize        int     // requests that wait for a slot
-	MemoryTokens     int     // tokens of running requests and kept parts together
-	StepMS           float64 // one token of every running request
-	StepMSPerRequest float64 // longer for each of them
-	StepMSPerKToken  float64 // longer for each 1,000 tokens that they hold
-	ReadTokensPerMS  float64 // prompt tokens read in a millisecond
-	ReadMSPerMPairs  float64 // longer for each million pairs of tokens attended to
-	ReadChunk        int     // prompt tokens read within one step
-	EventTokens      int     // tokens in one event of a stream
-}
-
-// defaultEngine is an engine of 16 slots, of which a deployment has some 140.
+	QueueSize        int     // requests that may wait for a slot
+	MemoryTokens     int     // tokens of running requests and cached blocks together
+	StepMS           float64 // duration of a step that generates one token for each stream
+	StepMSPerRequest float64 // additional duration per running request
+	StepMSPerKToken  float64 // additional duration per 1,000 tokens in their memory
+	ReadTokensPerMS  float64 // prompt tokens read per millisecond
+	ReadMSPerMPairs  float64 // additional read time per million pairs of tokens (attention)
+	ReadChunk        int     // prompt tokens read per step at most
+	EventTokens      int     // tokens per event of a stream
+}
+
+// defaultEngine is an engine with 16 slots. A deployment has about 140 of them.
 var defaultEngine = EngineModel{
 	Slots: 16, QueueSize: 33, MemoryTokens: 200_000, StepMS: 5.47, StepMSPerRequest: 0.0121, StepMSPerKToken: 0.023,
 	ReadTokensPerMS: 38.7, ReadMSPerMPairs: 0.737, ReadChunk: 2048, EventTokens: 6,
 }
 
-// withSpeed gives the model of an engine that does everything so many times as fast.
+// withSpeed returns the model of an engine that is faster by the given factor in
+// everything.
 func (m EngineModel) withSpeed(factor float64) EngineModel {
 	m.StepMS /= factor
 	m.StepMSPerRequest /= factor
@@ -44,43 +46,45 @@
 	id         string // of the incarnation
 	address    string
 	region     string
-	speed      float64 // 1 is ordinary
+	speed      float64 // relative to the model; 1 is normal
 	down       bool
-	coldUntil  time.Time // until then
-	running    []*run
-	waiting    []*run
-	stepping   bool // a step is under way
+	coldUntil  time.Time
+	running    []*activeRequest
+	waiting    []*activeRequest
+	stepping   bool // a step is running
 	cache      *blockCache
-	tokensRead int // prompt tokens read
+	tokensRead int // of prompts
 	limit      announcedLimit
 }
 
-// run is one request at an engine.
-type run struct {
+// activeRequest is a request that an engine queues or runs.
+type activeRequest struct {
 	arrival      *arrival
-	unread       int // prompt tokens still to be read
-	memoryTokens int // tokens in memory
-	generated    int // tokens given
+	unread       int // prompt tokens not read yet
+	memoryTokens int // prompt and output tokens in memory
+	generated    int // output tokens
 	onEvent      func()
 	onEnd        func(ok bool)
 	cancelled    bool
 }
 
-// submit takes a request, or refuses it for load.
-func (e *engine) submit(a *arrival, event func(), end func(ok bool)) (*run, bool) {
+// submit queues a request. It returns false if the engine rejects the request because its
+// queue and its slots are full. onEvent is called for each event of the answer, and onEnd
+// at its end.
+func (e *engine) submit(a *arrival, onEvent func(), onEnd func(ok bool)) (*activeRequest, bool) {
 	if len(e.waiting) >= e.QueueSize && len(e.running) >= e.Slots {
 		return nil, false
 	}
-	request := &run{arrival: a, onEvent: event, onEnd: end}
+	request := &activeRequest{arrival: a, onEvent: onEvent, onEnd: onEnd}
 	e.waiting = append(e.waiting, request)
 	e.startStep()
 	return request, true
 }
 
-// cancel ends a request whose caller has gone.
-func (e *engine) cancel(request *run) { request.cancelled = true }
+// cancel ends a request whose caller has disconnected.
+func (e *engine) cancel(request *activeRequest) { request.cancelled = true }
 
-// crash ends everything that runs.
+// crash ends the engine with all its requests.
 func (e *engine) crash() {
 	e.down = true
 	requests := append(e.running, e.waiting...)
@@ -92,7 +96,7 @@
 	}
 }
 
-// startStep begins the next step, if there is anything to do.
+// startStep starts the next step unless one is running or there is no request.
 func (e *engine) startStep() {
 	if e.stepping || e.down {
 		return
@@ -105,7 +109,7 @@
 	milliseconds := e.StepMS + e.StepMSPerRequest*float64(len(e.running))
 	budget := e.ReadChunk
 	var memoryTokens int
-	var readers []*run
+	var readers []*activeRequest
 	for _, request := range e.running {
 		memoryTokens += request.memoryTokens
 		if request.unread == 0 || budget == 0 {
@@ -123,7 +127,8 @@
 	e.clock.After(time.Duration(milliseconds/e.speed*float64(time.Millisecond)), func() { e.endStep(readers) })
 }
 
-// fillBatch moves requests from the queue into the batch.
+// fillBatch moves requests from the queue to free slots, and evicts cached blocks that no
+// longer fit.
 func (e *engine) fillBatch() {
 	for len(e.waiting) > 0 && len(e.running) < e.Slots {
 		request := e.waiting[0]
@@ -141,8 +146,8 @@
 	e.cache.evict(e.MemoryTokens - memoryTokens)
 }
 
-// endStep ends a step: every stream whose prompt is read has one token more.
-func (e *engine) endStep(readers []*run) {
+// endStep ends a step: each stream whose prompt has been read gets one token.
+func (e *engine) endStep(readers []*activeRequest) {
 	e.stepping = false
 	if e.down {
 		return
@@ -174,8 +179,7 @@
 	e.startStep()
 }
 
-// blockCache holds the parts of prompts that an engine keeps; the one used least
-// recently goes first.
+// blockCache is an engine's cache of prompt blocks, with least-recently-used eviction.
 type blockCache struct {
 	recent *list.List // of *cachedBlock, most recently used first
 	byID   map[string]*list.Element
@@ -191,7 +195,8 @@
 	return &blockCache{recent: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// lookup gives how many tokens of a prompt's beginning are kept.
+// lookup returns the number of tokens at the beginning of a prompt that are cached, and
+// marks their blocks as used.
 func (c *blockCache) lookup(blocks []block) int {
 	tokens := 0
 	for _, b := range blocks {
@@ -205,7 +210,7 @@
 	return tokens
 }
 
-// insert keeps all parts of a prompt.
+// insert adds all blocks of a prompt.
 func (c *blockCache) insert(blocks []block) {
 	for _, b := range blocks {
 		if element, ok := c.byID[b.id]; ok {
@@ -217,7 +222,7 @@
 	}
 }
 
-// evict forgets parts until they fit.
+// evict removes the least recently used blocks until the rest fits the capacity.
 func (c *blockCache) evict(capacity int) {
 	for c.tokens > capacity && c.recent.Len() > 0 {
 		oldest := c.recent.Remove(c.recent.Back()).(*cachedBlock)
--- a/internal/dispatchbench/exchange.go
+++ b/internal/dispatchbench/exchange.go
@@ -10,40 +10,42 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// exchange is one request on its way through one gateway, or two.
+// exchange is the processing of a caller's request by one gateway, or by two if the
+// request is handed over to another region.
 type exchange struct {
-	arrival   *arrival
-	deadline  time.Duration
-	tried     []string // engines
-	sends     int
-	engine    *engine
-	run       *run
-	lastEvent time.Duration  // of the newest event
-	remote    *dispatch.Away // where it was handed over
+	arrival     *arrival
+	deadline    time.Duration
+	tried       []string // IDs of the engines that it was sent to
+	failedSends int      // answers that failed
+	engine      *engine
+	active      *activeRequest
+	lastEvent   time.Duration  // when the caller received the last event
+	remote      *dispatch.Away // nil if it runs in the first region
 }
 
-// endRemote ends its counting as on its way to another region.
+// endRemote ends the counting of the request as load of another region.
 func (x *exchange) endRemote() {
 	if x.remote != nil {
 		x.remote.End()
 	}
 }
 
-// maxSends bounds the engines that a request which may be resumed is sent to.
+// maxSends bounds the engines that a resumable request is sent to, including the first.
 const maxSends = 2
 
-// handleArrival is a caller's request reaching a gateway of its region.
+// handleArrival processes a request that reaches a gateway of the caller's region.
 func (s *Simulation) handleArrival(a *arrival) {
 	x := &exchange{arrival: a, deadline: a.at + a.kind.Deadline}
 	s.chooseRegion(x, s.randomGateway(a.region))
 	s.clock.After(x.deadline-s.elapsed(), func() {
-		if x.run != nil && !a.answered {
-			x.engine.cancel(x.run)
+		if x.active != nil && !a.answered {
+			x.engine.cancel(x.active)
 		}
 	})
 }
 
-// chooseRegion chooses the region, as the filter of package ingress does.
+// chooseRegion chooses the region and forwards the request to it, as the filter of
+// package ingress does.
 func (s *Simulation) chooseRegion(x *exchange, g *gateway) {
 	var reachable []string
 	for _, r := range s.Regions {
@@ -53,7 +55,7 @@
 	}
 	region, err := s.Strategy.chooseRegion(s, g, x, s.permitted(x.arrival, g.host.Region), reachable)
 	if err != nil {
-		s.rejected(x, err)
+		s.handleRejection(x, err)
 		return
 	}
 	if region == g.host.Region {
@@ -63,10 +65,12 @@
 	s.clock.After(remoteDelay, func() { s.sendToEngine(x, s.randomGateway(region)) })
 }
 
+// permitted reports whether the request may run in the region.
 func (s *Simulation) permitted(a *arrival, region string) bool {
 	return len(a.kind.Homes) == 0 || slices.Contains(a.kind.Homes, region)
 }
 
+// dispatchRequest returns the request in the form that package dispatch expects.
 func (s *Simulation) dispatchRequest(x *exchange) dispatch.Ask {
 	a := x.arrival
 	p := dispatch.Prompt{Model: "m", TokensIn: a.tokensIn, TokensOut: a.tokensOut}
@@ -79,11 +83,12 @@
 	}
 }
 
-// sendToEngine sends the request to an engine of the gateway's region.
+// sendToEngine sends the request to an engine of the gateway's region. It tries another
+// engine if no connection can be opened.
 func (s *Simulation) sendToEngine(x *exchange, g *gateway) {
-	id, done, err := s.Strategy.chooseEngine(s, g, x)
+	id, callbacks, err := s.Strategy.chooseEngine(s, g, x)
 	if err != nil {
-		s.rejected(x, err)
+		s.handleRejection(x, err)
 		return
 	}
 	x.tried = append(x.tried, id)
@@ -91,15 +96,16 @@
 	e, up := s.engines[id]
 	if !up {
 		s.clock.After(connectFailureDelay, func() {
-			done.done(dispatch.Unreached)
+			callbacks.done(dispatch.Unreached)
 			s.sendToEngine(x, g)
 		})
 		return
 	}
-	s.clock.After(localDelay, func() { s.submit(x, g, e, done) })
+	s.clock.After(localDelay, func() { s.submitToEngine(x, g, e, callbacks) })
 }
 
-func (s *Simulation) submit(x *exchange, g *gateway, e *engine, done ticketCallbacks) {
+// submitToEngine submits a request that has reached an engine, and processes its answer.
+func (s *Simulation) submitToEngine(x *exchange, g *gateway, e *engine, callbacks ticketCallbacks) {
 	a := x.arrival
 	returnDelay := localDelay + callerDelay
 	if e.region != a.region {
@@ -112,8 +118,8 @@
 		at := s.elapsed() + returnDelay
 		if !answerBegan {
 			answerBegan = true
-			done.limitReceived(e.limit.signal())
-			done.firstEvent()
+			callbacks.limitReceived(e.limit.signal())
+			callbacks.firstEvent()
 			s.clock.After(returnDelay, x.endRemote)
 		}
 		if a.firstEvent == 0 {
@@ -122,33 +128,33 @@
 		a.pausedTooLong = a.pausedTooLong || (x.lastEvent > 0 && at-x.lastEvent > a.kind.MaxPause)
 		x.lastEvent = at
 	}, func(ok bool) {
-		x.run = nil
+		x.active = nil
 		if ok {
-			done.done(dispatch.Answered)
+			callbacks.done(dispatch.Answered)
 			a.answered, a.end, a.servedIn = true, s.elapsed()+returnDelay, e.region
 			return
 		}
-		done.done(dispatch.Failed)
-		x.sends++
-		if a.kind.Resumable && x.sends < maxSends && s.elapsed() < x.deadline {
+		callbacks.done(dispatch.Failed)
+		x.failedSends++
+		if a.kind.Resumable && x.failedSends < maxSends && s.elapsed() < x.deadline {
 			s.sendToEngine(x, g)
 		}
 	})
 	if !ok {
-		done.done(dispatch.Shed)
-		s.rejected(x, &request.NotRun{Reason: request.ReasonOverload, RetryAfter: 150 * time.Millisecond})
+		callbacks.done(dispatch.Shed)
+		s.handleRejection(x, &request.NotRun{Reason: request.ReasonOverload, RetryAfter: 150 * time.Millisecond})
 		return
 	}
-	x.engine, x.run = e, r
+	x.engine, x.active = e, r
 	s.clock.After(x.deadline-s.elapsed(), func() {
-		if x.run == r {
-			done.done(dispatch.Abandoned)
+		if x.active == r {
+			callbacks.done(dispatch.Abandoned)
 		}
 	})
 }
 
-// countRereads counts the shared tokens that this engine must read although another
-// has read them lately.
+// countRereads counts the shared tokens that this engine must read although some engine
+// has read them within rereadWindow.
 func (s *Simulation) countRereads(a *arrival, e *engine) {
 	cached := e.cache.lookup(a.blocks[:len(a.blocks)-1])
 	total := 0
@@ -162,13 +168,14 @@
 	}
 }
 
-// rejected is a refusal reaching the caller, who may come back once.
-func (s *Simulation) rejected(x *exchange, err error) {
+// handleRejection returns a rejection to the caller, who retries up to callerRetries
+// times.
+func (s *Simulation) handleRejection(x *exchange, err error) {
 	x.endRemote()
 	x.arrival.rejections++
 	var rejection *request.NotRun
 	remaining := x.deadline - s.elapsed()
-	if !errors.As(err, &rejection) || x.arrival.rejections > callerRetries || x.sends > 0 || remaining <= 0 {
+	if !errors.As(err, &rejection) || x.arrival.rejections > callerRetries || x.failedSends > 0 || remaining <= 0 {
 		return
 	}
 	wait := min(rejection.RetryAfter, remaining/3)
--- a/internal/dispatchbench/limit.go
+++ b/internal/dispatchbench/limit.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// limitWindow, limitFactor and limitSlack are how much an engine that names a limit may
-	// get: one and a half times what that allows within the window, and the slack.
+	// limitWindow, limitFactor and limitSlack bound the requests that an engine with a
+	// rate limit may get: within each window, one and a half times what the limit allows,
+	// plus the slack.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitSettleTime is how long after its first word that begins to hold.
+	// limitSettleTime is how long after the first announcement the bound starts to apply.
 	limitSettleTime = 6 * time.Second
 )
 
-// announcedLimit is the limit that an engine names. The zero value names none.
+// announcedLimit is the rate limit that an engine announces, and the requests that it has
+// received since. The zero value announces none.
 type announcedLimit struct {
 	perSecond float64
-	since     time.Duration // 0 for never
+	since     time.Duration // when it was first announced; 0 for never
 	arrivals  []time.Duration
 }
 
+// signal returns the limit as the engine's answers announce it.
 func (l *announcedLimit) signal() ratelimit.Word {
 	if l.since == 0 {
 		return ratelimit.Unlimited{}
@@ -31,13 +34,14 @@
 	return ratelimit.Limited{PerSecond: l.perSecond}
 }
 
+// recordArrival counts a request that reaches the engine, once the bound applies.
 func (l *announcedLimit) recordArrival(at time.Duration) {
 	if l.since > 0 && at >= l.since+limitSettleTime {
 		l.arrivals = append(l.arrivals, at)
 	}
 }
 
-// AnnounceLimits has a share of a region's engines name a limit from now on.
+// AnnounceLimits has a share of a region's engines announce a rate limit from now on.
 func (s *Simulation) AnnounceLimits(region string, share, perSecond float64) {
 	engines := s.enginesByRegion[region]
 	for _, e := range engines[:int(math.Ceil(share*float64(len(engines))))] {
@@ -45,7 +49,7 @@
 	}
 }
 
-// limitResults gives what came of each engine's limit.
+// limitResults returns the result of each engine with a rate limit.
 func (s *Simulation) limitResults() []LimitedEngine {
 	var out []LimitedEngine
 	for _, r := range s.Regions {
@@ -58,7 +62,9 @@
 	return out
 }
 
-func (l *announcedLimit) outcome(length time.Duration) LimitedEngine {
+// outcome computes the result of a simulation whose arrivals end after the given
+// duration.
+func (l *announcedLimit) outcome(duration time.Duration) LimitedEngine {
 	peak := 0
 	for i, from := range l.arrivals {
 		count := 0
@@ -69,10 +75,10 @@
 	}
 	accepted := 0
 	for _, at := range l.arrivals {
-		if at < length {
+		if at < duration {
 			accepted++
 		}
 	}
-	allowed := l.perSecond * (length - l.since - limitSettleTime).Seconds()
+	allowed := l.perSecond * (duration - l.since - limitSettleTime).Seconds()
 	return LimitedEngine{Excess: float64(peak) - limitFactor*l.perSecond*limitWindow.Seconds() - limitSlack, UsedShare: float64(accepted) / allowed}
 }
--- a/internal/dispatchbench/result.go
+++ b/internal/dispatchbench/result.go
@@ -9,48 +9,51 @@
 	"github.com/juju/errors"
 )
 
-// Result is what one run showed.
+// Result is the result of one simulation.
 type Result struct {
 	Requests        int
-	Rejected        int     // for good
-	Failed          int     // broken off, or not answered by the deadline
-	Late            int     // began after the target, or paused for too long
-	EarnedShare     float64 // share of what all requests in time are worth
-	Earned          float64 // what was earned, in the worth of the kinds
-	WorstWindows    float64 // of the two worst spans of two seconds
-	WorstRegion     float64 // of the worst-served region's callers
-	WorstKind       float64 // of the worst-served kind
-	RereadShare     float64 // share of the shared tokens that were read again
-	RemoteShare     float64 // share that ran in another region
-	P50, P99        time.Duration
-	SendsPerRequest float64 // engines tried for each request
-	Score           float64 // the weighed sum of the above, less the prices
-	// Limited are the engines that named limits, by how many requests the worst window of
-	// each was beyond what it may get (negative for less), and what it got of what it takes.
+	Rejected        int           // and not admitted when retried
+	Failed          int           // broken, or not answered by the deadline
+	Late            int           // started after the target, or paused for too long
+	EarnedShare     float64       // earned value as a share of the value of all requests
+	Earned          float64       // sum of the earned values
+	WorstWindows    float64       // mean earned share of the two worst windows of windowLength
+	WorstRegion     float64       // earned share of the worst region, by the callers' region
+	WorstKind       float64       // earned share of the worst kind of request
+	RereadShare     float64       // share of the shared tokens that were read again within rereadWindow
+	RemoteShare     float64       // share of the requests that ran in another region
+	P50, P99        time.Duration // time to the first event
+	SendsPerRequest float64       // engines that a request was sent to, on average
+	Score           float64       // weighted sum of the shares, less the prices
+	// LimitedEngines are the results of the engines that announced rate limits.
 	LimitedEngines []LimitedEngine
 }
 
-// LimitedEngine is what came of an engine's limit.
+// LimitedEngine is the result of one engine's rate limit. Excess is by how many requests
+// the worst window exceeded the bound; it is negative if none did. UsedShare is the share
+// of the requests allowed by the limit that the engine got.
 type LimitedEngine struct{ Excess, UsedShare float64 }
 
-// Weights and prices of the users' sheets.
+// Weights and prices of the score, as the users define them.
 const (
 	weightTotal, weightWindow, weightKind, weightRegion = 0.4, 0.2, 0.1, 0.3
-	priceReread                                         = 0.12 / 1000 // of a shared token read again
-	priceRemote                                         = 0.06        // of a request that crosses regions: some 7 KB
+	priceReread                                         = 0.12 / 1000 // per shared token that is read again
+	priceRemote                                         = 0.06        // per request that crosses regions: about 7 KB
 	windowLength                                        = 2 * time.Second
 )
 
-// valueSum adds up what was earned of what was owed.
+// valueSum adds up the value that requests earned, and the value of all requests.
 type valueSum struct{ earned, possible float64 }
 
-func (t valueSum) share() float64 {
-	if t.possible == 0 {
+// share returns the earned share; 1 if there were no requests.
+func (v valueSum) share() float64 {
+	if v.possible == 0 {
 		return 1
 	}
-	return t.earned / t.possible
+	return v.earned / v.possible
 }
 
+// result computes the result after the simulation has ended.
 func (s *Simulation) result() Result {
 	r := Result{Requests: len(s.arrivals), LimitedEngines: s.limitResults()}
 	var total valueSum
@@ -82,9 +85,9 @@
 			shared += b.tokens
 		}
 		add(&total, earned, value)
-		add(getOrCreate(regions, a.region), earned, value)
-		add(getOrCreate(kinds, a.kind.Name), earned, value)
-		add(getOrCreate(windows, int(a.at/windowLength)), earned, value)
+		add(valueSumOf(regions, a.region), earned, value)
+		add(valueSumOf(kinds, a.kind.Name), earned, value)
+		add(valueSumOf(windows, int(a.at/windowLength)), earned, value)
 	}
 	r.Earned = total.earned
 	r.EarnedShare, r.WorstRegion, r.WorstKind = total.share(), sortedShares(regions)[0], sortedShares(kinds)[0]
@@ -100,43 +103,43 @@
 	return r
 }
 
-func add(t *valueSum, earned, possible float64) {
-	t.earned += earned
-	t.possible += possible
+func add(sum *valueSum, earned, possible float64) {
+	sum.earned += earned
+	sum.possible += possible
 }
 
-func getOrCreate[K comparable](sums map[K]*valueSum, key K) *valueSum {
-	t, ok := sums[key]
+func valueSumOf[K comparable](sums map[K]*valueSum, key K) *valueSum {
+	sum, ok := sums[key]
 	if !ok {
-		t = &valueSum{}
-		sums[key] = t
+		sum = &valueSum{}
+		sums[key] = sum
 	}
-	return t
+	return sum
 }
 
-// sortedShares gives the shares in rising order.
+// sortedShares returns the earned shares in ascending order.
 func sortedShares[K comparable](sums map[K]*valueSum) []float64 {
 	out := []float64{}
-	for _, t := range sums {
-		out = append(out, t.share())
+	for _, sum := range sums {
+		out = append(out, sum.share())
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Row is one way in one scenario.
+// Row is the result of one strategy in one scenario.
 type Row struct {
 	Strategy string
 	Result   Result
 }
 
-// Table is one scenario with all ways on the same arrivals.
+// Table holds the results of all strategies in one scenario, on the same arrivals.
 type Table struct {
 	Name string
 	Rows []Row
 }
 
-// Write writes a table as text.
+// Write writes the table as text.
 func (t Table) Write(out io.Writer) error {
 	if _, err := fmt.Fprintf(out, "\n%s\n%-22s %8s %6s %6s %6s %6s %6s %6s %6s %6s %6s %8s %8s %6s\n", t.Name,
 		"way", "requests", "score", "worth", "window", "region", "kind", "late", "refus", "failed", "again", "p50", "p99", "sends"); err != nil {
--- a/internal/dispatchbench/scenarios.go
+++ b/internal/dispatchbench/scenarios.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// requestKinds are those of the users: long prompts that share parts and
-// may run anywhere, and short ones with long answers that two regions may serve.
+// requestKinds returns the users' kinds of requests: long prompts that share blocks and
+// may run anywhere, and short ones with long answers that may run in the given home
+// regions.
 func requestKinds(homes []string) []*RequestKind {
 	return []*RequestKind{
 		{
@@ -21,7 +22,8 @@
 	}
 }
 
-// peakRate gives a rate that is high for a part of the time: low outside.
+// peakRate returns a rate that is high from one time to another, in seconds, and low
+// otherwise.
 func peakRate(mean, from, to float64) func(time.Duration) float64 {
 	const high, low = 2.3, 0.3
 	return func(at time.Duration) float64 {
@@ -32,7 +34,8 @@
 	}
 }
 
-// threeRegions is a site of 63 gateways and 140 engines whose regions peak in turn.
+// threeRegions is a site with 63 gateways and 140 engines in three regions, which peak
+// one after the other.
 func threeRegions(load float64) Options {
 	return Options{
 		Duration: 34 * time.Second, Engine: defaultEngine, ColdTime: 3 * time.Second, ColdRate: 1.5, Kinds: requestKinds([]string{"a", "b"}),
@@ -44,8 +47,9 @@
 	}
 }
 
-// LargeSite is a site of 160 engines of 32 slots whose regions peak in turn, before so many
-// gateways in all; half of a region's engines crash at its peak.
+// LargeSite is a site with 160 engines of 32 slots, in three regions that peak one after
+// the other, and about the given number of gateways. Half of one region's engines crash
+// at its peak.
 func LargeSite(seed uint64, load float64, gateways int) Options {
 	model := defaultEngine
 	model.Slots, model.QueueSize, model.MemoryTokens, model.EventTokens = 32, 67, 232_000, 9
@@ -61,7 +65,7 @@
 	return o
 }
 
-// burstRate multiplies a rate for some time.
+// burstRate multiplies a rate by a factor from one time to another, in seconds.
 func burstRate(rate func(time.Duration) float64, factor, from, to float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if s := at.Seconds(); s >= from && s < to {
@@ -71,13 +75,13 @@
 	}
 }
 
-// Overload has the callers of twelve engines come five times as often as usual, which is
-// several times what its engines can serve, for eight seconds.
+// Overload is a site of twelve engines that for eight seconds get five times their usual
+// load, which is several times what they can serve.
 func Overload(seed uint64) Options { return Burst(seed, 5, 1) }
 
-// Burst has the callers of twelve engines come so many times as often as usual, for eight
-// seconds, before engines that are so many times as fast as they are believed to be at
-// the start.
+// Burst is a site of twelve engines that for eight seconds get their usual load times the
+// factor. The engines are faster than the default by the factor speed, which the
+// dispatchers don't know at first.
 func Burst(seed uint64, factor, speed float64) Options {
 	model := defaultEngine
 	model.Slots, model.QueueSize, model.MemoryTokens = 64, 134, 215_000
@@ -90,9 +94,9 @@
 	}
 }
 
-// Limited has a share of one region's engines name a limit after a second, before so many
-// gateways of two regions.
-func Limited(seed uint64, gateways int, share, perSecond float64) Options {
+// RateLimits is a site with two regions and the given number of gateways. After one
+// second, a share of one region's engines announce a rate limit in requests per second.
+func RateLimits(seed uint64, gateways int, share, perSecond float64) Options {
 	model := defaultEngine
 	model.Slots, model.QueueSize, model.MemoryTokens = 64, 134, 215_000
 	steady := func(perSecond float64) func(time.Duration) float64 {
@@ -106,7 +110,7 @@
 	}
 }
 
-// scenario is a day without its way.
+// scenario is a simulation without its strategy.
 type scenario struct {
 	name string
 	opts Options
@@ -132,14 +136,14 @@
 	}
 }
 
-// strategies are package dispatch and the baselines it is compared with.
+// strategies returns package dispatch and the baselines that it is compared with.
 func strategies() []struct {
-	name string
-	way  Strategy
+	name     string
+	strategy Strategy
 } {
 	return []struct {
-		name string
-		way  Strategy
+		name     string
+		strategy Strategy
 	}{
 		{"ours", dispatchStrategy{}},
 		{"random", baselineStrategy{randomEngine}},
@@ -149,25 +153,26 @@
 	}
 }
 
-// Run plays one day.
+// Run runs one simulation.
 func Run(o Options) Result {
 	s := newSimulation(o)
 	s.run()
 	return s.result()
 }
 
-// Grown compares the ways before 140 engines and 63 gateways, or plays ours alone.
+// Grown compares the strategies at a site with 140 engines and 63 gateways, or runs
+// package dispatch alone.
 func Grown(seed uint64, dispatchOnly bool) []Table {
 	var out []Table
 	for _, s := range scenarios() {
 		t := Table{Name: s.name}
-		for i, way := range strategies() {
+		for i, entry := range strategies() {
 			if dispatchOnly && i > 0 {
 				break
 			}
 			o := s.opts
-			o.Seed, o.Strategy = seed, way.way
-			t.Rows = append(t.Rows, Row{way.name, Run(o)})
+			o.Seed, o.Strategy = seed, entry.strategy
+			t.Rows = append(t.Rows, Row{entry.name, Run(o)})
 		}
 		out = append(out, t)
 	}
--- a/internal/dispatchbench/traffic.go
+++ b/internal/dispatchbench/traffic.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// block is one part of a prompt.
+// block is one block of a prompt.
 type block struct {
 	id     string
 	tokens int
 }
 
-// RequestKind is one kind of request of a model's service.
+// RequestKind describes one kind of request of a model's service.
 type RequestKind struct {
 	Name                      string
 	Share                     float64 // of the arrivals
 	Target                    time.Duration
-	MaxPause                  time.Duration // between events
+	MaxPause                  time.Duration // longest acceptable time between two events
 	Deadline                  time.Duration
-	Value                     float64
-	LateValue                 float64 // worth of an answer after the target
+	Value                     float64 // of an answer in time
+	LateValue                 float64 // of an answer that started late or paused for too long
 	Priority                  int
-	Homes                     []string // regions where it may run; none: any
-	Resumable                 bool     // a broken stream may go on at another engine
+	Homes                     []string // regions where it may run; empty for all
+	Resumable                 bool     // a broken stream may be resumed at another engine
 	InputTokens, OutputTokens lognormal
-	// Shared parts, each drawn from so many; the own part follows.
+	// SharedBlocks precede the block that is the request's own.
 	SharedBlocks []sharedBlock
 }
 
+// sharedBlock describes a prompt block that requests share: each request has one of its
+// variants.
 type sharedBlock struct {
 	variants int
 	tokens   lognormal
 }
 
-// lognormal is a distribution of tokens by its mean.
+// lognormal is a lognormal distribution of tokens, by its mean, bounded by a limit.
 type lognormal struct {
 	mean, sigma, limit float64
 }
@@ -45,10 +47,11 @@
 	return max(1, int(min(l.limit, math.Exp(mu+l.sigma*r.NormFloat64()))))
 }
 
-// popularitySkew makes some shared parts more frequent than others: rank to this power.
+// popularitySkew makes some variants of a shared block more frequent than others: the
+// frequency falls with the rank to this power.
 const popularitySkew = 0.3
 
-// arrival is one request of a caller, with what became of it.
+// arrival is one request of a caller, and its outcome.
 type arrival struct {
 	kind        *RequestKind
 	region      string // of the caller
@@ -57,21 +60,21 @@
 	blocks      []block
 	tokensIn    int
 	tokensOut   int
-	valueFactor float64 // worth beside that of the kind
+	valueFactor float64 // value relative to the kind's
 
-	firstEvent, end time.Duration
-	pausedTooLong   bool // longer than the kind's bound
+	firstEvent, end time.Duration // when the caller received them
+	pausedTooLong   bool          // for longer than the kind's MaxPause
 	answered        bool
 	rejections      int
-	servedIn        string // region
-	rereadTokens    int    // tokens of shared parts that were read again
+	servedIn        string // region that answered
+	rereadTokens    int    // tokens of shared blocks that were read again
 }
 
-// trafficGenerator draws arrivals; one seed gives the same for every way.
+// trafficGenerator draws the arrivals. A seed gives the same arrivals for every strategy.
 type trafficGenerator struct {
 	random      *rand.Rand
 	kinds       []*RequestKind
-	blockTokens map[string]int // tokens of a shared part by its ID
+	blockTokens map[string]int // tokens of each shared block by ID
 	lastID      int
 }
 
@@ -108,7 +111,7 @@
 	return a
 }
 
-// drawVariant draws one of n by a power of its rank.
+// drawVariant draws one of n variants, by popularitySkew.
 func (t *trafficGenerator) drawVariant(n int) int {
 	return int(float64(n) * math.Pow(t.random.Float64(), 1/(1-popularitySkew)))
 }
--- a/internal/dispatchbench/ways.go
+++ b/internal/dispatchbench/ways.go
@@ -6,18 +6,19 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Strategy is a way to choose regions and engines.
+// Strategy chooses the regions and the engines for requests.
 type Strategy interface {
-	// region gives where a request runs; here tells whether it may run in the
-	// gateway's own region, reachable lists the others.
-	chooseRegion(s *Simulation, g *gateway, x *exchange, here bool, reachable []string) (string, error)
-	// engine gives the engine and how to tell its end.
+	// chooseRegion returns the region where a request runs. localPermitted reports whether
+	// the gateway's own region is permitted; reachable lists the other permitted ones.
+	chooseRegion(s *Simulation, g *gateway, x *exchange, localPermitted bool, reachable []string) (string, error)
+	// chooseEngine returns the ID of the engine for a request, and the callbacks for the
+	// request's events.
 	chooseEngine(s *Simulation, g *gateway, x *exchange) (string, ticketCallbacks, error)
 }
 
-// ticketCallbacks is what a way wants to be told of a request.
+// ticketCallbacks are called for the events of a request that was sent to an engine.
 type ticketCallbacks struct {
-	limitReceived func(ratelimit.Word) // what the answer's head says of the engine's limit
+	limitReceived func(ratelimit.Word) // with the rate limit in the answer's header
 	firstEvent    func()
 	done          func(dispatch.Outcome)
 }
@@ -27,16 +28,16 @@
 	_ Strategy = baselineStrategy{}
 )
 
-// dispatchStrategy is package dispatch.
+// dispatchStrategy uses package dispatch.
 type dispatchStrategy struct{}
 
-func (dispatchStrategy) chooseRegion(s *Simulation, g *gateway, x *exchange, here bool, reachable []string) (string, error) {
+func (dispatchStrategy) chooseRegion(s *Simulation, g *gateway, x *exchange, localPermitted bool, reachable []string) (string, error) {
 	req := s.dispatchRequest(x)
-	placement := g.dispatcher.ChooseRegion(req, here, reachable)
+	placement := g.dispatcher.ChooseRegion(req, localPermitted, reachable)
 	if placement.Region != g.host.Region {
 		x.remote = g.dispatcher.Sent(placement.Region, req)
 	}
-	if !here && placement.Region == g.host.Region {
+	if !localPermitted && placement.Region == g.host.Region {
 		placement.Region = reachable[0]
 	}
 	return placement.Region, placement.Refusal
@@ -56,15 +57,15 @@
 	}}, nil
 }
 
-// baselineStrategy keeps requests in their own region, or the first where they may run,
-// and admits all.
+// baselineStrategy runs requests in the region where they arrive, or in the first
+// permitted one, and admits all.
 type baselineStrategy struct {
-	// choose gives the engine among those of the region that run.
+	// choose returns one of the region's warm engines.
 	choose func(s *Simulation, g *gateway, a *arrival, engines []*engine) *engine
 }
 
-func (baselineStrategy) chooseRegion(_ *Simulation, g *gateway, _ *exchange, here bool, reachable []string) (string, error) {
-	if here {
+func (baselineStrategy) chooseRegion(_ *Simulation, g *gateway, _ *exchange, localPermitted bool, reachable []string) (string, error) {
+	if localPermitted {
 		return g.host.Region, nil
 	}
 	return reachable[0], nil
@@ -91,12 +92,12 @@
 	}}, nil
 }
 
-// randomEngine takes any engine.
+// randomEngine returns a random engine.
 func randomEngine(s *Simulation, _ *gateway, _ *arrival, engines []*engine) *engine {
 	return engines[s.random.IntN(len(engines))]
 }
 
-// fewestInFlight takes the engine with the fewest requests of this gateway.
+// fewestInFlight returns the engine with the fewest requests in flight from this gateway.
 func fewestInFlight(_ *Simulation, g *gateway, _ *arrival, engines []*engine) *engine {
 	best := engines[0]
 	for _, e := range engines {
@@ -107,7 +108,8 @@
 	return best
 }
 
-// twoChoices takes the better of two drawn engines.
+// twoChoices draws two engines, and returns the one with fewer requests in flight from
+// this gateway.
 func twoChoices(s *Simulation, g *gateway, a *arrival, engines []*engine) *engine {
 	first, second := randomEngine(s, g, a, engines), randomEngine(s, g, a, engines)
 	if g.inFlight[second.id] < g.inFlight[first.id] {
@@ -116,12 +118,12 @@
 	return first
 }
 
-// loadBound is how much more than the mean an engine may have in a choice by prefix.
+// loadBound is the load that prefixBounded allows an engine, relative to the mean.
 const loadBound = 1.25
 
-// prefixBounded takes the first engine, in the order that the prompt's deepest
-// shared part gives, which has no more than a bound over the mean (Mirrokni and
-// others, "Consistent hashing with bounded loads", 2018).
+// prefixBounded returns the engine that ranks highest for the prompt's deepest shared
+// block, of those whose load is below the bound (Mirrokni and others, "Consistent hashing
+// with bounded loads", 2018).
 func prefixBounded(_ *Simulation, g *gateway, a *arrival, engines []*engine) *engine {
 	key := a.blocks[max(0, len(a.blocks)-2)].id
 	total := 0
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -18,15 +18,15 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// Region is one region of a scenario.
+// Region describes one region of a simulated site.
 type Region struct {
 	Name     string
 	Engines  int
 	Gateways int
-	Rate     func(at time.Duration) float64 // arrivals a second
+	Rate     func(at time.Duration) float64 // arrivals per second
 }
 
-// Options shapes one run.
+// Options configures one simulation.
 type Options struct {
 	Seed     uint64
 	Duration time.Duration
@@ -39,25 +39,26 @@
 	Faults   func(s *Simulation)
 }
 
-// Delays of the model, one way.
+// Delays of the model; those of networks are one-way.
 const (
 	callerDelay = time.Millisecond
 	localDelay  = time.Millisecond
 	remoteDelay = 80 * time.Millisecond
-	// connectFailureDelay is how long a gateway takes to notice that nothing answers at
+	// connectFailureDelay is how long a gateway takes to detect that nothing listens at
 	// an engine's address.
 	connectFailureDelay = 3 * time.Millisecond
-	// registrationDelay is how long a new engine takes to be known.
+	// registrationDelay is how long it takes until a started engine is registered.
 	registrationDelay = 150 * time.Millisecond
-	// unresponsiveTime is after how long an engine that ended counts as silent.
-	unresponsiveTime  = 4200 * time.Millisecond
-	heartbeatInterval = 1200 * time.Millisecond
-	// rereadWindow is for how long after its last use a shared part counts as read
-	// again elsewhere.
+	// failureDetectionTime is how long it takes until a crashed engine is removed from
+	// the registry.
+	failureDetectionTime = 4200 * time.Millisecond
+	heartbeatInterval    = 1200 * time.Millisecond
+	// rereadWindow is how long after its last use a shared block that must be read counts
+	// as read again.
 	rereadWindow = 10 * time.Second
-	// callerRetries is how often a caller comes back after a refusal.
+	// callerRetries is how often a caller retries after a rejection.
 	callerRetries = 1
-	// drainTime is how long a run goes on after the last arrival.
+	// drainTime is how long a simulation continues after the last arrival.
 	drainTime = 10 * time.Second
 )
 
@@ -70,28 +71,28 @@
 	inFlight   map[string]int // requests in flight by engine, for the baselines
 }
 
-// Simulation is one run.
+// Simulation is the state of one simulation.
 type Simulation struct {
 	Options
 	clock            *virtual.Time
 	start            time.Time
-	random           *rand.Rand // of the choices
+	random           *rand.Rand // for the choices; arrivals have their own
 	traffic          *trafficGenerator
 	gateways         map[string][]*gateway // by region
-	gatewayByAddress map[string]*gateway   // by address
+	gatewayByAddress map[string]*gateway
 	hosts            []roster.Host
 	registries       map[string]*registry.Table // by region
-	engines          map[string]*engine         // that run, by incarnation
-	enginesByRegion  map[string][]*engine       // by region, as they started
-	incarnations     int
-	lastRead         map[string]time.Time // of shared parts
+	engines          map[string]*engine         // running engines, by incarnation
+	enginesByRegion  map[string][]*engine       // running engines, in the order of their starts
+	incarnations     int                        // engines started so far
+	lastRead         map[string]time.Time       // of each shared block, by any engine
 	arrivals         []*arrival
-	sends            int
+	sends            int // requests sent to engines
 }
 
 func newSimulation(o Options) *Simulation {
 	start := time.Unix(1_700_000_000, 0)
-	w := &Simulation{
+	s := &Simulation{
 		Options: o, start: start, clock: virtual.New(start), random: rand.New(rand.NewPCG(o.Seed, 5)),
 		traffic:  &trafficGenerator{random: rand.New(rand.NewPCG(o.Seed, 6)), kinds: o.Kinds, blockTokens: make(map[string]int)},
 		gateways: make(map[string][]*gateway), gatewayByAddress: make(map[string]*gateway), registries: make(map[string]*registry.Table), engines: make(map[string]*engine),
@@ -100,41 +101,41 @@
 	regions := make(map[string]string)
 	for _, region := range o.Regions {
 		regions[region.Name] = region.Name
-		w.registries[region.Name] = registry.New(region.Name, heartbeatInterval, w.clock.Now)
+		s.registries[region.Name] = registry.New(region.Name, heartbeatInterval, s.clock.Now)
 		for i := range region.Gateways {
 			name := fmt.Sprintf("%s-%d", region.Name, i)
-			w.hosts = append(w.hosts, roster.Host{
+			s.hosts = append(s.hosts, roster.Host{
 				Name: name, Role: roster.RoleGateway, Region: region.Name, DataCentre: fmt.Sprintf("%s%d", region.Name, i%2), Peer: name, Handover: "h",
 			})
 		}
 		for i := range region.Engines {
-			w.startEngine(region.Name, fmt.Sprintf("%s:%d", region.Name, i), false)
+			s.startEngine(region.Name, fmt.Sprintf("%s:%d", region.Name, i), false)
 		}
 	}
 	c := catalog.Catalog{Version: 1, Services: []catalog.Service{{
 		Name: serviceName, ColdTime: o.ColdTime, ColdRate: o.ColdRate, Model: &catalog.ModelSpec{Slots: o.Engine.Slots, CacheTokens: o.Engine.MemoryTokens},
 	}}}
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		g := &gateway{host: h, inFlight: make(map[string]int)}
 		g.dispatcher = dispatch.New(dispatch.Deps{
-			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Regions: regions, Engines: w.registries[h.Region], Peers: func() []roster.Host { return w.hosts }, Trip: fixedRoundTrip,
-			Budget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: w.clock.Now,
+			Name: h.Name, Region: h.Region, DataCentre: h.DataCentre, Regions: regions, Engines: s.registries[h.Region], Peers: func() []roster.Host { return s.hosts }, Trip: fixedRoundTrip,
+			Budget: retry.Policy{Share: 0.2, Extra: 166, Window: 10 * time.Second}, Log: zap.NewNop(), Clock: s.clock.Now,
 		})
 		g.dispatcher.Take(ledger.State{Index: 1, Catalog: c}, catalog.NewTable(c))
-		w.gateways[h.Region] = append(w.gateways[h.Region], g)
-		w.gatewayByAddress[h.Peer] = g
+		s.gateways[h.Region] = append(s.gateways[h.Region], g)
+		s.gatewayByAddress[h.Peer] = g
 	}
-	return w
+	return s
 }
 
-// fixedRoundTrip is the round trip to any other region.
+// fixedRoundTrip returns the round trip between regions.
 func fixedRoundTrip(string) (time.Duration, bool) { return 2 * remoteDelay, true }
 
-// At runs do at a time of the run.
+// At runs event at a time since the start.
 func (s *Simulation) At(at time.Duration, event func()) { s.clock.After(at, event) }
 
-// Crash ends a share of a region's engines, which come back cold and empty
-// after a while.
+// Crash ends a share of a region's engines. They restart after the downtime, cold and
+// with empty caches.
 func (s *Simulation) Crash(region string, share float64, downtime time.Duration) {
 	engines := slices.Clone(s.enginesByRegion[region])
 	s.random.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
@@ -142,12 +143,12 @@
 		s.enginesByRegion[region] = slices.DeleteFunc(s.enginesByRegion[region], func(o *engine) bool { return o == e })
 		e.crash()
 		delete(s.engines, e.id)
-		s.clock.After(unresponsiveTime, func() { s.registries[region].Leave(e.id, 0) })
+		s.clock.After(failureDetectionTime, func() { s.registries[region].Leave(e.id, 0) })
 		s.clock.After(downtime, func() { s.startEngine(region, e.address, true) })
 	}
 }
 
-// startEngine starts an engine; a cold one bears few requests at first.
+// startEngine starts an engine. A cold one accepts only few requests at first.
 func (s *Simulation) startEngine(region, address string, cold bool) {
 	s.incarnations++
 	e := &engine{EngineModel: s.Engine, clock: s.clock, id: fmt.Sprintf("e%04d", s.incarnations), address: address, region: region, speed: 1, cache: newBlockCache()}
@@ -162,10 +163,10 @@
 	s.clock.After(delay, func() { s.registries[region].Beat(heartbeat) })
 }
 
-// tickInterval is how often gateways look at the engines, as package daemon has it.
+// tickInterval is how often gateways apply changes of the registry, as in package daemon.
 const tickInterval = 200 * time.Millisecond
 
-// run lets the time pass until nothing is left to happen.
+// run runs the simulation until no event is left.
 func (s *Simulation) run() {
 	running := func() bool { return s.clock.Now().Sub(s.start) < s.Duration+drainTime }
 	for _, r := range s.Regions {
@@ -180,7 +181,7 @@
 	s.clock.Run()
 }
 
-// startTimers are what a gateway does beside requests.
+// startTimers starts a gateway's periodic tasks.
 func (s *Simulation) startTimers(g *gateway, running func() bool) {
 	s.clock.Every(tickInterval, func() bool {
 		g.dispatcher.Tick()
@@ -196,7 +197,7 @@
 	})
 }
 
-// deliver brings one gateway's message to another.
+// deliver sends a message from one gateway to another.
 func (s *Simulation) deliver(from, to *gateway, m rollup.Message) {
 	delay := localDelay
 	if from.host.Region != to.host.Region {
@@ -205,22 +206,25 @@
 	s.clock.After(delay, func() { to.dispatcher.Hear(m) })
 }
 
-func (s *Simulation) scheduleArrival(r Region, after time.Duration) {
-	gap := time.Duration(s.traffic.random.ExpFloat64() / max(r.Rate(after), 0.01) * float64(time.Second))
-	if after+gap > s.Duration {
+// scheduleArrival schedules a region's next arrival after the previous one.
+func (s *Simulation) scheduleArrival(r Region, previous time.Duration) {
+	gap := time.Duration(s.traffic.random.ExpFloat64() / max(r.Rate(previous), 0.01) * float64(time.Second))
+	if previous+gap > s.Duration {
 		return
 	}
-	a := s.traffic.draw(r.Name, after+gap)
+	a := s.traffic.draw(r.Name, previous+gap)
 	s.arrivals = append(s.arrivals, a)
 	s.clock.After(gap, func() {
 		s.clock.After(callerDelay, func() { s.handleArrival(a) })
-		s.scheduleArrival(r, after+gap)
+		s.scheduleArrival(r, previous+gap)
 	})
 }
 
+// randomGateway returns a random gateway of a region.
 func (s *Simulation) randomGateway(region string) *gateway {
 	gateways := s.gateways[region]
 	return gateways[s.random.IntN(len(gateways))]
 }
 
+// elapsed returns the time since the start.
 func (s *Simulation) elapsed() time.Duration { return s.clock.Now().Sub(s.start) }
