--- a/dispatch/failing_test.go
+++ b/dispatch/failing_test.go
@@ -95,10 +95,10 @@
 	return acquire(t, g, dispatch.Ask{ID: fmt.Sprint("any", n), Service: "review", Prompt: dispatch.Prompt{TokensIn: 10, TokensOut: 10}})
 }
 
-// TestRequestsThatFailAtAnyEngineStayInRegion has one in seven requests of a route fail
-// for its own reasons at the region's only engine. Such failures must not count against
-// the engine: apart from chance, neither this route's requests nor others may go to
-// another region.
+// TestRequestsThatFailAtAnyEngineStayInRegion has one in seven requests of a route fail,
+// as they would at any engine. Such failures must not count against the region's only
+// engine: apart from chance, neither this route's requests nor others may go to another
+// region.
 func TestRequestsThatFailAtAnyEngineStayInRegion(t *testing.T) {
 	env := newTestEnv(1, 1)
 	g := env.gateways[0]
@@ -143,5 +143,5 @@
 		ticket.Done(outcome)
 		env.advance(50 * time.Millisecond)
 	}
-	must.Less(t, 30, sentAfter, must.Sprint("of 200 requests with failures"))
+	must.Less(t, 30, sentAfter, must.Sprint("of the 200 requests after i-0 began to fail"))
 }
--- a/internal/dispatchbench/exchange.go
+++ b/internal/dispatchbench/exchange.go
@@ -14,13 +14,13 @@
 // request is handed over to another region.
 type exchange struct {
 	arrival     *arrival
-	deadline    time.Duration
-	tried       []string // IDs of the engines that it was sent to
-	failedSends int      // answers that failed
+	deadline    time.Duration // since the start of the simulation
+	tried       []string      // IDs of the engines that it was sent to
+	failedSends int           // answers that failed
 	engine      *engine
 	active      *activeRequest
 	lastEvent   time.Duration  // when the caller received the last event
-	remote      *dispatch.Away // nil if it runs in the first region
+	remote      *dispatch.Away // set if package dispatch handed it over to another region
 }
 
 // endRemote ends the counting of the request as load of another region.
--- a/internal/dispatchbench/traffic.go
+++ b/internal/dispatchbench/traffic.go
@@ -54,8 +54,8 @@
 // arrival is one request of a caller, and its outcome.
 type arrival struct {
 	kind        *RequestKind
-	region      string // of the caller
-	at          time.Duration
+	region      string        // of the caller
+	at          time.Duration // since the start of the simulation
 	id          string
 	blocks      []block
 	tokensIn    int
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -49,8 +49,8 @@
 	connectFailureDelay = 3 * time.Millisecond
 	// registrationDelay is how long it takes until a started engine is registered.
 	registrationDelay = 150 * time.Millisecond
-	// failureDetectionTime is how long it takes until a crashed engine is removed from
-	// the registry.
+	// failureDetectionTime is how long it takes until a crashed engine, which sends no
+	// more heartbeats, is removed from the registry.
 	failureDetectionTime = 4200 * time.Millisecond
 	heartbeatInterval    = 1200 * time.Millisecond
 	// rereadWindow is how long after its last use a shared block that must be read counts
