--- a/route/policy.go
+++ b/route/policy.go
@@ -1,27 +1,30 @@
-// This file defines the ways of choosing an engine: the one in use and the
-// baselines that it is measured against.
+// This file defines the policies that choose an engine: PrefixBounded, which
+// gateways use, and the baselines that it is compared with.
 
 package route
 
 import "time"
 
-// Policy is the sealed set of ways to choose an engine. The zero value of each
-// is ready for use.
+// Policy selects how Choose picks an engine. Only the types of this package
+// implement it; the zero value of each is ready for use.
 type Policy interface{ policy() }
 
-// Random takes any engine that can take the request.
+// Random picks any eligible engine.
 type Random struct{}
 
-// FewestInFlight takes the engine with the fewest requests of this host.
+// FewestInFlight picks the eligible engine with the fewest requests in flight
+// from this host.
 type FewestInFlight struct{}
 
-// TwoChoices takes the less loaded of two engines drawn at random.
+// TwoChoices draws two eligible engines at random and picks the less utilised
+// one.
 type TwoChoices struct{}
 
-// PrefixBounded weighs the engines that hold the prompt's prefix against a few
-// drawn at random, by the expected time to the first token: the wait for a
-// slot and the reading of what is not cached. A holder that is loaded beyond
-// its bound is out, so that one hot prefix can't drown one engine.
+// PrefixBounded compares the engines that have the prompt's prefix cached with
+// a few engines drawn at random, and picks the one with the lowest expected
+// time to the first token: the wait for a slot plus the prefill of the blocks
+// that are not cached. A cache holder whose utilisation exceeds a bound is
+// skipped, so that a single hot prefix can't overload one engine.
 type PrefixBounded struct{}
 
 func (Random) policy()         {}
@@ -29,24 +32,25 @@
 func (TwoChoices) policy()     {}
 func (PrefixBounded) policy()  {}
 
-// Choose gives the engine for a request. random is any 64 uniform bits; equal
-// arguments give equal choices. It doesn't allocate.
-func Choose(p Policy, v *View, a *Ask, random uint64) Choice {
+// Choose picks an engine for a request, or returns None if none is
+// eligible. random is 64 uniformly distributed bits; equal arguments yield
+// equal choices. Choose doesn't allocate.
+func Choose(p Policy, v *View, req *Ask, random uint64) Choice {
 	switch p.(type) {
 	case Random:
-		return chooseRandom(v, a, random)
+		return chooseRandom(v, req, random)
 	case FewestInFlight:
-		return chooseFewest(v, a, random)
+		return chooseFewestInFlight(v, req, random)
 	case TwoChoices:
-		return chooseTwo(v, a, random)
+		return chooseTwoChoices(v, req, random)
 	default:
-		return choosePrefix(v, a, random)
+		return choosePrefixBounded(v, req, random)
 	}
 }
 
-// draw gives the first engine that can take the request, from a random start.
-// other, if not negative, is passed over.
-func draw(v *View, a *Ask, random uint64, other int) int {
+// firstEligible returns the index of the first eligible engine, scanning from a
+// random position, or -1. It skips the index exclude if that isn't negative.
+func firstEligible(v *View, req *Ask, random uint64, exclude int) int {
 	n := len(v.Engines)
 	if n == 0 {
 		return -1
@@ -54,32 +58,33 @@
 	start := int(random % uint64(n))
 	for k := range n {
 		i := (start + k) % n
-		if i != other && judge(v, a, i) == RefusedNot {
+		if i != exclude && exclusion(v, req, i) == RefusedNot {
 			return i
 		}
 	}
 	return -1
 }
 
-func chooseRandom(v *View, a *Ask, random uint64) Choice {
-	i := draw(v, a, random, -1)
+func chooseRandom(v *View, req *Ask, random uint64) Choice {
+	i := firstEligible(v, req, random, -1)
 	if i < 0 {
 		return None
 	}
 	return Choice{Index: i, Reason: "random"}
 }
 
-func chooseFewest(v *View, a *Ask, random uint64) Choice {
+func chooseFewestInFlight(v *View, req *Ask, random uint64) Choice {
 	best := None
 	n := len(v.Engines)
 	if n == 0 {
 		return best
 	}
-	// The remainder is taken first: a sum that overflows would pass engines over.
+	// The remainder is computed before k is added: if random+k overflowed, the
+	// scan would skip engines.
 	start := int(random % uint64(n))
 	for k := range n {
 		i := (start + k) % n
-		if judge(v, a, i) != RefusedNot {
+		if exclusion(v, req, i) != RefusedNot {
 			continue
 		}
 		if best.Index < 0 || v.Engines[i].InFlight < v.Engines[best.Index].InFlight {
@@ -89,56 +94,58 @@
 	return best
 }
 
-func chooseTwo(v *View, a *Ask, random uint64) Choice {
-	first := draw(v, a, random, -1)
+func chooseTwoChoices(v *View, req *Ask, random uint64) Choice {
+	first := firstEligible(v, req, random, -1)
 	if first < 0 {
 		return None
 	}
-	second := draw(v, a, mix(random), first)
+	second := firstEligible(v, req, splitmix64(random), first)
 	if second >= 0 && v.Engines[second].utilisation() < v.Engines[first].utilisation() {
 		first = second
 	}
 	return Choice{Index: first, Reason: "two choices"}
 }
 
-// drawn is how many engines PrefixBounded draws at random. A sample, rather than
-// all, keeps the cost of a decision flat and hosts from acting as one.
-const drawn = 16
+// sampleSize is the number of engines that PrefixBounded draws at random.
+// Sampling keeps the cost of a decision constant and prevents hosts from all
+// choosing the same engine.
+const sampleSize = 16
 
-// A holder of the prefix may be loaded up to loadBound times the mean
-// utilisation of those drawn, or leastBound if that is more.
+// A cache holder is considered while its utilisation is at most
+// holderBoundFactor times the mean utilisation of the sampled engines, or
+// minHolderBound if that is greater.
 const (
-	loadBound  = 1.25
-	leastBound = 0.8
+	holderBoundFactor = 1.25
+	minHolderBound    = 0.8
 )
 
-func choosePrefix(v *View, a *Ask, random uint64) Choice {
+func choosePrefixBounded(v *View, req *Ask, random uint64) Choice {
 	best := None
 	sum, n := 0.0, 0
-	for range min(drawn, len(v.Engines)) {
-		i := draw(v, a, random, best.Index)
-		random = mix(random)
+	for range min(sampleSize, len(v.Engines)) {
+		i := firstEligible(v, req, random, best.Index)
+		random = splitmix64(random)
 		if i >= 0 {
 			sum += v.Engines[i].utilisation()
 			n++
-			best = better(v, a, best, Choice{Index: i, Hit: v.hit(a, i), Reason: "expected time"})
+			best = lowerScore(v, req, best, Choice{Index: i, Hit: v.cachedBlocks(req, i), Reason: "expected time"})
 		}
 	}
 	if best.Index < 0 || v.Cached == nil {
 		return best
 	}
-	bound := max(leastBound, loadBound*sum/float64(n))
-	for blocks := len(a.PrefixChain); blocks > 0; blocks-- {
-		holders := v.Cached.Holders(a.PrefixChain[blocks-1])
+	bound := max(minHolderBound, holderBoundFactor*sum/float64(n))
+	for blocks := len(req.PrefixChain); blocks > 0; blocks-- {
+		holders := v.Cached.Holders(req.PrefixChain[blocks-1])
 		for _, holder := range holders {
 			i := int(holder) - 1
-			if i < 0 || i >= len(v.Engines) || judge(v, a, i) != RefusedNot {
+			if i < 0 || i >= len(v.Engines) || exclusion(v, req, i) != RefusedNot {
 				continue
 			}
 			if v.Engines[i].utilisation() > bound {
 				continue
 			}
-			best = better(v, a, best, Choice{Index: i, Hit: blocks, Reason: "prefix"})
+			best = lowerScore(v, req, best, Choice{Index: i, Hit: blocks, Reason: "prefix"})
 		}
 		if best.Hit >= blocks {
 			break
@@ -147,38 +154,42 @@
 	return best
 }
 
-func better(v *View, a *Ask, old, candidate Choice) Choice {
-	candidate.Score = v.score(a, candidate)
+// lowerScore computes the candidate's score and returns the choice with the
+// lower score. Any candidate replaces None.
+func lowerScore(v *View, req *Ask, old, candidate Choice) Choice {
+	candidate.Score = v.score(req, candidate)
 	if old.Index < 0 || candidate.Score < old.Score {
 		return candidate
 	}
 	return old
 }
 
-// score is the expected time to the first token.
-func (v *View) score(a *Ask, c Choice) time.Duration {
+// score returns the expected time to the first token, including a penalty for
+// utilisation.
+func (v *View) score(req *Ask, c Choice) time.Duration {
 	e := &v.Engines[c.Index]
-	cold := a.Prefill
-	if n := len(a.PrefixChain); n > 0 {
-		cold = a.Prefill * time.Duration(n-c.Hit) / time.Duration(n)
+	prefill := req.Prefill
+	if n := len(req.PrefixChain); n > 0 {
+		prefill = req.Prefill * time.Duration(n-c.Hit) / time.Duration(n)
 	}
-	// Before an engine is full it already slows, and leaves less room for
-	// the next burst: a cost that rises with the square.
+	// An engine slows down before all its slots are in use, and a busier engine
+	// has less headroom for the next burst. The penalty is quadratic.
 	utilisation := e.utilisation()
-	crowding := time.Duration(utilisation * utilisation * float64(crowdingTime))
-	return e.expectedWait() + cold + crowding
+	penalty := time.Duration(utilisation * utilisation * float64(fullBatchPenalty))
+	return e.expectedWait() + prefill + penalty
 }
 
-// crowdingTime is what placing a request on a full batch is taken to cost.
-const crowdingTime = 200 * time.Millisecond
+// fullBatchPenalty is the assumed cost of adding a request to a full batch.
+const fullBatchPenalty = 200 * time.Millisecond
 
-// hit counts the blocks of the prompt that the engine is believed to hold.
-func (v *View) hit(a *Ask, engine int) int {
+// cachedBlocks returns how many leading blocks of the prompt the engine has
+// cached, according to the prefix index.
+func (v *View) cachedBlocks(req *Ask, engine int) int {
 	if v.Cached == nil {
 		return 0
 	}
-	for blocks := len(a.PrefixChain); blocks > 0; blocks-- {
-		for _, holder := range v.Cached.Holders(a.PrefixChain[blocks-1]) {
+	for blocks := len(req.PrefixChain); blocks > 0; blocks-- {
+		for _, holder := range v.Cached.Holders(req.PrefixChain[blocks-1]) {
 			if int(holder)-1 == engine {
 				return blocks
 			}
@@ -187,37 +198,38 @@
 	return 0
 }
 
-// mix gives the next number of a sequence with full period (splitmix64,
-// https://prng.di.unimi.it/splitmix64.c).
-func mix(x uint64) uint64 {
+// splitmix64 returns the next value of a pseudo-random sequence with full
+// period (https://prng.di.unimi.it/splitmix64.c).
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-// Explained is one line of an explanation.
+// Explained reports how one engine was rated for a request.
 type Explained struct {
 	Engine  string        `json:"engine"`
-	Refused string        `json:"refused"` // "considered", or why not
-	Score   time.Duration `json:"score"`
-	Hit     int           `json:"hit"`
+	Refused string        `json:"refused"` // "considered", or the reason for the exclusion
+	Score   time.Duration `json:"score"`   // expected time to the first token
+	Hit     int           `json:"hit"`     // cached prefix blocks
 	Load    float64       `json:"load"`
 	Slots   int           `json:"slots"`
 	Health  string        `json:"health"`
 }
 
-// Explain gives every engine's score, or the reason that it is refused.
-func Explain(v *View, a *Ask) []Explained {
+// Explain returns the score of every engine, and for each engine that is not
+// eligible the reason.
+func Explain(v *View, req *Ask) []Explained {
 	out := make([]Explained, len(v.Engines))
 	for i := range v.Engines {
 		e := &v.Engines[i]
-		hit := v.hit(a, i)
+		cached := v.cachedBlocks(req, i)
 		out[i] = Explained{
 			Engine:  e.Name,
-			Refused: judge(v, a, i).String(),
-			Score:   v.score(a, Choice{Index: i, Hit: hit}),
-			Hit:     hit,
+			Refused: exclusion(v, req, i).String(),
+			Score:   v.score(req, Choice{Index: i, Hit: cached}),
+			Hit:     cached,
 			Load:    e.Load(),
 			Slots:   e.Slots,
 			Health:  e.Health.String(),
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -1,54 +1,56 @@
-// This file defines the estimate of which engine holds which prompt prefix.
+// This file defines the index of the prompt prefixes that engines have cached.
 
 package route
 
-// maxHolders is how many engines are remembered for one prefix.
+// maxHolders is the number of engines recorded per prefix.
 const maxHolders = 4
 
-// Holders lists engines as their index plus one; 0 is an empty place.
+// Holders lists the engines that have a prefix cached, most recently recorded
+// first. An entry is the engine's index plus one; 0 is an unused entry.
 type Holders [maxHolders]int32
 
-// PrefixIndex remembers where prefixes were sent, in bounded memory: two
-// generations of at most size entries, of which the older is dropped when the
-// younger is full. The index is a guess: engines evict on their own, and their
-// events come late and with gaps.
+// PrefixIndex records which engines received which prompt prefixes. Its memory
+// is bounded: it has two generations of at most size entries, and when the
+// current one is full, the previous one is dropped. The index is an estimate:
+// engines evict blocks on their own, and their eviction events arrive late and
+// with gaps.
 type PrefixIndex struct {
-	size         int
-	young, older map[uint64]Holders
+	size              int
+	current, previous map[uint64]Holders
 }
 
-// NewPrefixIndex makes an index of at most 2*size prefixes.
+// NewPrefixIndex returns an index of at most 2*size prefixes.
 func NewPrefixIndex(size int) *PrefixIndex {
-	return &PrefixIndex{size: size, young: make(map[uint64]Holders), older: make(map[uint64]Holders)}
+	return &PrefixIndex{size: size, current: make(map[uint64]Holders), previous: make(map[uint64]Holders)}
 }
 
-// Holders gives the engines believed to hold the prefix.
+// Holders returns the engines that probably have the prefix cached.
 func (x *PrefixIndex) Holders(prefix uint64) Holders {
-	if h, ok := x.young[prefix]; ok {
+	if h, ok := x.current[prefix]; ok {
 		return h
 	}
-	return x.older[prefix]
+	return x.previous[prefix]
 }
 
-// Add notes that an engine has read the prompt of these prefixes. The engine
-// noted longest ago falls out.
+// Add records that an engine has processed a prompt with these prefixes. If a
+// prefix has too many holders, the one recorded longest ago is dropped.
 func (x *PrefixIndex) Add(chain []uint64, engine int) {
 	for _, prefix := range chain {
 		holders := x.Holders(prefix)
-		at := maxHolders - 1
+		pos := maxHolders - 1
 		for i, h := range holders {
 			if h == int32(engine+1) {
-				at = i
+				pos = i
 				break
 			}
 		}
-		copy(holders[1:at+1], holders[:at])
+		copy(holders[1:pos+1], holders[:pos])
 		holders[0] = int32(engine + 1)
 		x.put(prefix, holders)
 	}
 }
 
-// Remove notes that an engine has evicted a prefix.
+// Remove records that an engine has evicted a prefix.
 func (x *PrefixIndex) Remove(prefix uint64, engine int) {
 	holders := x.Holders(prefix)
 	for i, h := range holders {
@@ -61,12 +63,13 @@
 	}
 }
 
-// Len gives the number of entries, those in both generations counted twice.
-func (x *PrefixIndex) Len() int { return len(x.young) + len(x.older) }
+// Len returns the number of entries. A prefix that is in both generations
+// counts twice.
+func (x *PrefixIndex) Len() int { return len(x.current) + len(x.previous) }
 
 func (x *PrefixIndex) put(prefix uint64, holders Holders) {
-	if len(x.young) >= x.size {
-		x.older, x.young = x.young, make(map[uint64]Holders, x.size)
+	if len(x.current) >= x.size {
+		x.previous, x.current = x.current, make(map[uint64]Holders, x.size)
 	}
-	x.young[prefix] = holders
+	x.current[prefix] = holders
 }
--- a/route/region.go
+++ b/route/region.go
@@ -1,4 +1,4 @@
-// This file defines the choice of region.
+// This file defines the choice of a region for a request.
 
 package route
 
@@ -7,191 +7,209 @@
 	"time"
 )
 
-// Digest is what is known of one region's engines for one service.
+// Digest summarises the load and capacity of one region's engines for one
+// service.
 type Digest struct {
 	Region      string
 	Slots       int // of healthy engines
-	Load        int // running and waiting there
+	Load        int // requests running and waiting in the region
 	ServiceTime time.Duration
-	At          time.Time     // when the region measured it
-	RoundTrip   time.Duration // from here; 0 for home
-	Cost        float64       // of an engine there, relative
-	Cut         bool          // can't be reached now
+	At          time.Time     // when the region measured the load
+	RoundTrip   time.Duration // RTT from this host; 0 for the home region
+	Cost        float64       // relative cost of an engine
+	Cut         bool          // the region is unreachable
 }
 
-// maxDigestAge is how long a digest counts; an older one says nothing.
+// maxDigestAge is the age at which a digest stops being usable.
 const maxDigestAge = 10 * time.Second
 
-// wait estimates the time until a slot is free for one more request: the
-// backlog, and the wait that random arrivals cause before there is one
-// (Sakasegawa's approximation for many servers, 1977). tail is how many times
-// the mean counts; a wait at the 99th percentile is some 4.6 times the mean. What
-// a region had free is trusted less the older the word of it is.
-func (d *Digest) wait(now time.Time, tail float64) time.Duration {
+// expectedWait estimates the time until a slot is free for one more request. It
+// is the sum of the time to clear the backlog and the queueing delay that random
+// arrivals cause before there is a backlog (Sakasegawa's approximation for
+// multi-server queues, 1977). queueingWeight scales the mean queueing delay; the
+// 99th percentile is about 4.6 times the mean. For a remote region, the free
+// slots that the digest reports count less the older the digest is.
+func (d *Digest) expectedWait(now time.Time, queueingWeight float64) time.Duration {
 	slots := float64(d.Slots)
 	if slots == 0 {
 		return math.MaxInt64 / 4
 	}
 	load := float64(d.Load + 1)
 	if d.RoundTrip > 0 {
-		stale := min(1, float64(now.Sub(d.At))/float64(maxDigestAge))
-		load += stale * max(0, slots-load)
+		staleness := min(1, float64(now.Sub(d.At))/float64(maxDigestAge))
+		load += staleness * max(0, slots-load)
 	}
-	busy := min(load/slots, maxBusy)
-	random := math.Pow(busy, math.Sqrt(2*(slots+1))-1) / (slots * (1 - busy))
+	utilisation := min(load/slots, maxQueueingUtilisation)
+	queueing := math.Pow(utilisation, math.Sqrt(2*(slots+1))-1) / (slots * (1 - utilisation))
 	backlog := max(0, load-slots) / slots
-	return time.Duration((backlog + tail*random) * float64(max(d.ServiceTime, time.Millisecond)))
+	return time.Duration((backlog + queueingWeight*queueing) * float64(max(d.ServiceTime, time.Millisecond)))
 }
 
-// maxBusy bounds the share of busy slots in the estimate of random waits.
-const maxBusy = 0.97
+// maxQueueingUtilisation caps the utilisation used for the queueing delay,
+// which goes to infinity as utilisation approaches 1.
+const maxQueueingUtilisation = 0.97
 
-// free estimates how many slots a region has free.
-func (d *Digest) free(now time.Time) float64 {
-	stale := min(1, float64(now.Sub(d.At))/float64(maxDigestAge))
-	return max(0, float64(d.Slots-d.Load)*(1-stale))
+// freeSlots estimates the number of free slots in a region. The estimate
+// decreases linearly to 0 as the digest reaches maxDigestAge.
+func (d *Digest) freeSlots(now time.Time) float64 {
+	staleness := min(1, float64(now.Sub(d.At))/float64(maxDigestAge))
+	return max(0, float64(d.Slots-d.Load)*(1-staleness))
 }
 
-// Weights says what a service's operators care about.
+// Weights holds the priorities that operators set for a service.
 type Weights struct {
-	Tail   float64
-	Cost   float64
-	Away   float64
-	Target time.Duration // for the first token
+	Tail   float64       // weight of tail latency
+	Cost   float64       // weight of engine cost
+	Away   float64       // weight of keeping requests in the home region
+	Target time.Duration // target for the time to the first token
 }
 
-// RegionAsk is what the choice of region needs to know of the request.
+// RegionAsk describes a request for the choice of a region.
 type RegionAsk struct {
+	// Permitted reports whether selectors allow the region; nil allows all.
 	Permitted func(region string) bool
-	Prefill   time.Duration // to read the prompt into a cold cache
-	// Warm is the share of the prompt believed cached at home, 0 to 1.
+	Prefill   time.Duration // time to prefill the prompt with an empty cache
+	// Warm is the estimated share of the prompt that is cached in the home
+	// region, 0 to 1.
 	Warm float64
 }
 
-// RegionChoice is the outcome. Index is -1 where no region is permitted and
-// reachable.
+// RegionChoice is the result of ChooseRegion.
 type RegionChoice struct {
-	Index  int
+	Index  int // into the digests; -1 if no region is permitted and reachable
 	Reason string
-	// Expected is the time to the first token that the choice was made for.
+	// Expected is the expected time to the first token in the chosen region.
 	Expected time.Duration
 }
 
-// awayMargin is how much better than home another region must be, where only
-// the share sent away counts.
-const awayMargin = 500 * time.Millisecond
+// remoteMargin is the margin by which the expected time of a remote region must
+// beat that of the home region if locality is the only priority. It scales with
+// localityWeight.
+const remoteMargin = 500 * time.Millisecond
 
-// awayShare weighs the share sent away against tail latency, 0 to 1. Weights
-// that say nothing weigh both the same.
-func (w *Weights) awayShare() float64 {
+// localityWeight returns the weight, 0 to 1, of keeping requests in the home
+// region relative to tail latency. If neither weight is set, both count the
+// same.
+func (w *Weights) localityWeight() float64 {
 	if w.Tail+w.Away == 0 {
 		return 0.5
 	}
 	return w.Away / (w.Tail + w.Away)
 }
 
-// tail is how many times the mean random wait counts.
-func (w *Weights) tail() float64 { return 1 + (tailFactor-1)*(1-w.awayShare()) }
-
-// tailFactor is what an exponential wait's 99th percentile is to its mean.
-const tailFactor = 4.6
-
-// patience is the expected time to the first token at home up to which nothing
-// goes away. It rises from nothing, where only tail latency counts, to several
-// times the target, where only the share sent away does: the expectation is
-// that of the slowest, and most of the requests are faster.
-func (w *Weights) patience() time.Duration {
-	share := w.awayShare()
-	return time.Duration(patienceFactor * share * share * float64(w.Target))
+// queueingWeight returns the factor for the mean queueing delay. It ranges from
+// 1, if only locality counts, to p99ToMean, if only tail latency counts.
+func (w *Weights) queueingWeight() float64 { return 1 + (p99ToMean-1)*(1-w.localityWeight()) }
+
+// p99ToMean is the ratio of the 99th percentile to the mean of an exponential
+// distribution (ln 100).
+const p99ToMean = 4.6
+
+// homeThreshold returns the expected time to the first token in the home region
+// up to which every request stays there. It rises from 0, if only tail latency
+// counts, to homeThresholdFactor times the target, if only locality counts. It
+// may exceed the target because the expectation is for the slowest requests and
+// most requests are faster.
+func (w *Weights) homeThreshold() time.Duration {
+	locality := w.localityWeight()
+	return time.Duration(homeThresholdFactor * locality * locality * float64(w.Target))
 }
 
-const patienceFactor = 4
+const homeThresholdFactor = 4
 
-// ChooseRegion picks the region for a request. home is the index of the
-// region in which this host stands and is preferred: a request goes elsewhere
-// only if home can't meet the target and another region can do better by more
-// than the operators' margin, wide-area trip and cold cache counted.
+// ChooseRegion picks the region for a request. home is the index of this host's
+// own region, or negative. The home region is preferred: a request goes to a
+// remote region only if home can't meet the target and the remote region is
+// faster by more than the operators' margin, with the wide-area round trip and
+// the cold cache included.
+//
+// Two measures prevent a thundering herd of hosts that have the same stale
+// digest. Only the share of requests that exceeds the capacity of the home
+// region goes to remote regions, and the remote region is drawn at random in
+// proportion to free slots rather than taken as the best.
 //
-// Two things keep hosts that see the same old digest from acting as one. Only
-// that share of requests goes away which home can't take; and the region is
-// drawn by free slots, not by rank. random is any 64 uniform bits.
-func ChooseRegion(now time.Time, digests []Digest, home int, w Weights, a *RegionAsk, random uint64) RegionChoice {
-	homeOK := home >= 0 && (a.Permitted == nil || a.Permitted(digests[home].Region)) && digests[home].Slots > 0
-	if homeOK {
-		expected := digests[home].wait(now, w.tail()) + cold(a.Prefill, a.Warm)
-		if expected <= w.patience() {
+// random is 64 uniformly distributed bits.
+func ChooseRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionAsk, random uint64) RegionChoice {
+	homeUsable := home >= 0 && (req.Permitted == nil || req.Permitted(digests[home].Region)) && digests[home].Slots > 0
+	if homeUsable {
+		expected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.Prefill, req.Warm)
+		if expected <= w.homeThreshold() {
 			return RegionChoice{Index: home, Reason: "home meets the target", Expected: expected}
 		}
-		if !drawExcess(&digests[home], &w, now, random) {
+		if !inHomeExcess(&digests[home], &w, now, random) {
 			return RegionChoice{Index: home, Reason: "home's share", Expected: expected}
 		}
 	}
-	best := drawRegion(now, digests, home, w, a, mix(random), maxDigestAge)
-	if !homeOK {
-		if best.Index < 0 { // old word is better than none
-			best = drawRegion(now, digests, home, w, a, mix(random), math.MaxInt64)
+	remote := drawRemoteRegion(now, digests, home, w, req, splitmix64(random), maxDigestAge)
+	if !homeUsable {
+		if remote.Index < 0 { // a stale digest is better than none
+			remote = drawRemoteRegion(now, digests, home, w, req, splitmix64(random), math.MaxInt64)
 		}
-		return best
+		return remote
 	}
-	stay := digests[home].wait(now, w.tail()) + cold(a.Prefill, a.Warm)
-	margin := time.Duration(w.awayShare() * float64(awayMargin))
-	if best.Index < 0 || best.Expected+margin >= stay {
-		return RegionChoice{Index: home, Reason: "no other region is better", Expected: stay}
+	homeExpected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.Prefill, req.Warm)
+	margin := time.Duration(w.localityWeight() * float64(remoteMargin))
+	if remote.Index < 0 || remote.Expected+margin >= homeExpected {
+		return RegionChoice{Index: home, Reason: "no other region is better", Expected: homeExpected}
 	}
-	return best
+	return remote
 }
 
-func cold(prefill time.Duration, warm float64) time.Duration {
-	return time.Duration((1 - warm) * float64(prefill))
+// uncachedPrefill returns the prefill time for the part of a prompt that isn't
+// cached.
+func uncachedPrefill(prefill time.Duration, cachedShare float64) time.Duration {
+	return time.Duration((1 - cachedShare) * float64(prefill))
 }
 
-// drawExcess decides whether this request belongs to the share that home can't
-// take within its target.
-func drawExcess(home *Digest, w *Weights, now time.Time, random uint64) bool {
-	wait := float64(home.wait(now, w.tail()))
-	over := wait - float64(w.patience())
-	if over <= 0 {
+// inHomeExcess reports whether this request falls into the share of requests that
+// the home region can't serve within homeThreshold. The share is drawn at random.
+func inHomeExcess(home *Digest, w *Weights, now time.Time, random uint64) bool {
+	expected := float64(home.expectedWait(now, w.queueingWeight()))
+	excess := expected - float64(w.homeThreshold())
+	if excess <= 0 {
 		return false
 	}
-	share := over / wait
+	share := excess / expected
 	return float64(random>>11)/(1<<53) < share
 }
 
-// drawRegion draws one of the other regions by free slots over cost and time,
-// among those whose digest is not older than maxAge.
-func drawRegion(now time.Time, digests []Digest, home int, w Weights, a *RegionAsk, random uint64, maxAge time.Duration) RegionChoice {
+// drawRemoteRegion draws a remote region at random, in proportion to its
+// regionWeight. It ignores regions whose digest is older than maxAge.
+func drawRemoteRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionAsk, random uint64, maxAge time.Duration) RegionChoice {
 	total := 0.0
 	for i := range digests {
-		total += regionWeight(now, &digests[i], i == home, w, a, maxAge)
+		total += regionWeight(now, &digests[i], i == home, w, req, maxAge)
 	}
 	if total == 0 {
 		return RegionChoice{Index: -1, Reason: "no permitted region can be reached"}
 	}
-	at := float64(random>>11) / (1 << 53) * total
-	last := -1
+	remaining := float64(random>>11) / (1 << 53) * total
+	chosen := -1
 	for i := range digests {
-		weight := regionWeight(now, &digests[i], i == home, w, a, maxAge)
+		weight := regionWeight(now, &digests[i], i == home, w, req, maxAge)
 		if weight == 0 {
 			continue
 		}
-		last = i
-		if at -= weight; at < 0 {
+		chosen = i
+		if remaining -= weight; remaining < 0 {
 			break
 		}
 	}
-	d := &digests[last]
-	return RegionChoice{Index: last, Reason: "away", Expected: d.wait(now, w.tail()) + d.RoundTrip + a.Prefill}
+	d := &digests[chosen]
+	return RegionChoice{Index: chosen, Reason: "away", Expected: d.expectedWait(now, w.queueingWeight()) + d.RoundTrip + req.Prefill}
 }
 
-// leastWeight keeps a region drawable whose digest shows nothing free: it may
-// still be the only one that is permitted.
-const leastWeight = 1e-3
+// minRegionWeight keeps a region without free slots eligible, because it may be
+// the only permitted one.
+const minRegionWeight = 1e-3
 
-func regionWeight(now time.Time, d *Digest, isHome bool, w Weights, a *RegionAsk, maxAge time.Duration) float64 {
-	if isHome || d.Cut || now.Sub(d.At) > maxAge || d.Slots == 0 || (a.Permitted != nil && !a.Permitted(d.Region)) {
+// regionWeight returns the free slots of a region divided by its latency and cost
+// factors, or 0 if the region isn't eligible.
+func regionWeight(now time.Time, d *Digest, isHome bool, w Weights, req *RegionAsk, maxAge time.Duration) float64 {
+	if isHome || d.Cut || now.Sub(d.At) > maxAge || d.Slots == 0 || (req.Permitted != nil && !req.Permitted(d.Region)) {
 		return 0
 	}
-	time := 1 + w.Tail*d.RoundTrip.Seconds()
-	cost := 1 + w.Cost*d.Cost
-	return (d.free(now) + leastWeight) / (time * cost)
+	latencyFactor := 1 + w.Tail*d.RoundTrip.Seconds()
+	costFactor := 1 + w.Cost*d.Cost
+	return (d.freeSlots(now) + minRegionWeight) / (latencyFactor * costFactor)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,9 @@
-// Package route chooses: an engine within a region, and the region itself.
+// Package route chooses the region for a request and the engine within a region.
 //
 // Every choice is a pure function of a view, a request and a random number, so
-// that it can be tested and measured without a network; the daemon calls the
-// same functions. What a host knows of an engine is an estimate with an age:
-// the engine's last report, corrected by the requests that this host has sent
-// and seen end since.
+// that tests and simulations run the same code as the daemon, without a network.
+// A host only has an estimate of an engine's load: the engine's last report,
+// corrected by the requests that this host has started and finished since then.
 package route
 
 import (
@@ -15,69 +14,72 @@
 	"github.com/linenscale/linenscale/pushback"
 )
 
-// Health says whether an engine may get new requests.
+// Health is the state of an engine. Only a Healthy engine gets new requests.
 type Health uint8
 
-// The states of health. The zero value is Healthy.
+// The health states. The zero value is Healthy.
 const (
 	Healthy     Health = iota
-	Ejected            // failing or far slower than its peers
-	Leaving            // its host is being reclaimed
-	Stopping           // an operator's label says to finish and stop
-	Unreachable        // probes and connections fail
+	Ejected            // an outlier: high failure rate, or far slower than its peers
+	Leaving            // draining, because the platform reclaims its host
+	Stopping           // an operator's label tells it to finish its requests and stop
+	Unreachable        // probes fail
 )
 
-// String gives the word used in logs.
+// String returns the name used in logs and explanations.
 func (h Health) String() string {
 	return [...]string{"healthy", "ejected", "leaving", "stopping", "unreachable"}[h]
 }
 
-// Engine is what one entry host knows of one engine.
+// Engine holds an entry host's state for one engine.
 type Engine struct {
 	Name    string
 	Address string
 	Place   permit.Place
 	Labels  declare.Labels
-	Model   string // empty: any model
-	Slots   int    // requests it runs side by side
+	Model   string // empty for any model
+	Slots   int    // requests that it runs concurrently
 	Cost    float64
 
-	InFlight   int     // requests of this host that have not ended
-	Others     float64 // requests of other hosts, smoothed over its reports
+	InFlight   int     // requests from this host in flight
+	Others     float64 // requests from other hosts, smoothed over reports
 	ReportedAt time.Time
-	// DistrustUntil is set where the engine's reports have been caught out.
+	// DistrustUntil is the time before which reports of the engine are ignored,
+	// because one of them contradicted this host's own count.
 	DistrustUntil time.Time
 
-	ServiceTime time.Duration // smoothed time that a request holds a slot
+	ServiceTime time.Duration // smoothed time that a request occupies a slot
 	Health      Health
-	Ramp        float64 // share of Slots open to this host; 0 means all
-	Limited     bool    // it names a limit of which this host has no share, or has used it
-	// Asked is what keeps this host's requests away by its own word; 0 for nothing.
+	Ramp        float64 // share of Slots that may be used; 0 means all
+	Limited     bool    // this host has used up its share of the engine's rate limit, or has none
+	// Asked is the pushback of the engine that excludes it for this host; 0 for
+	// none.
 	Asked pushback.Reason
 }
 
-// Load estimates how many requests the engine has now: those of this host,
-// which are known, and those of the others, as of its reports.
+// Load estimates the number of requests at the engine: the exact number from
+// this host plus the reported number from other hosts.
 func (e *Engine) Load() float64 { return float64(e.InFlight) + e.Others }
 
-// Parameters of the estimate.
+// Parameters of the load estimate.
 const (
-	// othersSmoothing is the weight of the newest report. What other hosts
-	// have at an engine changes faster than reports tell; hosts that all
-	// follow the same late report would all run to the same engine.
-	othersSmoothing = 0.2
-	// maxReportAge is how long a load report is believed.
+	// otherLoadSmoothing is the weight of the latest report. The load from other
+	// hosts changes faster than reports arrive, and hosts that all followed the
+	// same late report would all choose the same engine.
+	otherLoadSmoothing = 0.2
+	// maxReportAge is the age at which a load report becomes stale.
 	maxReportAge = 5 * time.Second
-	// distrustTime is how long an engine isn't believed that was caught.
-	distrustTime = 30 * time.Second
+	// ignoreReportsTime is how long reports are ignored after a wrong one.
+	ignoreReportsTime = 30 * time.Second
 )
 
-// WithReport gives the engine with a report taken in: total is what it had at
-// that time, own what this host had there at that time. An engine that claims
-// less than this host alone had isn't believed for a while.
+// WithReport returns the engine with a load report applied. At the time at, the
+// engine reported total requests and this host had own requests in flight there.
+// A total below own is wrong; reports of the engine are then ignored for
+// ignoreReportsTime.
 func (e Engine) WithReport(total, own int, at time.Time) Engine {
 	if total < own {
-		e.DistrustUntil = at.Add(distrustTime)
+		e.DistrustUntil = at.Add(ignoreReportsTime)
 	}
 	if at.Before(e.DistrustUntil) {
 		return e
@@ -86,35 +88,37 @@
 	if e.ReportedAt.IsZero() {
 		e.Others = others
 	} else {
-		e.Others += othersSmoothing * (others - e.Others)
+		e.Others += otherLoadSmoothing * (others - e.Others)
 	}
 	e.ReportedAt = at
 	return e
 }
 
-// believed tells whether the engine's own reports say what others have there.
-func (e *Engine) believed(now time.Time) bool {
+// reportUsable reports whether Others can be relied on: the latest report isn't
+// stale, and reports of the engine aren't being ignored.
+func (e *Engine) reportUsable(now time.Time) bool {
 	return now.Sub(e.ReportedAt) <= maxReportAge && !now.Before(e.DistrustUntil)
 }
 
-// FillOthers gives the engines whose reports are old or not believed the mean
-// of the others. Load is no less than this host knows even without it.
+// FillOthers sets Others of each engine whose report is stale or ignored to the
+// mean of the engines with a usable report.
 func FillOthers(engines []Engine, now time.Time) {
 	sum, n := 0.0, 0
 	for i := range engines {
-		if engines[i].believed(now) {
+		if engines[i].reportUsable(now) {
 			sum += engines[i].Others
 			n++
 		}
 	}
 	for i := range engines {
-		if e := &engines[i]; !e.believed(now) {
+		if e := &engines[i]; !e.reportUsable(now) {
 			e.Others = sum / float64(max(1, n))
 		}
 	}
 }
 
-// capacity is the number of requests the engine may hold at its present ramp.
+// capacity returns the number of requests that the engine may run at its current
+// ramp.
 func (e *Engine) capacity() float64 {
 	if e.Ramp > 0 && e.Ramp < 1 {
 		return max(1, e.Ramp*float64(e.Slots))
@@ -122,7 +126,8 @@
 	return float64(e.Slots)
 }
 
-// utilisation is load over capacity, with one more request counted in.
+// utilisation returns the load including one more request, divided by the
+// capacity.
 func (e *Engine) utilisation() float64 {
 	return (e.Load() + 1) / e.capacity()
 }
@@ -133,74 +138,75 @@
 	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(excess / e.capacity() * float64(e.serviceTime()))
+	return time.Duration(excess / e.capacity() * float64(e.serviceTimeOrDefault()))
 }
 
-// defaultServiceTime stands in until a request has ended.
+// defaultServiceTime is assumed until a request has finished.
 const defaultServiceTime = time.Second
 
-func (e *Engine) serviceTime() time.Duration {
+func (e *Engine) serviceTimeOrDefault() time.Duration {
 	if e.ServiceTime == 0 {
 		return defaultServiceTime
 	}
 	return e.ServiceTime
 }
 
-// View is what a choice is made from: the engines of one service in one
-// region, and where prompts' prefixes are believed to be cached.
+// View is the input of a choice: the engines of one service in one region, and
+// the prompt prefixes that they have cached.
 type View struct {
 	Now     time.Time
 	Engines []Engine
-	Cached  *PrefixIndex // nil: nothing is known
+	Cached  *PrefixIndex // nil if caches are not tracked
 }
 
-// Ask is what a choice needs to know of the request.
+// Ask describes a request for the choice of an engine.
 type Ask struct {
 	Model       string
-	PrefixChain []uint64      // hashes of the prompt's growing prefixes
-	Prefill     time.Duration // to read the whole prompt into a cold cache
-	// Permitted tells whether selectors allow the engine; nil allows all.
+	PrefixChain []uint64      // hashes of the prompt's first block, first two blocks, and so on
+	Prefill     time.Duration // time to prefill the whole prompt with an empty cache
+	// Permitted reports whether selectors allow the engine; nil allows all.
 	Permitted func(e *Engine) bool
-	// Tried holds the engines that earlier attempts went to.
+	// Tried holds the indexes of the engines that earlier attempts used.
 	Tried []int
 }
 
-// Refused says why an engine was not considered.
+// Refused is the reason why an engine is excluded from a choice.
 type Refused uint8
 
-// The reasons. The zero value means that it was considered.
+// The reasons. The zero value means that the engine was considered.
 const (
-	RefusedNot Refused = iota
-	RefusedHealth
-	RefusedModel
-	RefusedSelector
-	RefusedTried
-	RefusedLimited
-	RefusedResting
-	RefusedLeaving
-	RefusedFull
+	RefusedNot      Refused = iota
+	RefusedHealth           // not Healthy
+	RefusedModel            // serves another model
+	RefusedSelector         // not permitted by selectors
+	RefusedTried            // an earlier attempt used it
+	RefusedLimited          // this host's share of its rate limit is used up
+	RefusedResting          // it asked this host for backoff
+	RefusedLeaving          // it announced that it is draining
+	RefusedFull             // utilisation above maxUtilisation
 )
 
-// String gives the word used in logs and by explain.
+// String returns the name used in logs and explanations.
 func (r Refused) String() string {
 	return [...]string{"considered", "health", "model", "selector", "tried", "limited", "resting", "leaving", "full"}[r]
 }
 
-// judge tells whether one engine can take the request at all.
-func judge(v *View, a *Ask, i int) Refused {
+// exclusion returns why engine i can't serve the request, or RefusedNot if the
+// engine is eligible.
+func exclusion(v *View, req *Ask, i int) Refused {
 	e := &v.Engines[i]
 	if e.Health != Healthy {
 		return RefusedHealth
 	}
-	if e.Model != "" && a.Model != "" && e.Model != a.Model {
+	if e.Model != "" && req.Model != "" && e.Model != req.Model {
 		return RefusedModel
 	}
-	for _, tried := range a.Tried {
+	for _, tried := range req.Tried {
 		if tried == i {
 			return RefusedTried
 		}
 	}
-	if a.Permitted != nil && !a.Permitted(e) {
+	if req.Permitted != nil && !req.Permitted(e) {
 		return RefusedSelector
 	}
 	switch {
@@ -217,20 +223,20 @@
 	return RefusedNot
 }
 
-// maxUtilisation bounds what one host lets an engine hold: its slots and a few
-// waiting, so that a batch is refilled without a round trip.
+// maxUtilisation limits how many requests an engine may have: one for each slot
+// and a few waiting, so that the engine refills its batch without a round trip.
 const maxUtilisation = 1.125
 
-// Full tells whether the engine should get no more for now.
+// Full reports whether one more request would exceed the utilisation limit.
 func (e *Engine) Full() bool { return e.utilisation() > maxUtilisation }
 
-// Choice is the outcome of choosing an engine.
+// Choice is the result of Choose.
 type Choice struct {
-	Index  int // into View.Engines; -1 for none
-	Hit    int // blocks of the prompt believed to be cached there
-	Score  time.Duration
+	Index  int           // into View.Engines; -1 for none
+	Hit    int           // leading prompt blocks that the engine probably has cached
+	Score  time.Duration // expected time to the first token; set only by PrefixBounded
 	Reason string
 }
 
-// None is the choice of no engine.
+// None is returned if no engine is eligible.
 var None = Choice{Index: -1, Reason: "no engine can take it"}
