--- a/route/policy.go
+++ b/route/policy.go
@@ -32,7 +32,7 @@
 func (TwoChoices) policy()     {}
 func (PrefixBounded) policy()  {}
 
-// Choose picks an engine for a request, or returns None if none is
+// Choose picks an engine for a request, or returns NoChoice if none is
 // eligible. random is 64 uniformly distributed bits; equal arguments yield
 // equal choices. Choose doesn't allocate.
 func Choose(p Policy, v *View, req *Ask, random uint64) Choice {
@@ -68,13 +68,13 @@
 func chooseRandom(v *View, req *Ask, random uint64) Choice {
 	i := firstEligible(v, req, random, -1)
 	if i < 0 {
-		return None
+		return NoChoice
 	}
 	return Choice{Index: i, Reason: "random"}
 }
 
 func chooseFewestInFlight(v *View, req *Ask, random uint64) Choice {
-	best := None
+	best := NoChoice
 	n := len(v.Engines)
 	if n == 0 {
 		return best
@@ -97,7 +97,7 @@
 func chooseTwoChoices(v *View, req *Ask, random uint64) Choice {
 	first := firstEligible(v, req, random, -1)
 	if first < 0 {
-		return None
+		return NoChoice
 	}
 	second := firstEligible(v, req, splitmix64(random), first)
 	if second >= 0 && v.Engines[second].utilisation() < v.Engines[first].utilisation() {
@@ -120,7 +120,7 @@
 )
 
 func choosePrefixBounded(v *View, req *Ask, random uint64) Choice {
-	best := None
+	best := NoChoice
 	sum, n := 0.0, 0
 	for range min(sampleSize, len(v.Engines)) {
 		i := firstEligible(v, req, random, best.Index)
@@ -155,7 +155,7 @@
 }
 
 // lowerScore computes the candidate's score and returns the choice with the
-// lower score. Any candidate replaces None.
+// lower score. Any candidate replaces NoChoice.
 func lowerScore(v *View, req *Ask, old, candidate Choice) Choice {
 	candidate.Score = v.score(req, candidate)
 	if old.Index < 0 || candidate.Score < old.Score {
--- a/route/route.go
+++ b/route/route.go
@@ -44,9 +44,9 @@
 	InFlight   int     // requests from this host in flight
 	Others     float64 // requests from other hosts, smoothed over reports
 	ReportedAt time.Time
-	// DistrustUntil is the time before which reports of the engine are ignored,
+	// IgnoreReportsUntil is the time before which reports of the engine are ignored,
 	// because one of them contradicted this host's own count.
-	DistrustUntil time.Time
+	IgnoreReportsUntil time.Time
 
 	ServiceTime time.Duration // smoothed time that a request occupies a slot
 	Health      Health
@@ -79,9 +79,9 @@
 // ignoreReportsTime.
 func (e Engine) WithReport(total, own int, at time.Time) Engine {
 	if total < own {
-		e.DistrustUntil = at.Add(ignoreReportsTime)
+		e.IgnoreReportsUntil = at.Add(ignoreReportsTime)
 	}
-	if at.Before(e.DistrustUntil) {
+	if at.Before(e.IgnoreReportsUntil) {
 		return e
 	}
 	others := float64(total - own)
@@ -97,7 +97,7 @@
 // reportUsable reports whether Others can be relied on: the latest report isn't
 // stale, and reports of the engine aren't being ignored.
 func (e *Engine) reportUsable(now time.Time) bool {
-	return now.Sub(e.ReportedAt) <= maxReportAge && !now.Before(e.DistrustUntil)
+	return now.Sub(e.ReportedAt) <= maxReportAge && !now.Before(e.IgnoreReportsUntil)
 }
 
 // FillOthers sets Others of each engine whose report is stale or ignored to the
@@ -238,5 +238,5 @@
 	Reason string
 }
 
-// None is returned if no engine is eligible.
-var None = Choice{Index: -1, Reason: "no engine can take it"}
+// NoChoice is returned if no engine is eligible.
+var NoChoice = Choice{Index: -1, Reason: "no engine can take it"}
