--- a/admit/queue.go
+++ b/admit/queue.go
@@ -1,15 +1,17 @@
-// Package admit holds the queue of requests that wait for a slot.
+// Package admit provides the queue of requests that wait for an engine slot.
 //
-// The queue is bounded, knows deadlines and keeps three rules. A more urgent
-// class goes first, but every so many turns a less urgent one is served, so
-// that a long review is slowed and never starved. Within a class accounts
-// share by start-time fair queueing (Goyal, Vin and Cheng, 1996): an account
-// that floods the queue delays itself. A request that can't be done by its
-// deadline is refused on arrival, which costs its caller nothing but the
-// message; waiting until the deadline to refuse would hide the overload.
+// The queue is bounded and applies three rules:
 //
-// Queue is a plain value without locks or goroutines: its owner serialises
-// calls and wakes the waiters.
+//   - A more urgent class goes first, but a less urgent one is served at regular
+//     intervals, so that long batch work is slowed down and never starved.
+//   - Within a class, accounts share by start-time fair queueing (Goyal, Vin and
+//     Cheng, 1996): a burst from one account delays only that account.
+//   - A request that can't finish by its deadline is rejected on arrival, which
+//     costs the caller only the message. Rejecting it at the deadline would hide
+//     the overload.
+//
+// A Queue has no locks or goroutines: its owner serialises calls and wakes the
+// waiters.
 package admit
 
 import (
@@ -20,76 +22,79 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// classes is the number of priorities.
-const classes = 3
+// numClasses is the number of priority classes.
+const numClasses = 3
 
-// yieldEvery is how many turns a more urgent class has before a less urgent
-// one gets a turn.
+// yieldEvery sets how often a less urgent class is served: on every yieldEvery-th
+// turn on which a more urgent class has waiters too.
 const yieldEvery = 8
 
-// Waiter is one request in the queue. Tag is the owner's, to find whom to wake.
+// Waiter is a request in the queue.
 type Waiter[T any] struct {
-	Tag      T
+	Tag      T // data of the queue's owner, such as whom to wake
 	Account  string
-	Priority int // 0 is the most urgent
-	Cost     float64
+	Priority int     // 0 is the most urgent
+	Cost     float64 // cost in fair queueing
 	Deadline time.Time
-	// Need is the time that the request takes once it has a slot; with less
-	// than that before its deadline it is not started.
+	// Need is the time that the request takes once it has a slot. A request with
+	// less time before its deadline isn't started.
 	Need time.Duration
-	// MaxWait is the longest wait that its caller has use for; 0 for none
-	// but the deadline.
+	// MaxWait is the longest time that the caller accepts to wait for a slot; 0
+	// means that only the deadline applies. Push turns it into a deadline.
 	MaxWait time.Duration
 
-	start   float64
-	serial  uint64
-	at      int // in its heap; -1 once taken out
-	arrived time.Time
+	startTag  float64
+	seq       uint64
+	heapIndex int // index in its heap; -1 once removed
+	arrived   time.Time
 }
 
-// Arrived gives the time at which the waiter was pushed.
+// Arrived returns the time at which the waiter was first pushed.
 func (w *Waiter[T]) Arrived() time.Time { return w.arrived }
 
-// Queue holds waiters. New makes one.
+// Queue is a bounded priority queue with fair queueing per class. New returns an
+// empty one.
 type Queue[T any] struct {
-	limit   int
-	size    int
-	serial  uint64
-	turns   [classes]int
-	heaps   [classes]waiters[T]
-	virtual [classes]float64
-	finish  [classes]map[string]float64
+	limit       int
+	size        int
+	lastSeq     uint64
+	skips       [numClasses]int
+	heaps       [numClasses]waiterHeap[T]
+	virtualTime [numClasses]float64
+	finishTags  [numClasses]map[string]float64
 }
 
-// New makes a queue of at most limit waiters.
+// New returns a queue of at most limit waiters.
 func New[T any](limit int) *Queue[T] {
 	q := &Queue[T]{limit: limit}
-	for i := range q.finish {
-		q.finish[i] = make(map[string]float64)
+	for i := range q.finishTags {
+		q.finishTags[i] = make(map[string]float64)
 	}
 	return q
 }
 
-// Len gives the number of waiters.
+// Len returns the number of waiters.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Ahead counts the waiters that a request of this priority would wait for.
+// Ahead returns the number of waiters of this or a more urgent priority.
 func (q *Queue[T]) Ahead(priority int) int {
 	n := 0
-	for p := 0; p <= priority && p < classes; p++ {
+	for p := 0; p <= priority && p < numClasses; p++ {
 		n += q.heaps[p].Len()
 	}
 	return n
 }
 
-// Push adds a waiter, or refuses it: where the queue is full, or where the
-// wait that rate (requests started a second) promises ends too late. The
-// refusal's RetryAfter is when the present queue will have been worked off.
-func (q *Queue[T]) Push(w *Waiter[T], now time.Time, rate float64) error {
-	wait := seconds(float64(q.Ahead(w.Priority)+1) / max(rate, leastRate))
-	drained := seconds(float64(q.size+1) / max(rate, leastRate))
+// Push adds a waiter. It returns a *request.NotRun error if the queue is full, or
+// if the request would finish after its deadline according to startRate, the
+// number of requests started per second. RetryAfter of the error is the expected
+// time to empty the queue. A waiter may be pushed again after Pop; it keeps its
+// arrival time.
+func (q *Queue[T]) Push(w *Waiter[T], now time.Time, startRate float64) error {
+	wait := boundedSeconds(float64(q.Ahead(w.Priority)+1) / max(startRate, minRate))
+	drainTime := boundedSeconds(float64(q.size+1) / max(startRate, minRate))
 	if q.size >= q.limit {
-		return &request.NotRun{Reason: request.ReasonOverload, Message: fmt.Sprintf("%d requests wait already", q.size), RetryAfter: drained}
+		return &request.NotRun{Reason: request.ReasonOverload, Message: fmt.Sprintf("%d requests wait already", q.size), RetryAfter: drainTime}
 	}
 	if w.MaxWait > 0 {
 		w.Deadline = earlier(w.Deadline, now.Add(w.MaxWait+w.Need))
@@ -97,15 +102,15 @@
 	}
 	if end := now.Add(wait + w.Need); end.After(w.Deadline) {
 		message := fmt.Sprintf("a slot is expected after %v, with %v left and %v needed", wait.Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond), w.Need)
-		return &request.NotRun{Reason: request.ReasonOverload, Message: message, RetryAfter: drained}
+		return &request.NotRun{Reason: request.ReasonOverload, Message: message, RetryAfter: drainTime}
 	}
-	q.serial++
-	w.serial = q.serial
+	q.lastSeq++
+	w.seq = q.lastSeq
 	if w.arrived.IsZero() {
-		w.arrived = now // one that is put back keeps its time
+		w.arrived = now // a waiter that is pushed again keeps its first arrival time
 	}
-	w.start = max(q.virtual[w.Priority], q.finish[w.Priority][w.Account])
-	q.finish[w.Priority][w.Account] = w.start + max(w.Cost, 1)
+	w.startTag = max(q.virtualTime[w.Priority], q.finishTags[w.Priority][w.Account])
+	q.finishTags[w.Priority][w.Account] = w.startTag + max(w.Cost, 1)
 	heap.Push(&q.heaps[w.Priority], w)
 	q.size++
 	return nil
@@ -118,23 +123,24 @@
 	return b
 }
 
-// leastRate stands in while nothing has been started, in requests a second.
-const leastRate = 0.5
+// minRate is the lowest start rate assumed, in requests per second; it applies
+// while no request has been started.
+const minRate = 0.5
 
-// longestWait bounds the wait that is computed from a rate.
-const longestWait = time.Minute
+// maxEstimate bounds the time computed from a rate.
+const maxEstimate = time.Minute
 
-func seconds(s float64) time.Duration {
-	return min(time.Duration(s*float64(time.Second)), longestWait)
+func boundedSeconds(s float64) time.Duration {
+	return min(time.Duration(s*float64(time.Second)), maxEstimate)
 }
 
-// Pop takes out the waiter whose turn it is, or nil. Waiters that no longer
-// have the time they need are put into late and not returned.
-func (q *Queue[T]) Pop(now time.Time, late func(*Waiter[T])) *Waiter[T] {
+// Pop removes and returns the next waiter, or nil if there is none. It passes
+// waiters that can't meet their deadline any more to expired and skips them.
+func (q *Queue[T]) Pop(now time.Time, expired func(*Waiter[T])) *Waiter[T] {
 	for q.size > 0 {
-		w := q.take(q.turn())
+		w := q.popPriority(q.nextPriority())
 		if now.Add(w.Need).After(w.Deadline) {
-			late(w)
+			expired(w)
 			continue
 		}
 		return w
@@ -142,37 +148,40 @@
 	return nil
 }
 
-// Expire takes out every waiter that no longer has the time it needs, so that it
-// is refused as soon as that is known.
-func (q *Queue[T]) Expire(now time.Time, late func(*Waiter[T])) {
+// Expire removes every waiter that can't meet its deadline any more and passes it
+// to expired, so that the request is rejected as early as possible.
+func (q *Queue[T]) Expire(now time.Time, expired func(*Waiter[T])) {
 	for p := range q.heaps {
-		var gone []*Waiter[T]
+		var overdue []*Waiter[T]
 		for _, w := range q.heaps[p].all {
 			if now.Add(w.Need).After(w.Deadline) {
-				gone = append(gone, w)
+				overdue = append(overdue, w)
 			}
 		}
-		for _, w := range gone {
+		for _, w := range overdue {
 			q.Remove(w)
-			late(w)
+			expired(w)
 		}
 	}
 }
 
-// Remove takes a waiter out; false if it has left already.
+// Remove removes a waiter. It returns false if the waiter isn't in the queue any
+// more.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
-	if w.at < 0 {
+	if w.heapIndex < 0 {
 		return false
 	}
-	heap.Remove(&q.heaps[w.Priority], w.at)
-	q.left(w)
+	heap.Remove(&q.heaps[w.Priority], w.heapIndex)
+	q.removed(w)
 	return true
 }
 
-// turn gives the priority to serve next.
-func (q *Queue[T]) turn() int {
+// nextPriority returns the priority to serve next, or -1 if the queue is empty:
+// the most urgent one that has waiters, or a less urgent one that was skipped
+// yieldEvery times.
+func (q *Queue[T]) nextPriority() int {
 	first := -1
-	for p := range classes {
+	for p := range numClasses {
 		if q.heaps[p].Len() == 0 {
 			continue
 		}
@@ -180,58 +189,60 @@
 			first = p
 			continue
 		}
-		q.turns[p]++
-		if q.turns[p] >= yieldEvery {
-			q.turns[p] = 0
+		q.skips[p]++
+		if q.skips[p] >= yieldEvery {
+			q.skips[p] = 0
 			return p
 		}
 	}
 	return first
 }
 
-func (q *Queue[T]) take(priority int) *Waiter[T] {
+func (q *Queue[T]) popPriority(priority int) *Waiter[T] {
 	w := heap.Pop(&q.heaps[priority]).(*Waiter[T])
-	q.virtual[priority] = w.start
-	q.left(w)
+	q.virtualTime[priority] = w.startTag
+	q.removed(w)
 	return w
 }
 
-// left keeps the books when a waiter goes. An empty class forgets its
-// accounts, which bounds the memory.
-func (q *Queue[T]) left(w *Waiter[T]) {
-	w.at = -1
+// removed updates the queue after a waiter was removed from its heap. The
+// fair-queueing state of a class is cleared when the class becomes empty, which
+// bounds memory.
+func (q *Queue[T]) removed(w *Waiter[T]) {
+	w.heapIndex = -1
 	q.size--
 	if q.heaps[w.Priority].Len() == 0 {
-		clear(q.finish[w.Priority])
-		q.virtual[w.Priority] = 0
+		clear(q.finishTags[w.Priority])
+		q.virtualTime[w.Priority] = 0
 	}
 }
 
-// waiters implements heap.Interface by start tag, then arrival.
-type waiters[T any] struct{ all []*Waiter[T] }
+// waiterHeap implements heap.Interface. It orders waiters by start tag, then by
+// sequence number.
+type waiterHeap[T any] struct{ all []*Waiter[T] }
 
-func (h *waiters[T]) Len() int { return len(h.all) }
+func (h *waiterHeap[T]) Len() int { return len(h.all) }
 
-func (h *waiters[T]) Less(i, j int) bool {
+func (h *waiterHeap[T]) Less(i, j int) bool {
 	a, b := h.all[i], h.all[j]
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
-	return a.serial < b.serial
+	return a.seq < b.seq
 }
 
-func (h *waiters[T]) Swap(i, j int) {
+func (h *waiterHeap[T]) Swap(i, j int) {
 	h.all[i], h.all[j] = h.all[j], h.all[i]
-	h.all[i].at, h.all[j].at = i, j
+	h.all[i].heapIndex, h.all[j].heapIndex = i, j
 }
 
-func (h *waiters[T]) Push(x any) {
+func (h *waiterHeap[T]) Push(x any) {
 	w := x.(*Waiter[T])
-	w.at = len(h.all)
+	w.heapIndex = len(h.all)
 	h.all = append(h.all, w)
 }
 
-func (h *waiters[T]) Pop() any {
+func (h *waiterHeap[T]) Pop() any {
 	last := len(h.all) - 1
 	w := h.all[last]
 	h.all[last] = nil
--- a/admit/queue_test.go
+++ b/admit/queue_test.go
@@ -15,13 +15,13 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-const plenty = 1e6 // requests started a second
+const unlimitedRate = 1e6 // requests started per second
 
-func waiter(tag, account string, priority int) *admit.Waiter[string] {
+func newWaiter(tag, account string, priority int) *admit.Waiter[string] {
 	return &admit.Waiter[string]{Tag: tag, Account: account, Priority: priority, Cost: 1, Deadline: now.Add(time.Minute)}
 }
 
-func drain(q *admit.Queue[string]) []string {
+func popAll(q *admit.Queue[string]) []string {
 	var out []string
 	for {
 		w := q.Pop(now, func(*admit.Waiter[string]) {})
@@ -32,97 +32,98 @@
 	}
 }
 
-func TestFloodingAccountDelaysItself(t *testing.T) {
+func TestBurstOfOneAccountDelaysOnlyThatAccount(t *testing.T) {
 	q := admit.New[string](100)
 	for i := range 20 {
-		must.NoError(t, q.Push(waiter(fmt.Sprint("flood-", i), "flood", 1), now, plenty))
+		must.NoError(t, q.Push(newWaiter(fmt.Sprint("burst-", i), "burst", 1), now, unlimitedRate))
 	}
-	must.NoError(t, q.Push(waiter("other", "other", 1), now, plenty))
-	must.SliceContains(t, drain(q)[:2], "other")
+	must.NoError(t, q.Push(newWaiter("other", "other", 1), now, unlimitedRate))
+	must.SliceContains(t, popAll(q)[:2], "other")
 }
 
-func TestUrgentGoesFirstAndNobodyStarves(t *testing.T) {
+func TestUrgentClassGoesFirstWithoutStarvingOthers(t *testing.T) {
 	q := admit.New[string](200)
-	must.NoError(t, q.Push(waiter("review", "a", 2), now, plenty))
+	must.NoError(t, q.Push(newWaiter("review", "a", 2), now, unlimitedRate))
 	for i := range 50 {
-		must.NoError(t, q.Push(waiter(fmt.Sprint("question-", i), "b", 0), now, plenty))
+		must.NoError(t, q.Push(newWaiter(fmt.Sprint("question-", i), "b", 0), now, unlimitedRate))
 	}
-	order := drain(q)
+	order := popAll(q)
 	must.NotEq(t, "review", order[0])
 	must.SliceContains(t, order[:10], "review")
 }
 
-func TestEarlyRefusalIsTruthful(t *testing.T) {
+func TestRequestThatWouldMissItsDeadlineIsRejectedOnArrival(t *testing.T) {
 	q := admit.New[string](100)
 	for i := range 10 {
-		must.NoError(t, q.Push(waiter(fmt.Sprint(i), "a", 1), now, 10))
+		must.NoError(t, q.Push(newWaiter(fmt.Sprint(i), "a", 1), now, 10))
 	}
-	hurried := waiter("hurried", "a", 1)
-	hurried.Deadline = now.Add(500 * time.Millisecond)
-	err := q.Push(hurried, now, 10) // 10 ahead at 10 a second
-	var refusal *request.NotRun
-	must.True(t, errors.As(err, &refusal))
-	must.Eq(t, request.ReasonOverload, refusal.Reason)
-	must.Eq(t, 1100*time.Millisecond, refusal.RetryAfter)
-	patient := waiter("patient", "a", 1)
-	patient.MaxWait = 300 * time.Millisecond
-	must.Error(t, q.Push(patient, now, 10))
-	must.NoError(t, q.Push(waiter("urgent", "a", 0), now, 10))
+	tightDeadline := newWaiter("tight deadline", "a", 1)
+	tightDeadline.Deadline = now.Add(500 * time.Millisecond)
+	err := q.Push(tightDeadline, now, 10) // 10 waiters ahead at 10 requests per second
+	var rejection *request.NotRun
+	must.True(t, errors.As(err, &rejection))
+	must.Eq(t, request.ReasonOverload, rejection.Reason)
+	must.Eq(t, 1100*time.Millisecond, rejection.RetryAfter)
+	impatient := newWaiter("impatient", "a", 1)
+	impatient.MaxWait = 300 * time.Millisecond
+	must.Error(t, q.Push(impatient, now, 10))
+	must.NoError(t, q.Push(newWaiter("urgent", "a", 0), now, 10))
 }
 
 func TestQueueIsBounded(t *testing.T) {
 	q := admit.New[string](2)
-	must.NoError(t, q.Push(waiter("1", "a", 0), now, plenty))
-	must.NoError(t, q.Push(waiter("2", "a", 0), now, plenty))
-	must.Error(t, q.Push(waiter("3", "a", 0), now, plenty))
+	must.NoError(t, q.Push(newWaiter("1", "a", 0), now, unlimitedRate))
+	must.NoError(t, q.Push(newWaiter("2", "a", 0), now, unlimitedRate))
+	must.Error(t, q.Push(newWaiter("3", "a", 0), now, unlimitedRate))
 }
 
-func TestLateWaiterIsRefusedAsSoonAsItIsKnown(t *testing.T) {
+func TestWaiterExpiresOnceItCannotMeetItsDeadline(t *testing.T) {
 	q := admit.New[string](10)
-	w := waiter("1", "a", 0)
+	w := newWaiter("1", "a", 0)
 	w.Deadline, w.Need = now.Add(time.Second), 100*time.Millisecond
-	must.NoError(t, q.Push(w, now, plenty))
-	late := 0
-	q.Expire(now.Add(850*time.Millisecond), func(*admit.Waiter[string]) { late++ })
-	must.Eq(t, 0, late)
-	q.Expire(now.Add(901*time.Millisecond), func(*admit.Waiter[string]) { late++ })
-	must.Eq(t, 1, late)
+	must.NoError(t, q.Push(w, now, unlimitedRate))
+	expired := 0
+	q.Expire(now.Add(850*time.Millisecond), func(*admit.Waiter[string]) { expired++ })
+	must.Eq(t, 0, expired)
+	q.Expire(now.Add(901*time.Millisecond), func(*admit.Waiter[string]) { expired++ })
+	must.Eq(t, 1, expired)
 	must.Eq(t, 0, q.Len())
 	must.False(t, q.Remove(w))
 }
 
-// TestEveryWaiterLeavesOnce pushes, pops, removes and expires at random.
-func TestEveryWaiterLeavesOnce(t *testing.T) {
+// TestEveryWaiterIsRemovedOnce pushes, pops and removes at random. Every pushed
+// waiter must leave the queue exactly once.
+func TestEveryWaiterIsRemovedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := admit.New[string](50)
-		left := map[string]int{}
-		leave := func(w *admit.Waiter[string]) { left[w.Tag]++ }
-		var in []*admit.Waiter[string]
+		removals := map[string]int{}
+		countRemoval := func(w *admit.Waiter[string]) { removals[w.Tag]++ }
+		var pushed []*admit.Waiter[string]
 		for i := range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				w := waiter(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"), rapid.IntRange(0, 2).Draw(t, "priority"))
-				if q.Push(w, now, plenty) == nil {
-					in = append(in, w)
+				w := newWaiter(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"), rapid.IntRange(0, 2).Draw(t, "priority"))
+				if q.Push(w, now, unlimitedRate) == nil {
+					pushed = append(pushed, w)
 				}
 			case 2:
-				if w := q.Pop(now, leave); w != nil {
-					leave(w)
+				if w := q.Pop(now, countRemoval); w != nil {
+					countRemoval(w)
 				}
 			case 3:
-				if len(in) > 0 {
-					if w := in[rapid.IntRange(0, len(in)-1).Draw(t, "which")]; q.Remove(w) {
-						leave(w)
+				if len(pushed) > 0 {
+					if w := pushed[rapid.IntRange(0, len(pushed)-1).Draw(t, "which")]; q.Remove(w) {
+						countRemoval(w)
 					}
 				}
 			}
 		}
-		for w := q.Pop(now, leave); w != nil; w = q.Pop(now, leave) {
-			leave(w)
+		for w := q.Pop(now, countRemoval); w != nil; w = q.Pop(now, countRemoval) {
+			countRemoval(w)
 		}
-		for _, w := range in {
-			if left[w.Tag] != 1 {
-				t.Fatalf("%s left %d times", w.Tag, left[w.Tag])
+		for _, w := range pushed {
+			if removals[w.Tag] != 1 {
+				t.Fatalf("%s was removed %d times", w.Tag, removals[w.Tag])
 			}
 		}
 	})
