--- a/health/health.go
+++ b/health/health.go
@@ -1,15 +1,16 @@
-// Package health joins what is known of an engine's condition into one view.
+// Package health computes the health of each engine of a pool from all available
+// sources.
 //
-// Five sources speak: the platform's list of hosts, which lags; the operator's
-// label; this host's own probes; errors and broken answers of real requests;
-// and how slow an engine is beside its peers. Any one of the first three can
-// take an engine out by itself. The last two only mark outliers, and an
-// outlier is ejected only while at least half of the pool stays, since a
-// fault that all engines show is not the engines' own. An engine's refusal
-// for load is not failure and leaves no mark.
+// There are five sources: the platform's list of hosts, which lags; the
+// operator's label; this host's probes; errors and broken responses of real
+// requests; and the engine's latency compared with its peers. Each of the first
+// three alone makes an engine unhealthy. The last two only mark outliers. An
+// outlier is ejected only while at least half of the pool stays, because a fault
+// that all engines show has another cause than the engines. A request that an
+// engine sheds because of load doesn't count as a failure.
 //
-// An engine that comes back gets a rising share of its slots, because its
-// cache is cold and its peers' callers are waiting.
+// An engine that recovers gets a rising share of its slots, because its cache is
+// cold and all requests that wait for its peers would move to it at once.
 package health
 
 import (
@@ -19,82 +20,87 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Parameters of the judgement.
+// Parameters of the evaluation.
 const (
-	// smoothing is the weight of the newest observation.
+	// smoothing is the weight of the latest observation.
 	smoothing = 0.15
-	// errorShare is the smoothed share of failures that marks an outlier.
-	errorShare = 0.5
-	// leastSeen is how many observations a judgement needs.
-	leastSeen = 5
-	// slowFactor is how many times the median makes an engine slow.
+	// outlierFailureRate is the smoothed failure rate above which an engine is an
+	// outlier.
+	outlierFailureRate = 0.5
+	// minObservations is the number of observations needed before an engine can
+	// be an outlier.
+	minObservations = 5
+	// slowFactor is the multiple of the median latency above which an engine is
+	// an outlier.
 	slowFactor = 4
-	// probationLength is how many successes in a row end the probation after
-	// an ejection.
+	// probationLength is the number of successes that end the probation after an
+	// ejection.
 	probationLength = 5
-	// probesFailed in a row make an engine unreachable.
-	probesFailed = 2
-	// ejectBase doubles with each ejection up to ejectMost.
-	ejectBase = 5 * time.Second
-	ejectMost = 80 * time.Second
-	// RampTime is how long a returning engine takes to get its full share.
+	// unreachableAfter is the number of consecutive failed probes that make an
+	// engine unreachable.
+	unreachableAfter = 2
+	// baseEjection is the duration of the first ejection. It doubles with each
+	// further ejection, up to maxEjection.
+	baseEjection = 5 * time.Second
+	maxEjection  = 80 * time.Second
+	// RampTime is how long a recovered engine takes to get all its slots back.
 	RampTime = 10 * time.Second
-	// rampStart is the share it begins with.
-	rampStart = 0.1
+	// initialRamp is the share of slots at the start of the ramp.
+	initialRamp = 0.1
 )
 
-// Engine tracks the condition of one engine. The zero value is an engine that
-// nothing is known of, which is healthy. It is not safe for concurrent use.
+// Engine tracks the health of one engine. The zero value is a healthy engine
+// without observations. It is not safe for concurrent use.
 type Engine struct {
-	leaving  bool
+	draining bool
 	stopping bool
 
-	probes   int // failed in a row
-	failures float64
-	latency  float64 // smoothed seconds to the first token
-	seen     int
+	failedProbes int // consecutive failures
+	failureRate  float64
+	latency      float64 // smoothed time to the first byte, in seconds
+	observations int
 
 	ejectedUntil time.Time
 	ejections    int
 	probation    int // successes still needed after an ejection
-	returnedAt   time.Time
-	was          route.Health
+	recoveredAt  time.Time
+	previous     route.Health
 }
 
-// Outcome is how a real request went for the engine.
+// Outcome is the result of a real request at an engine.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded Outcome = iota
-	Failed            // connection error, broken or wrong answer
-	Shed              // refused for load
-	Abandoned         // the caller went away: says nothing of the engine
+	Failed            // connection error, or a broken or invalid response
+	Shed              // rejected by the engine because of load
+	Abandoned         // cancelled by the caller, which doesn't concern the engine
 )
 
-// Observe notes a real request's outcome and, for a success, the time to its
-// first byte.
-func (e *Engine) Observe(outcome Outcome, first time.Duration) {
+// Observe records the outcome of a real request and, for a success, the time to
+// the first byte.
+func (e *Engine) Observe(outcome Outcome, firstByte time.Duration) {
 	switch outcome {
 	case Shed, Abandoned:
 		return
 	case Failed:
-		e.failures += smoothing * (1 - e.failures)
+		e.failureRate += smoothing * (1 - e.failureRate)
 		if e.probation > 0 {
-			e.failures, e.seen = 1, leastSeen
+			e.failureRate, e.observations = 1, minObservations
 		}
 	default:
-		e.failures -= smoothing * e.failures
-		e.passProbation()
-		e.observeLatency(first.Seconds())
-		e.probes = 0
+		e.failureRate -= smoothing * e.failureRate
+		e.countProbationSuccess()
+		e.observeLatency(firstByte.Seconds())
+		e.failedProbes = 0
 	}
-	e.seen++
+	e.observations++
 }
 
-// passProbation counts a success after an ejection. Until enough have come, one
+// countProbationSuccess counts a success after an ejection. On probation, a single
 // failure ejects the engine again, for twice as long.
-func (e *Engine) passProbation() {
+func (e *Engine) countProbationSuccess() {
 	if e.probation == 0 {
 		return
 	}
@@ -112,48 +118,51 @@
 	e.latency += smoothing * (seconds - e.latency)
 }
 
-// Probe notes the result of a probe.
+// Probe records the result of a probe.
 func (e *Engine) Probe(ok bool) {
 	if ok {
-		e.probes = 0
+		e.failedProbes = 0
 		return
 	}
-	e.probes++
+	e.failedProbes++
 }
 
-// SetLeaving notes what the platform's list says.
-func (e *Engine) SetLeaving(leaving bool) { e.leaving = leaving }
+// SetLeaving sets whether the engine's host is being reclaimed according to the
+// platform's list.
+func (e *Engine) SetLeaving(draining bool) { e.draining = draining }
 
-// SetStopping notes what the operator's label says.
+// SetStopping sets whether an operator's label tells the engine to stop.
 func (e *Engine) SetStopping(stopping bool) { e.stopping = stopping }
 
-// Latency gives the smoothed time to the first byte, 0 while unknown.
+// Latency returns the smoothed time to the first byte, or 0 if no request has
+// succeeded since the last ejection.
 func (e *Engine) Latency() time.Duration {
 	return time.Duration(e.latency * float64(time.Second))
 }
 
-// Judge gives the health of each engine of a pool, at the same index. It may
-// begin or end ejections.
+// Judge returns the health of each engine of a pool, at the same index. It may
+// start or end ejections.
 func Judge(pool []*Engine, now time.Time) []route.Health {
 	out := make([]route.Health, len(pool))
 	for i, e := range pool {
-		out[i] = e.certain(now)
+		out[i] = e.individualHealth(now)
 	}
-	eject(pool, out, now)
+	ejectOutliers(pool, out, now)
 	for i, e := range pool {
-		e.note(out[i], now)
+		e.recordHealth(out[i], now)
 	}
 	return out
 }
 
-// certain gives the health that needs no comparison with peers.
-func (e *Engine) certain(now time.Time) route.Health {
+// individualHealth returns the health of the engine without a comparison with its
+// peers.
+func (e *Engine) individualHealth(now time.Time) route.Health {
 	switch {
 	case e.stopping:
 		return route.Stopping
-	case e.leaving:
+	case e.draining:
 		return route.Leaving
-	case e.probes >= probesFailed:
+	case e.failedProbes >= unreachableAfter:
 		return route.Unreachable
 	case now.Before(e.ejectedUntil):
 		return route.Ejected
@@ -162,10 +171,10 @@
 	}
 }
 
-// eject takes out outliers, the worst first, while half of the pool stays.
-// Where ejections that still run would leave less than half, the least bad
-// come back.
-func eject(pool []*Engine, out []route.Health, now time.Time) {
+// ejectOutliers ejects outliers, worst first, as long as at least half of the
+// usable engines (healthy or ejected) stay healthy. If earlier ejections leave
+// fewer healthy, it ends ejections, best engine first.
+func ejectOutliers(pool []*Engine, out []route.Health, now time.Time) {
 	usable, healthy := 0, 0
 	for _, h := range out {
 		if h == route.Healthy || h == route.Ejected {
@@ -175,17 +184,17 @@
 			healthy++
 		}
 	}
-	least := (usable + 1) / 2
+	minHealthy := (usable + 1) / 2
 	median := medianLatency(pool, out)
 	for _, i := range worstFirst(pool) {
-		if out[i] == route.Healthy && healthy > least && pool[i].outlier(median) {
+		if out[i] == route.Healthy && healthy > minHealthy && pool[i].isOutlier(median) {
 			out[i] = route.Ejected
 			pool[i].startEjection(now)
 			healthy--
 		}
 	}
 	order := worstFirst(pool)
-	for k := len(order) - 1; k >= 0 && healthy < least; k-- {
+	for k := len(order) - 1; k >= 0 && healthy < minHealthy; k-- {
 		if i := order[k]; out[i] == route.Ejected {
 			out[i] = route.Healthy
 			pool[i].ejectedUntil = time.Time{}
@@ -194,21 +203,23 @@
 	}
 }
 
-func (e *Engine) outlier(median float64) bool {
-	if e.seen < leastSeen {
+func (e *Engine) isOutlier(median float64) bool {
+	if e.observations < minObservations {
 		return false
 	}
-	return e.failures > errorShare || (median > 0 && e.latency > slowFactor*median)
+	return e.failureRate > outlierFailureRate || (median > 0 && e.latency > slowFactor*median)
 }
 
 func (e *Engine) startEjection(now time.Time) {
-	wait := min(ejectBase<<min(e.ejections, 4), ejectMost)
+	duration := min(baseEjection<<min(e.ejections, 4), maxEjection)
 	e.ejections++
-	e.ejectedUntil = now.Add(wait)
-	e.seen, e.failures, e.latency = 0, 0, 0
+	e.ejectedUntil = now.Add(duration)
+	e.observations, e.failureRate, e.latency = 0, 0, 0
 	e.probation = probationLength
 }
 
+// worstFirst returns the indexes of the pool ordered by failure rate, then by
+// latency, highest first.
 func worstFirst(pool []*Engine) []int {
 	order := make([]int, len(pool))
 	for i := range order {
@@ -216,14 +227,16 @@
 	}
 	sort.SliceStable(order, func(a, b int) bool {
 		x, y := pool[order[a]], pool[order[b]]
-		if x.failures != y.failures {
-			return x.failures > y.failures
+		if x.failureRate != y.failureRate {
+			return x.failureRate > y.failureRate
 		}
 		return x.latency > y.latency
 	})
 	return order
 }
 
+// medianLatency returns the median latency of the healthy engines in seconds, or 0
+// if fewer than three have one.
 func medianLatency(pool []*Engine, out []route.Health) float64 {
 	var all []float64
 	for i, e := range pool {
@@ -238,20 +251,20 @@
 	return all[len(all)/2]
 }
 
-// note remembers a return to health, from which the ramp starts. An engine
-// that was healthy from the first has no ramp, nor has one that an operator
-// had told to stop: it has answered all along.
-func (e *Engine) note(h route.Health, now time.Time) {
-	if h == route.Healthy && e.was != route.Healthy && e.was != route.Stopping {
-		e.returnedAt = now
+// recordHealth stores the health and starts the ramp when an engine becomes
+// healthy again. An engine that was always healthy gets no ramp, nor does one
+// whose stopping label was removed, because it has been serving all the time.
+func (e *Engine) recordHealth(h route.Health, now time.Time) {
+	if h == route.Healthy && e.previous != route.Healthy && e.previous != route.Stopping {
+		e.recoveredAt = now
 	}
-	e.was = h
+	e.previous = h
 }
 
-// Ramp gives the share of its slots that the engine may use.
+// Ramp returns the share of its slots that the engine may use, 0 to 1.
 func (e *Engine) Ramp(now time.Time) float64 {
-	if e.returnedAt.IsZero() {
+	if e.recoveredAt.IsZero() {
 		return 1
 	}
-	return min(1, rampStart+(1-rampStart)*float64(now.Sub(e.returnedAt))/float64(RampTime))
+	return min(1, initialRamp+(1-initialRamp)*float64(now.Sub(e.recoveredAt))/float64(RampTime))
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -12,47 +12,48 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-func pool(n int) []*health.Engine {
-	out := make([]*health.Engine, n)
-	for i := range out {
-		out[i] = &health.Engine{}
+func newPool(n int) []*health.Engine {
+	pool := make([]*health.Engine, n)
+	for i := range pool {
+		pool[i] = &health.Engine{}
 	}
-	return out
+	return pool
 }
 
-func observe(e *health.Engine, outcome health.Outcome, times int) {
-	for range times {
+// observe records n requests with the same outcome.
+func observe(e *health.Engine, outcome health.Outcome, n int) {
+	for range n {
 		e.Observe(outcome, 100*time.Millisecond)
 	}
 }
 
 func count(all []route.Health, h route.Health) int {
 	n := 0
-	for _, one := range all {
-		if one == h {
+	for _, got := range all {
+		if got == h {
 			n++
 		}
 	}
 	return n
 }
 
-func TestFailingEngineIsEjectedAndComesBackByARamp(t *testing.T) {
-	p := pool(4)
+func TestFailingEngineIsEjectedAndReturnsWithARamp(t *testing.T) {
+	p := newPool(4)
 	observe(p[0], health.Failed, 10)
 	must.Eq(t, route.Ejected, health.Judge(p, now)[0])
 	must.Eq(t, route.Ejected, health.Judge(p, now.Add(4*time.Second))[0])
-	back := now.Add(6 * time.Second)
-	must.Eq(t, route.Healthy, health.Judge(p, back)[0])
-	must.Less(t, 0.2, p[0].Ramp(back))
-	must.Eq(t, 1, p[0].Ramp(back.Add(health.RampTime)))
+	afterEjection := now.Add(6 * time.Second)
+	must.Eq(t, route.Healthy, health.Judge(p, afterEjection)[0])
+	must.Less(t, 0.2, p[0].Ramp(afterEjection))
+	must.Eq(t, 1, p[0].Ramp(afterEjection.Add(health.RampTime)))
 	observe(p[0], health.Failed, 1)
-	must.Eq(t, route.Ejected, health.Judge(p, back)[0], must.Sprint("one failure on probation"))
-	must.Eq(t, route.Ejected, health.Judge(p, back.Add(8*time.Second))[0], must.Sprint("for twice as long"))
+	must.Eq(t, route.Ejected, health.Judge(p, afterEjection)[0], must.Sprint("one failure on probation must eject it again"))
+	must.Eq(t, route.Ejected, health.Judge(p, afterEjection.Add(8*time.Second))[0], must.Sprint("the second ejection must last twice as long"))
 }
 
-func TestHalfOfThePoolIsNeverEjected(t *testing.T) {
+func TestAtLeastHalfOfThePoolStaysHealthy(t *testing.T) {
 	for n := 1; n < 9; n++ {
-		p := pool(n)
+		p := newPool(n)
 		for _, e := range p {
 			observe(e, health.Failed, 20)
 		}
@@ -60,10 +61,11 @@
 	}
 }
 
-// TestLastOnesComeBack ejects half of a pool, then lets the others' hosts be
-// reclaimed: those ejected are all that is left.
-func TestLastOnesComeBack(t *testing.T) {
-	p := pool(4)
+// TestEjectionEndsWhenOnlyEjectedEnginesRemain guards against a pool without a
+// usable engine: half of it is ejected when the hosts of the other half are
+// reclaimed.
+func TestEjectionEndsWhenOnlyEjectedEnginesRemain(t *testing.T) {
+	p := newPool(4)
 	observe(p[0], health.Failed, 10)
 	observe(p[1], health.Failed, 10)
 	must.Eq(t, 2, count(health.Judge(p, now), route.Ejected))
@@ -73,35 +75,35 @@
 }
 
 func TestSheddingIsNotFailure(t *testing.T) {
-	p := pool(4)
+	p := newPool(4)
 	observe(p[0], health.Shed, 100)
 	observe(p[1], health.Abandoned, 100)
 	must.Eq(t, 4, count(health.Judge(p, now), route.Healthy))
 }
 
-func TestSlowEngineIsAnOutlierOnlyBesideItsPeers(t *testing.T) {
-	p := pool(4)
+func TestSlowEngineIsEjectedOnlyIfPeersAreFaster(t *testing.T) {
+	p := newPool(4)
 	for i, e := range p {
 		for range 20 {
-			wait := 100 * time.Millisecond
+			latency := 100 * time.Millisecond
 			if i == 0 {
-				wait = time.Second
+				latency = time.Second
 			}
-			e.Observe(health.Succeeded, wait)
+			e.Observe(health.Succeeded, latency)
 		}
 	}
 	must.Eq(t, route.Ejected, health.Judge(p, now)[0])
-	all := pool(4)
-	for _, e := range all {
+	slowPool := newPool(4)
+	for _, e := range slowPool {
 		for range 20 {
 			e.Observe(health.Succeeded, 10*time.Second)
 		}
 	}
-	must.Eq(t, 4, count(health.Judge(all, now), route.Healthy), must.Sprint("overload slows all alike"))
+	must.Eq(t, 4, count(health.Judge(slowPool, now), route.Healthy), must.Sprint("overload slows down all engines alike"))
 }
 
-func TestCertainSignsNeedNoPeers(t *testing.T) {
-	p := pool(3)
+func TestDrainingStoppingAndProbesNeedNoPeerComparison(t *testing.T) {
+	p := newPool(3)
 	p[0].SetStopping(true)
 	p[1].SetLeaving(true)
 	p[2].Probe(false)
