--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,58 +1,62 @@
-// Package retry bounds how much retries may add to the load.
+// Package retry limits the load that retries add.
 //
-// A Budget earns a fraction of a retry with each first attempt and spends one
-// with each retry, so that however many engines fail, the engines get at most
-// that fraction more calls. The number of attempts and the deadline of a
-// request travel with it between entry hosts; the budget is each host's own.
+// A Budget is a token bucket: each first attempt adds a fraction of a token and
+// each retry spends a whole one. Even if all engines fail, they get at most that
+// fraction more requests, plus the burst. The attempt count and the deadline of a
+// request are forwarded with it between entry hosts; a budget is local to a host.
+//
+// A Window limits retries in a sliding time window, over all hosts together.
 package retry
 
 import "sync"
 
-// Defaults of a budget.
+// Parameters of a Budget.
 const (
-	DefaultShare = 0.1 // retries earned by each first attempt
-	DefaultBurst = 10  // retries that can be saved up
+	DefaultShare = 0.1 // tokens added by each first attempt
+	DefaultBurst = 10  // maximum number of tokens
 )
 
-// MaxAttempts is how often one request may be sent to engines.
+// MaxAttempts is the maximum number of times that a request is sent to engines.
 const MaxAttempts = 3
 
-// Budget is safe for concurrent use. New makes one; the zero value is empty.
+// Budget limits the retries of one host. It is safe for concurrent use. New
+// returns a full budget; the zero value is empty.
 type Budget struct {
-	mu     sync.Mutex
-	saved  float64
-	first  uint64
-	spent  uint64
-	denied uint64
+	mu            sync.Mutex
+	tokens        float64 // retries available
+	firstAttempts uint64
+	retries       uint64
+	denied        uint64
 }
 
-// New makes a budget with a full burst saved up.
-func New() *Budget { return &Budget{saved: DefaultBurst} }
+// New returns a budget with DefaultBurst tokens.
+func New() *Budget { return &Budget{tokens: DefaultBurst} }
 
-// First notes a first attempt.
+// First counts a first attempt and adds its share of a token.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.first++
-	b.saved = min(b.saved+DefaultShare, DefaultBurst)
+	b.firstAttempts++
+	b.tokens = min(b.tokens+DefaultShare, DefaultBurst)
 }
 
-// Take spends one retry, or tells that there is none.
+// Take spends a token for a retry. It returns false if there is none.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		b.denied++
 		return false
 	}
-	b.saved--
-	b.spent++
+	b.tokens--
+	b.retries++
 	return true
 }
 
-// Counts gives first attempts, retries and retries denied so far.
-func (b *Budget) Counts() (first, spent, denied uint64) {
+// Counts returns the number of first attempts, of retries and of denied retries
+// so far.
+func (b *Budget) Counts() (first, retries, denied uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.first, b.spent, b.denied
+	return b.firstAttempts, b.retries, b.denied
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -1,62 +1,64 @@
-// This file defines the budget of sends over a sliding window, shared among
-// hosts without asking.
+// This file defines the retry budget over a sliding time window, which hosts
+// share without communicating.
 
 package retry
 
 import "time"
 
-// Policy bounds the sends beyond the first of each request, over all hosts
-// together: in any Window, Share of the requests plus Extra.
+// Policy limits the retries of all hosts together. In any period of length
+// Window, the number of retries is at most Share times the number of requests,
+// plus Extra.
 type Policy struct {
 	Share  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// safety is the part of a Policy that hosts use up among themselves: what they
-// count differs a little from what engines see.
-const safety = 0.7
+// safetyFactor is the fraction of a Policy that hosts use. The rest is a margin,
+// because the counts of the hosts differ slightly from those of the engines.
+const safetyFactor = 0.7
 
-// Window spends a host's part of a Policy. It is not safe for concurrent use;
-// NewWindow makes one.
+// Window enforces one host's share of a Policy. It is not safe for concurrent use;
+// NewWindow returns one.
 type Window struct {
-	policy Policy
-	first  counter
-	again  counter
+	policy     Policy
+	firstSends slidingCounter
+	retries    slidingCounter
 }
 
-// NewWindow makes a budget of which nothing has been spent.
+// NewWindow returns a window without any sends counted.
 func NewWindow(p Policy) *Window {
-	return &Window{policy: p, first: counter{window: p.Window}, again: counter{window: p.Window}}
+	return &Window{policy: p, firstSends: slidingCounter{window: p.Window}, retries: slidingCounter{window: p.Window}}
 }
 
 // First counts a request that this host sends for the first time.
-func (w *Window) First(now time.Time) { w.first.add(now) }
+func (w *Window) First(now time.Time) { w.firstSends.add(now) }
 
-// Take spends one further send, or tells that there is none left. Each of the
-// hosts may spend the share of its own requests and an equal part of the extra.
+// Take counts a retry if the budget allows one and reports whether it does. hosts
+// is the number of hosts that share the policy: each may spend Share of its own
+// requests and an equal part of Extra.
 func (w *Window) Take(now time.Time, hosts int) bool {
-	allowed := safety * (w.policy.Share*float64(w.first.count(now)) + w.policy.Extra/float64(max(1, hosts)))
-	if float64(w.again.count(now)+1) > allowed {
+	allowed := safetyFactor * (w.policy.Share*float64(w.firstSends.count(now)) + w.policy.Extra/float64(max(1, hosts)))
+	if float64(w.retries.count(now)+1) > allowed {
 		return false
 	}
-	w.again.add(now)
+	w.retries.add(now)
 	return true
 }
 
-// counter counts events of a sliding window.
-type counter struct {
+// slidingCounter counts the events of the last window.
+type slidingCounter struct {
 	window time.Duration
-	times  []time.Time // in order
+	times  []time.Time // in ascending order
 }
 
-func (c *counter) add(now time.Time) { c.times = append(c.times, now) }
+func (c *slidingCounter) add(now time.Time) { c.times = append(c.times, now) }
 
-func (c *counter) count(now time.Time) int {
-	old := 0
-	for old < len(c.times) && now.Sub(c.times[old]) > c.window {
-		old++
+func (c *slidingCounter) count(now time.Time) int {
+	expired := 0
+	for expired < len(c.times) && now.Sub(c.times[expired]) > c.window {
+		expired++
 	}
-	c.times = c.times[old:]
+	c.times = c.times[expired:]
 	return len(c.times)
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -9,9 +9,9 @@
 	"github.com/linenscale/linenscale/retry"
 )
 
-// TestHostsTogetherKeepThePolicy lets hosts send and retry at random, and counts
-// over every window: what they retry together stays within the policy.
-func TestHostsTogetherKeepThePolicy(t *testing.T) {
+// TestRetriesOfAllHostsStayWithinThePolicy lets hosts send and retry at random.
+// In every window, the retries of all hosts together must stay within the policy.
+func TestRetriesOfAllHostsStayWithinThePolicy(t *testing.T) {
 	policy := retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 12).Draw(t, "hosts")
@@ -20,28 +20,29 @@
 			windows[i] = retry.NewWindow(policy)
 		}
 		now := time.Unix(1000, 0)
-		var first, again []time.Time
+		var firstSends, retries []time.Time
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			w.First(now)
-			first = append(first, now)
+			firstSends = append(firstSends, now)
 			for range rapid.IntRange(0, 5).Draw(t, "retries") {
 				if w.Take(now, hosts) {
-					again = append(again, now)
+					retries = append(retries, now)
 				}
 			}
 		}
-		for _, end := range again {
-			f, a := within(first, end, policy.Window), within(again, end, policy.Window)
-			if float64(a) > policy.Share*float64(f)+policy.Extra {
-				t.Fatalf("%d retries of %d requests in one window", a, f)
+		for _, end := range retries {
+			firstInWindow, retriesInWindow := countWithin(firstSends, end, policy.Window), countWithin(retries, end, policy.Window)
+			if float64(retriesInWindow) > policy.Share*float64(firstInWindow)+policy.Extra {
+				t.Fatalf("%d retries of %d requests in one window", retriesInWindow, firstInWindow)
 			}
 		}
 	})
 }
 
-func within(times []time.Time, end time.Time, window time.Duration) int {
+// countWithin returns the number of times in the window that ends at end.
+func countWithin(times []time.Time, end time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if !at.After(end) && end.Sub(at) <= window {
