--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,11 +1,12 @@
-// Package pace learns how fast engines work from the answers that they give.
+// Package pace estimates the throughput of engines from the duration of their
+// responses.
 //
-// Nothing declares an engine's speed. A Line learns what a fixed part and each unit
-// of work take, by regression over the last answers; a Mean what something takes on
-// average; a Factor how much longer one engine takes than others like it. Each starts
-// from a belief that a few answers replace, forgets old answers, and gives little
-// weight to one that is far off: an answer may be late because of a lost packet, or
-// early because it came from a cache.
+// The throughput of an engine isn't declared anywhere. A Line estimates a fixed time
+// and a time per unit of work, by linear regression over recent responses; a Mean, an
+// average duration; a Factor, how much slower an engine is than its peers. Each
+// starts from a prior that a few responses outweigh, and discounts old responses.
+// Line and Factor also limit the effect of outliers: a response may be late because
+// of a lost packet, or early because it came from a cache.
 package pace
 
 import (
@@ -13,143 +14,148 @@
 	"time"
 )
 
-// Line estimates how long work takes: a fixed time, and a time for each unit. NewLine
-// makes one.
+// Line estimates the duration of work as a fixed time plus a time per unit. NewLine
+// returns one.
 type Line struct {
-	// Sums over the answers so far, each weighted by its age.
-	weight, x, y, xx, xy float64
-	off                  float64 // mean absolute error, in ns
+	// Sums of the least-squares fit over all observations, weighted by age; x is the
+	// work and y the duration in ns.
+	sumWeight, sumX, sumY, sumXX, sumXY float64
+	meanError                           float64 // mean absolute error, in ns
 }
 
 const (
-	// keepAnswer is how much earlier answers count with each new one: the last
-	// fifty or so are remembered.
-	keepAnswer = 0.98
-	// priorWeight is how many answers a belief counts for, at its start.
+	// observationDecay multiplies the weight of earlier observations at each new one,
+	// so that about the last 50 count.
+	observationDecay = 0.98
+	// priorWeight is the initial weight of a prior, in observations.
 	priorWeight = 2.0
-	// outlier is how many times the usual error an answer may be off to count in
-	// full.
-	outlier = 3.0
-	// offWeight is the weight of the newest error.
-	offWeight = 0.05
-	// offShare is the error that is believed at first, as a share of the time.
-	offShare = 0.3
+	// outlierFactor times the mean absolute error is the largest residual that counts
+	// in full. A larger one is clipped.
+	outlierFactor = 3.0
+	// errorSmoothing is the weight of the latest error.
+	errorSmoothing = 0.05
+	// priorErrorShare is the initial mean absolute error as a share of the prior
+	// duration.
+	priorErrorShare = 0.3
 )
 
-// NewLine makes a line that is believed to go through two points: without work, and
-// with some.
-func NewLine(fixed time.Duration, work float64, took time.Duration) *Line {
-	l := &Line{off: offShare * float64(took)}
+// NewLine returns a line whose prior goes through two points: the duration fixed
+// without work, and duration for the given work.
+func NewLine(fixed time.Duration, work float64, duration time.Duration) *Line {
+	l := &Line{meanError: priorErrorShare * float64(duration)}
 	l.add(0, float64(fixed), priorWeight)
-	l.add(work, float64(took), priorWeight)
+	l.add(work, float64(duration), priorWeight)
 	return l
 }
 
 func (l *Line) add(x, y, weight float64) {
-	l.weight += weight
-	l.x += weight * x
-	l.y += weight * y
-	l.xx += weight * x * x
-	l.xy += weight * x * y
+	l.sumWeight += weight
+	l.sumX += weight * x
+	l.sumY += weight * y
+	l.sumXX += weight * x * x
+	l.sumXY += weight * x * y
 }
 
-// Note takes an answer: so much work took so long.
-func (l *Line) Note(work float64, took time.Duration) {
+// Note adds an observation: the duration of the given work.
+func (l *Line) Note(work float64, duration time.Duration) {
 	expected := float64(l.At(work))
-	off := float64(took) - expected
-	bound := outlier * l.off
-	l.off += offWeight * (min(math.Abs(off), 2*bound) - l.off)
-	off = max(-bound, min(bound, off))
-	for _, sum := range []*float64{&l.weight, &l.x, &l.y, &l.xx, &l.xy} {
-		*sum *= keepAnswer
+	residual := float64(duration) - expected
+	bound := outlierFactor * l.meanError
+	l.meanError += errorSmoothing * (min(math.Abs(residual), 2*bound) - l.meanError)
+	residual = max(-bound, min(bound, residual))
+	for _, sum := range []*float64{&l.sumWeight, &l.sumX, &l.sumY, &l.sumXX, &l.sumXY} {
+		*sum *= observationDecay
 	}
-	l.add(work, expected+off, 1)
+	l.add(work, expected+residual, 1)
 }
 
-// PerUnit gives the time of one unit of work, in ns. It is never negative.
+// PerUnit returns the estimated time per unit of work, in ns. It is never negative.
 func (l *Line) PerUnit() float64 {
-	spread := l.weight*l.xx - l.x*l.x
-	if spread <= 0 {
+	determinant := l.sumWeight*l.sumXX - l.sumX*l.sumX
+	if determinant <= 0 {
 		return 0
 	}
-	return max(0, (l.weight*l.xy-l.x*l.y)/spread)
+	return max(0, (l.sumWeight*l.sumXY-l.sumX*l.sumY)/determinant)
 }
 
-// Fixed gives the time without work. It is never negative.
+// Fixed returns the estimated time without work. It is never negative.
 func (l *Line) Fixed() time.Duration {
-	return time.Duration(max(0, (l.y-l.PerUnit()*l.x)/l.weight))
+	return time.Duration(max(0, (l.sumY-l.PerUnit()*l.sumX)/l.sumWeight))
 }
 
-// At gives the time expected for so much work.
+// At returns the expected duration of the given work.
 func (l *Line) At(work float64) time.Duration {
 	return l.Fixed() + time.Duration(l.PerUnit()*work)
 }
 
-// Error gives by how much the expected time is usually off.
-func (l *Line) Error() time.Duration { return time.Duration(l.off) }
+// Error returns the mean absolute error of the expected duration.
+func (l *Line) Error() time.Duration { return time.Duration(l.meanError) }
 
-// Mean estimates what something takes on average. NewMean makes one.
+// Mean estimates an average duration. NewMean returns one.
 type Mean struct {
-	weight, sum float64
-	off         float64 // mean absolute error, in ns
+	sumWeight, sum float64
+	meanError      float64 // mean absolute error, in ns
 }
 
-// NewMean makes a mean that is believed to be so long.
-func NewMean(belief time.Duration) *Mean {
-	return &Mean{weight: priorWeight, sum: priorWeight * float64(belief), off: offShare * float64(belief)}
+// NewMean returns a mean with the given prior.
+func NewMean(prior time.Duration) *Mean {
+	return &Mean{sumWeight: priorWeight, sum: priorWeight * float64(prior), meanError: priorErrorShare * float64(prior)}
 }
 
-// Note takes one more.
-func (m *Mean) Note(took time.Duration) {
-	m.off += offWeight * (math.Abs(float64(took-m.Value())) - m.off)
-	m.sum = keepAnswer*m.sum + float64(took)
-	m.weight = keepAnswer*m.weight + 1
+// Note adds an observation.
+func (m *Mean) Note(duration time.Duration) {
+	m.meanError += errorSmoothing * (math.Abs(float64(duration-m.Value())) - m.meanError)
+	m.sum = observationDecay*m.sum + float64(duration)
+	m.sumWeight = observationDecay*m.sumWeight + 1
 }
 
-// Value gives the mean.
-func (m *Mean) Value() time.Duration { return time.Duration(m.sum / m.weight) }
+// Value returns the estimated mean.
+func (m *Mean) Value() time.Duration { return time.Duration(m.sum / m.sumWeight) }
 
-// Error gives by how much one is usually off the mean.
-func (m *Mean) Error() time.Duration { return time.Duration(m.off) }
+// Error returns the mean absolute deviation from the mean.
+func (m *Mean) Error() time.Duration { return time.Duration(m.meanError) }
 
-// Factor estimates how many times as long as its peers one engine takes. The zero
-// value has seen nothing: 1.
+// Factor estimates how many times as long as its peers an engine takes, as a
+// geometric mean. The zero value has no observations and a value of 1.
 type Factor struct {
-	log    float64 // sum of the logarithms seen
-	weight float64
-	at     time.Time
+	sumLog    float64 // weighted sum of the logarithms of the observed ratios
+	sumWeight float64
+	updatedAt time.Time
 }
 
 const (
-	// factorKept is how much earlier answers count with each new one: ten.
-	factorKept = 0.9
-	// factorDoubt is how many answers as long as expected are believed besides.
-	factorDoubt = 3.0
-	// factorLife is after how long without answers what was seen counts a third: an
-	// engine that was slow for a while is tried again.
-	factorLife = 5 * time.Second
-	// factorMost bounds one answer: a lost packet says nothing of an engine.
-	factorMost = 8.0
+	// slowdownDecay multiplies the weight of earlier observations at each new one, so
+	// that about the last ten count.
+	slowdownDecay = 0.9
+	// slowdownPriorWeight is the weight of the prior, a factor of 1, in observations.
+	slowdownPriorWeight = 3.0
+	// slowdownTimeConstant is the time after which past observations count about a
+	// third (1/e), so that an engine that was slow for a while is tried again.
+	slowdownTimeConstant = 5 * time.Second
+	// maxSlowdown limits the ratio of one observation in both directions, because a
+	// lost packet doesn't make an engine slow.
+	maxSlowdown = 8.0
 )
 
-func (f *Factor) fade(now time.Time) {
-	kept := math.Exp(-float64(now.Sub(f.at)) / float64(factorLife))
-	f.log *= kept
-	f.weight *= kept
-	f.at = now
+// decay reduces the weight of past observations by their age.
+func (f *Factor) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(f.updatedAt)) / float64(slowdownTimeConstant))
+	f.sumLog *= factor
+	f.sumWeight *= factor
+	f.updatedAt = now
 }
 
-// Note takes an answer that was expected after one time and came after another.
-func (f *Factor) Note(expected, took time.Duration, now time.Time) {
-	f.fade(now)
-	seen := float64(max(took, 1)) / float64(max(expected, 1))
-	seen = max(1/factorMost, min(factorMost, seen))
-	f.log = factorKept*f.log + math.Log(seen)
-	f.weight = factorKept*f.weight + 1
+// Note adds an observation: the expected and the actual duration of a response.
+func (f *Factor) Note(expected, duration time.Duration, now time.Time) {
+	f.decay(now)
+	ratio := float64(max(duration, 1)) / float64(max(expected, 1))
+	ratio = max(1/maxSlowdown, min(maxSlowdown, ratio))
+	f.sumLog = slowdownDecay*f.sumLog + math.Log(ratio)
+	f.sumWeight = slowdownDecay*f.sumWeight + 1
 }
 
-// Value gives the factor.
+// Value returns the estimated factor as of now.
 func (f Factor) Value(now time.Time) float64 {
-	f.fade(now)
-	return math.Exp(f.log / (f.weight + factorDoubt))
+	f.decay(now)
+	return math.Exp(f.sumLog / (f.sumWeight + slowdownPriorWeight))
 }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -11,72 +11,74 @@
 	"github.com/linenscale/linenscale/pace"
 )
 
-// reader is an engine that reads so many units in a ms, after a fixed time, and
-// whose times vary by a share.
-type reader struct {
-	perMS  float64
-	fixed  time.Duration
-	varies float64
+// simulatedEngine processes unitsPerMS after a fixed time. jitter is the relative
+// standard deviation of its durations.
+type simulatedEngine struct {
+	unitsPerMS float64
+	fixed      time.Duration
+	jitter     float64
 }
 
-func (r reader) took(random *rand.Rand, work float64) time.Duration {
-	exact := float64(r.fixed) + work/r.perMS*float64(time.Millisecond)
-	return time.Duration(exact * (1 + r.varies*random.NormFloat64()))
+func (r simulatedEngine) duration(random *rand.Rand, work float64) time.Duration {
+	exact := float64(r.fixed) + work/r.unitsPerMS*float64(time.Millisecond)
+	return time.Duration(exact * (1 + r.jitter*random.NormFloat64()))
 }
 
-// TestALineLearnsAnySpeed starts from one belief before engines of other speeds.
-func TestALineLearnsAnySpeed(t *testing.T) {
-	for _, perMS := range []float64{5, 15, 22, 36, 56.6, 140} {
-		t.Run(fmt.Sprint(perMS), func(t *testing.T) {
+// TestLineConvergesForAnyThroughput starts from the same prior for engines of
+// different throughput.
+func TestLineConvergesForAnyThroughput(t *testing.T) {
+	for _, unitsPerMS := range []float64{5, 15, 22, 36, 56.6, 140} {
+		t.Run(fmt.Sprint(unitsPerMS), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 1))
-			engine := reader{perMS, 16 * time.Millisecond, 0.15}
+			engine := simulatedEngine{unitsPerMS, 16 * time.Millisecond, 0.15}
 			line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
 			for range 100 {
 				work := 9000 * random.Float64()
-				line.Note(work, engine.took(random, work))
+				line.Note(work, engine.duration(random, work))
 			}
-			seen := float64(time.Millisecond) / line.PerUnit()
-			must.Between(t, 0.8*perMS, seen, 1.25*perMS)
+			estimated := float64(time.Millisecond) / line.PerUnit()
+			must.Between(t, 0.8*unitsPerMS, estimated, 1.25*unitsPerMS)
 		})
 	}
 }
 
-// TestALineOutlivesWrongAnswers lets one in ten answers be far off, either way.
-func TestALineOutlivesWrongAnswers(t *testing.T) {
+// TestLineResistsOutliers makes one in ten responses far too late or too early.
+func TestLineResistsOutliers(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
-	engine := reader{40, 16 * time.Millisecond, 0.1}
+	engine := simulatedEngine{40, 16 * time.Millisecond, 0.1}
 	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
 	for n := range 400 {
 		work := 9000 * random.Float64()
-		took := engine.took(random, work)
+		duration := engine.duration(random, work)
 		switch n % 20 {
 		case 0:
-			took = 3 * time.Second
+			duration = 3 * time.Second
 		case 10:
-			took = time.Millisecond
+			duration = time.Millisecond
 		}
-		line.Note(work, took)
+		line.Note(work, duration)
 	}
 	must.Between(t, 30, float64(time.Millisecond)/line.PerUnit(), 50)
 }
 
-// TestALineFollowsAChange makes the engines 2.5 times slower.
-func TestALineFollowsAChange(t *testing.T) {
+// TestLineFollowsAChangeOfThroughput makes the engine 2.5 times slower.
+func TestLineFollowsAChangeOfThroughput(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
-	for _, perMS := range []float64{56, 22} {
-		engine := reader{perMS, 16 * time.Millisecond, 0.1}
+	for _, unitsPerMS := range []float64{56, 22} {
+		engine := simulatedEngine{unitsPerMS, 16 * time.Millisecond, 0.1}
 		for range 200 {
 			work := 9000 * random.Float64()
-			line.Note(work, engine.took(random, work))
+			line.Note(work, engine.duration(random, work))
 		}
-		must.Between(t, 0.8*perMS, float64(time.Millisecond)/line.PerUnit(), 1.2*perMS)
+		must.Between(t, 0.8*unitsPerMS, float64(time.Millisecond)/line.PerUnit(), 1.2*unitsPerMS)
 	}
 	must.Less(t, 100*time.Millisecond, line.Error())
 }
 
-// TestALineOfEqualWork gets answers that tell nothing of the slope.
-func TestALineOfEqualWork(t *testing.T) {
+// TestLineHandlesObservationsOfEqualWork adds observations that don't determine the
+// slope.
+func TestLineHandlesObservationsOfEqualWork(t *testing.T) {
 	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
 	for range 1000 {
 		line.Note(500, 40*time.Millisecond)
@@ -85,19 +87,19 @@
 	must.GreaterEq(t, 0, line.PerUnit())
 }
 
-// TestAFactorFindsTheSlow has an engine answer after four times the expected time,
-// and then after the expected one.
-func TestAFactorFindsTheSlow(t *testing.T) {
+// TestFactorDetectsASlowEngine lets responses take four times the expected time, and
+// then the expected time.
+func TestFactorDetectsASlowEngine(t *testing.T) {
 	var f pace.Factor
 	now := time.Unix(1000, 0)
 	must.Eq(t, 1, f.Value(now))
 	f.Note(100*time.Millisecond, 10*time.Second, now)
-	must.Less(t, 2, f.Value(now), must.Sprint("one answer proves little"))
+	must.Less(t, 2, f.Value(now), must.Sprint("a single slow response must count little"))
 	for range 10 {
 		f.Note(100*time.Millisecond, 400*time.Millisecond, now)
 	}
 	must.Between(t, 2.5, f.Value(now), 5)
-	must.Between(t, 1, f.Value(now.Add(30*time.Second)), 1.2, must.Sprint("it is tried again"))
+	must.Between(t, 1, f.Value(now.Add(30*time.Second)), 1.2, must.Sprint("the slowdown must be forgotten without new responses"))
 	for range 20 {
 		f.Note(100*time.Millisecond, 100*time.Millisecond, now)
 	}
