--- a/trip/trip.go
+++ b/trip/trip.go
@@ -1,12 +1,13 @@
-// Package trip learns how long round trips to other places take.
+// Package trip estimates round-trip times (RTTs) and derives connect timeouts from
+// them.
 //
-// Nothing tells a host how far apart regions are. Each connection that is opened
-// takes one round trip, so a Table learns the trips by the opening of connections,
-// and bounds the next ones by what it has learned, as a TCP sender bounds its wait
-// for an acknowledgement (RFC 6298).
+// The distance between regions isn't configured anywhere. Opening a TCP connection
+// takes one round trip, so a Table estimates RTTs from the connections that a host
+// opens. It computes connect timeouts from them as a TCP sender computes its
+// retransmission timeout (RFC 6298).
 //
-// A place is whatever hosts are equally far away in: a region where that is known
-// of an address, else the address itself.
+// A place is a group of hosts at the same distance: the region of an address if it
+// is known, otherwise the address itself.
 package trip
 
 import (
@@ -14,112 +15,115 @@
 	"time"
 )
 
-// Bounds of the opening of a connection.
+// Limits of the connect timeout.
 const (
-	// Unknown bounds the first opening to a place that nothing is known of. A
-	// region 150 ms away answers within it, with 100 ms for a slow processor.
+	// Unknown is the timeout for a place without an RTT estimate. It covers a region
+	// with a one-way latency of 150 ms, plus 100 ms for a slow processor.
 	Unknown = 400 * time.Millisecond
-	// Longest bounds every opening. A lost opening packet is sent again after a
-	// second; a new connection sends one of its own sooner.
+	// Longest is the maximum timeout. The kernel retransmits a lost SYN after one
+	// second; a new connection attempt sends its SYN sooner.
 	Longest = 900 * time.Millisecond
-	// rounds is how many openings in a row get longer bounds, before the first
-	// follows again. Behind a cut no bound is long enough, and the sooner the next
-	// opening is tried the sooner it meets the end of the cut; to a place that has
-	// moved farther away, the third bound is long enough.
-	rounds = 3
+	// backoffSteps is the number of attempts with increasing timeouts before the
+	// sequence restarts with the shortest one. During a partition no timeout is long
+	// enough, and frequent attempts detect its end sooner. If the RTT to a place has
+	// grown, the third timeout is long enough.
+	backoffSteps = 3
 )
 
-// Weights of the newest trip, by RFC 6298.
+// Parameters of the estimator, from RFC 6298.
 const (
-	meanWeight   = 1.0 / 8
-	spreadWeight = 1.0 / 4
-	// spreads is how many times the usual deviation a trip may be longer.
-	spreads = 4
+	rttWeight       = 1.0 / 8 // weight of the latest RTT
+	deviationWeight = 1.0 / 4 // weight of the latest deviation
+	// deviationFactor times the mean deviation is added to the smoothed RTT.
+	deviationFactor = 4
 )
 
-// estimate is what is known of one place.
-type estimate struct {
-	mean   time.Duration
-	spread time.Duration // mean deviation
-	missed int           // openings in a row that were given up
+// rttEstimate is the state of one place, with the variables of RFC 6298.
+type rttEstimate struct {
+	srtt     time.Duration // smoothed RTT; 0 if none has been observed
+	rttvar   time.Duration // mean deviation of the RTT
+	timeouts int           // consecutive connect attempts that timed out
 }
 
-// note takes one more trip.
-func (e *estimate) note(took time.Duration) {
-	e.missed = 0
-	if e.mean == 0 {
-		e.mean, e.spread = took, took/2
+// observe updates the estimate from one round trip.
+func (e *rttEstimate) observe(rtt time.Duration) {
+	e.timeouts = 0
+	if e.srtt == 0 {
+		e.srtt, e.rttvar = rtt, rtt/2
 		return
 	}
-	off := (took - e.mean).Abs()
-	e.spread += time.Duration(spreadWeight * float64(off-e.spread))
-	e.mean += time.Duration(meanWeight * float64(took-e.mean))
+	deviation := (rtt - e.srtt).Abs()
+	e.rttvar += time.Duration(deviationWeight * float64(deviation-e.rttvar))
+	e.srtt += time.Duration(rttWeight * float64(rtt-e.srtt))
 }
 
-// Table holds the trips from this host. It is safe for concurrent use; New makes
-// one.
+// Table holds the RTT estimates of a host for all places. It is safe for concurrent
+// use; New returns one.
 type Table struct {
 	mu     sync.Mutex
-	places map[string]*estimate
+	places map[string]*rttEstimate
 }
 
-// New makes a table that knows no place.
-func New() *Table { return &Table{places: make(map[string]*estimate)} }
+// New returns a table without any estimates.
+func New() *Table { return &Table{places: make(map[string]*rttEstimate)} }
 
-// Note takes the time that one round trip to a place took.
-func (t *Table) Note(place string, took time.Duration) {
+// Note updates the estimate of a place from the duration of one round trip and
+// resets its count of timeouts.
+func (t *Table) Note(place string, rtt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(place).note(max(took, 1))
+	t.estimateFor(place).observe(max(rtt, 1))
 }
 
-// Missed notes that an opening was given up.
+// Missed records that a connect attempt timed out.
 func (t *Table) Missed(place string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(place).missed++
+	t.estimateFor(place).timeouts++
 }
 
-func (t *Table) of(place string) *estimate {
+// estimateFor returns the estimate of a place, created if needed. The lock is held.
+func (t *Table) estimateFor(place string) *rttEstimate {
 	e, ok := t.places[place]
 	if !ok {
-		e = &estimate{}
+		e = &rttEstimate{}
 		t.places[place] = e
 	}
 	return e
 }
 
-// RoundTrip gives the usual round trip to a place, and whether any is known.
+// RoundTrip returns the smoothed RTT to a place, and false if there is no estimate.
 func (t *Table) RoundTrip(place string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.places[place]
-	if !ok || e.mean == 0 {
+	if !ok || e.srtt == 0 {
 		return 0, false
 	}
-	return e.mean, true
+	return e.srtt, true
 }
 
-// Bound gives how long the opening of a connection to a place may take: the usual
-// trip, and its variation or slack for what the other end does.
+// Bound returns the connect timeout for a place: the smoothed RTT plus a margin for
+// its variation, which is at least slack, the time that the other end may need.
 func (t *Table) Bound(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.of(place).bound(slack)
+	return t.estimateFor(place).timeout(slack)
 }
 
-// PatientBound is Bound for those who try again and again: where openings were
-// given up, the next two in a row get two and three times the time.
+// PatientBound is Bound for callers that retry. After one timeout it is twice as
+// long, after two it is three times as long, and then the sequence restarts. It
+// never exceeds Longest.
 func (t *Table) PatientBound(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.of(place)
-	return min(e.bound(slack)*time.Duration(1+e.missed%rounds), Longest)
+	e := t.estimateFor(place)
+	return min(e.timeout(slack)*time.Duration(1+e.timeouts%backoffSteps), Longest)
 }
 
-func (e *estimate) bound(slack time.Duration) time.Duration {
-	if e.mean == 0 {
+func (e *rttEstimate) timeout(slack time.Duration) time.Duration {
+	if e.srtt == 0 {
 		return Unknown
 	}
-	return min(e.mean+max(slack, spreads*e.spread), Longest)
+	return min(e.srtt+max(slack, deviationFactor*e.rttvar), Longest)
 }
--- a/trip/trip_test.go
+++ b/trip/trip_test.go
@@ -12,48 +12,50 @@
 
 const slack = 100 * time.Millisecond
 
-// TestAnyRegionOfOneContinentIsReached opens connections to places 1 to 150 ms
-// away, that take the trip and the time of a slow processor.
-func TestAnyRegionOfOneContinentIsReached(t *testing.T) {
-	for _, away := range []time.Duration{1, 5, 55, 100, 132, 140, 150} {
-		roundTrip := 2 * away * time.Millisecond
+// TestRegionsWithin150MillisecondsConnect opens connections to places with a one-way
+// latency of 1 to 150 ms and a slow processor. None may time out.
+func TestRegionsWithin150MillisecondsConnect(t *testing.T) {
+	for _, oneWay := range []time.Duration{1, 5, 55, 100, 132, 140, 150} {
+		roundTrip := 2 * oneWay * time.Millisecond
 		t.Run(roundTrip.String(), func(t *testing.T) {
 			table := trip.New()
 			for n := range 50 {
-				took := roundTrip + time.Duration(n%5)*15*time.Millisecond
-				must.Less(t, table.Bound("r", slack), took, must.Sprintf("opening %d", n))
-				table.Note("r", took)
+				rtt := roundTrip + time.Duration(n%5)*15*time.Millisecond
+				must.Less(t, table.Bound("r", slack), rtt, must.Sprintf("connection %d", n))
+				table.Note("r", rtt)
 			}
-			known, ok := table.RoundTrip("r")
+			estimated, ok := table.RoundTrip("r")
 			must.True(t, ok)
-			must.Between(t, roundTrip, known, roundTrip+60*time.Millisecond)
-			must.Less(t, roundTrip+250*time.Millisecond, table.Bound("r", slack), must.Sprint("a place behind a cut is given up soon"))
+			must.Between(t, roundTrip, estimated, roundTrip+60*time.Millisecond)
+			must.Less(t, roundTrip+250*time.Millisecond, table.Bound("r", slack), must.Sprint("the timeout must stay short for a partitioned place"))
 		})
 	}
 }
 
-// TestAPlaceThatMovesAwayIsFoundAgain triples the trip to a known place.
-func TestAPlaceThatMovesAwayIsFoundAgain(t *testing.T) {
+// TestTimeoutAdaptsAfterTheRoundTripTriples guards against timeouts that never reach
+// a place again after its RTT has grown.
+func TestTimeoutAdaptsAfterTheRoundTripTriples(t *testing.T) {
 	table := trip.New()
 	table.Note("r", 100*time.Millisecond)
 	table.Note("r", 100*time.Millisecond)
-	far := 300 * time.Millisecond
-	missed := 0
-	for table.PatientBound("r", slack) < far {
+	longer := 300 * time.Millisecond
+	timeouts := 0
+	for table.PatientBound("r", slack) < longer {
 		table.Missed("r")
-		missed++
+		timeouts++
 	}
-	must.Less(t, 3, missed)
-	must.Less(t, far, table.Bound("r", slack), must.Sprint("those who try once don't wait longer for it"))
+	must.Less(t, 3, timeouts)
+	must.Less(t, longer, table.Bound("r", slack), must.Sprint("the timeout without retries must not grow"))
 	for range 30 {
-		table.Note("r", far)
+		table.Note("r", longer)
 	}
-	must.Less(t, table.Bound("r", slack), far)
+	must.Less(t, table.Bound("r", slack), longer)
 }
 
-// TestBehindACutOpeningsStayShort gives up many openings: every third is as short
-// as the first.
-func TestBehindACutOpeningsStayShort(t *testing.T) {
+// TestTimeoutsStayShortDuringAPartition lets many attempts time out. Every third
+// timeout must be as short as the first, so that the end of the partition is
+// detected soon.
+func TestTimeoutsStayShortDuringAPartition(t *testing.T) {
 	table := trip.New()
 	for range 20 {
 		table.Note("r", 110*time.Millisecond)
@@ -70,8 +72,8 @@
 
 func ExampleTable() {
 	table := trip.New()
-	_, known := table.RoundTrip("kano")
-	fmt.Println(known, table.Bound("kano", 100*time.Millisecond))
+	_, ok := table.RoundTrip("kano")
+	fmt.Println(ok, table.Bound("kano", 100*time.Millisecond))
 	for range 10 {
 		table.Note("kano", 160*time.Millisecond)
 	}
