--- a/trip/trip.go
+++ b/trip/trip.go
@@ -17,12 +17,12 @@
 
 // Limits of the connect timeout.
 const (
-	// Unknown is the timeout for a place without an RTT estimate. It covers a region
-	// with a one-way latency of 150 ms, plus 100 ms for a slow processor.
-	Unknown = 400 * time.Millisecond
-	// Longest is the maximum timeout. The kernel retransmits a lost SYN after one
+	// InitialTimeout is the timeout for a place without an RTT estimate. It covers a
+	// region with a one-way latency of 150 ms, plus 100 ms for a slow processor.
+	InitialTimeout = 400 * time.Millisecond
+	// MaxTimeout is the maximum timeout. The kernel retransmits a lost SYN after one
 	// second; a new connection attempt sends its SYN sooner.
-	Longest = 900 * time.Millisecond
+	MaxTimeout = 900 * time.Millisecond
 	// backoffSteps is the number of attempts with increasing timeouts before the
 	// sequence restarts with the shortest one. During a partition no timeout is long
 	// enough, and frequent attempts detect its end sooner. If the RTT to a place has
@@ -113,17 +113,17 @@
 
 // PatientBound is Bound for callers that retry. After one timeout it is twice as
 // long, after two it is three times as long, and then the sequence restarts. It
-// never exceeds Longest.
+// never exceeds MaxTimeout.
 func (t *Table) PatientBound(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.estimateFor(place)
-	return min(e.timeout(slack)*time.Duration(1+e.timeouts%backoffSteps), Longest)
+	return min(e.timeout(slack)*time.Duration(1+e.timeouts%backoffSteps), MaxTimeout)
 }
 
 func (e *rttEstimate) timeout(slack time.Duration) time.Duration {
 	if e.srtt == 0 {
-		return Unknown
+		return InitialTimeout
 	}
-	return min(e.srtt+max(slack, deviationFactor*e.rttvar), Longest)
+	return min(e.srtt+max(slack, deviationFactor*e.rttvar), MaxTimeout)
 }
--- a/trip/trip_test.go
+++ b/trip/trip_test.go
@@ -63,7 +63,7 @@
 	first := table.PatientBound("r", slack)
 	for n := 1; n < 30; n++ {
 		table.Missed("r")
-		must.LessEq(t, trip.Longest, table.PatientBound("r", slack))
+		must.LessEq(t, trip.MaxTimeout, table.PatientBound("r", slack))
 		if n%3 == 0 {
 			must.Eq(t, first, table.PatientBound("r", slack))
 		}
