--- a/admit/queue.go
+++ b/admit/queue.go
@@ -36,32 +36,32 @@
 	Priority int     // 0 is the most urgent
 	Cost     float64 // cost in fair queueing
 	Deadline time.Time
-	// Need is the time that the request takes once it has a slot. A request with
-	// less time before its deadline isn't started.
+	// Time that the request takes once it has a slot. A request with less time
+	// before its deadline isn't started.
 	Need time.Duration
 	// MaxWait is the longest time that the caller accepts to wait for a slot; 0
 	// means that only the deadline applies. Push turns it into a deadline.
 	MaxWait time.Duration
 
-	startTag  float64
-	seq       uint64
-	heapIndex int // index in its heap; -1 once removed
+	startTag  float64 // virtual time at which service starts
+	seq       uint64  // push order
+	heapIndex int     // index in its heap; -1 once removed
 	arrived   time.Time
 }
 
 // Arrived returns the time at which the waiter was first pushed.
 func (w *Waiter[T]) Arrived() time.Time { return w.arrived }
 
-// Queue is a bounded priority queue with fair queueing per class. New returns an
-// empty one.
+// Queue is a bounded priority queue with fair queueing per class. The zero value
+// isn't ready for use.
 type Queue[T any] struct {
 	limit       int
 	size        int
 	lastSeq     uint64
-	skips       [numClasses]int
+	skips       [numClasses]int // turns in which a more urgent class was served
 	heaps       [numClasses]waiterHeap[T]
-	virtualTime [numClasses]float64
-	finishTags  [numClasses]map[string]float64
+	virtualTime [numClasses]float64            // start tag of the last waiter served
+	finishTags  [numClasses]map[string]float64 // by account, of the last waiter pushed
 }
 
 // New returns a queue of at most limit waiters.
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -5,8 +5,8 @@
 // and a time per unit of work, by linear regression over recent responses; a Mean, an
 // average duration; a Factor, how much slower an engine is than its peers. Each
 // starts from a prior that a few responses outweigh, and discounts old responses.
-// Line and Factor also limit the effect of outliers: a response may be late because
-// of a lost packet, or early because it came from a cache.
+// The regression and the slowdown factor also limit the effect of outliers: a response
+// may be late because of a lost packet, or early because it came from a cache.
 package pace
 
 import (
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -19,8 +19,8 @@
 // MaxAttempts is the maximum number of times that a request is sent to engines.
 const MaxAttempts = 3
 
-// Budget limits the retries of one host. It is safe for concurrent use. New
-// returns a full budget; the zero value is empty.
+// Budget limits the retries of one host. It is safe for concurrent use. The zero
+// value has no tokens.
 type Budget struct {
 	mu            sync.Mutex
 	tokens        float64 // retries available
--- a/route/region.go
+++ b/route/region.go
@@ -69,17 +69,15 @@
 	// Permitted reports whether selectors allow the region; nil allows all.
 	Permitted func(region string) bool
 	Prefill   time.Duration // time to prefill the prompt with an empty cache
-	// Warm is the estimated share of the prompt that is cached in the home
-	// region, 0 to 1.
+	// Estimated share of the prompt that is cached in the home region, 0 to 1.
 	Warm float64
 }
 
 // RegionChoice is the result of ChooseRegion.
 type RegionChoice struct {
-	Index  int // into the digests; -1 if no region is permitted and reachable
-	Reason string
-	// Expected is the expected time to the first token in the chosen region.
-	Expected time.Duration
+	Index    int // into the digests; -1 if no region is permitted and reachable
+	Reason   string
+	Expected time.Duration // expected time to the first token in the chosen region
 }
 
 // remoteMargin is the margin by which the expected time of a remote region must
--- a/route/route.go
+++ b/route/route.go
@@ -52,8 +52,7 @@
 	Health      Health
 	Ramp        float64 // share of Slots that may be used; 0 means all
 	Limited     bool    // this host has used up its share of the engine's rate limit, or has none
-	// Asked is the pushback of the engine that excludes it for this host; 0 for
-	// none.
+	// Pushback by which the engine excludes itself for this host; 0 for none.
 	Asked pushback.Reason
 }
 
@@ -65,7 +64,7 @@
 const (
 	// otherLoadSmoothing is the weight of the latest report. The load from other
 	// hosts changes faster than reports arrive, and hosts that all followed the
-	// same late report would all choose the same engine.
+	// same stale report would all choose the same engine.
 	otherLoadSmoothing = 0.2
 	// maxReportAge is the age at which a load report becomes stale.
 	maxReportAge = 5 * time.Second
@@ -101,7 +100,8 @@
 }
 
 // FillOthers sets Others of each engine whose report is stale or ignored to the
-// mean of the engines with a usable report.
+// mean of the engines with a usable report. Whatever the mean is, Load includes this
+// host's own requests.
 func FillOthers(engines []Engine, now time.Time) {
 	sum, n := 0.0, 0
 	for i := range engines {
--- a/trip/trip_test.go
+++ b/trip/trip_test.go
@@ -77,8 +77,8 @@
 	for range 10 {
 		table.Note("kano", 160*time.Millisecond)
 	}
-	usual, _ := table.RoundTrip("kano")
-	fmt.Println(usual, table.Bound("kano", 100*time.Millisecond))
+	rtt, _ := table.RoundTrip("kano")
+	fmt.Println(rtt, table.Bound("kano", 100*time.Millisecond))
 	// Output:
 	// false 400ms
 	// 160ms 260ms
