--- a/admit/queue_test.go
+++ b/admit/queue_test.go
@@ -35,7 +35,7 @@
 func TestBurstOfOneAccountDelaysOnlyThatAccount(t *testing.T) {
 	q := admit.New[string](100)
 	for i := range 20 {
-		must.NoError(t, q.Push(newWaiter(fmt.Sprint("burst-", i), "burst", 1), now, unlimitedRate))
+		must.NoError(t, q.Push(newWaiter(fmt.Sprint("flood-", i), "flood", 1), now, unlimitedRate))
 	}
 	must.NoError(t, q.Push(newWaiter("other", "other", 1), now, unlimitedRate))
 	must.SliceContains(t, popAll(q)[:2], "other")
@@ -57,16 +57,16 @@
 	for i := range 10 {
 		must.NoError(t, q.Push(newWaiter(fmt.Sprint(i), "a", 1), now, 10))
 	}
-	tightDeadline := newWaiter("tight deadline", "a", 1)
-	tightDeadline.Deadline = now.Add(500 * time.Millisecond)
-	err := q.Push(tightDeadline, now, 10) // 10 waiters ahead at 10 requests per second
+	hurried := newWaiter("hurried", "a", 1)
+	hurried.Deadline = now.Add(500 * time.Millisecond)
+	err := q.Push(hurried, now, 10) // 10 waiters ahead at 10 requests per second
 	var rejection *request.NotRun
 	must.True(t, errors.As(err, &rejection))
 	must.Eq(t, request.ReasonOverload, rejection.Reason)
 	must.Eq(t, 1100*time.Millisecond, rejection.RetryAfter)
-	impatient := newWaiter("impatient", "a", 1)
-	impatient.MaxWait = 300 * time.Millisecond
-	must.Error(t, q.Push(impatient, now, 10))
+	patient := newWaiter("patient", "a", 1)
+	patient.MaxWait = 300 * time.Millisecond
+	must.Error(t, q.Push(patient, now, 10))
 	must.NoError(t, q.Push(newWaiter("urgent", "a", 0), now, 10))
 }
 
