--- a/rollup/board.go
+++ b/rollup/board.go
@@ -88,8 +88,8 @@
 	a.topology = newTopology(a.Self, a.Hosts(), a.Self.Region)
 }
 
-// OutgoingMessage returns the messages that are due, including this gateway's own report. The owner
-// calls it once every ReportInterval.
+// Outgoing returns the messages that are due, including this gateway's own report. The
+// owner calls it once every ReportInterval.
 func (a *Aggregator) Outgoing(own Report) []OutgoingMessage {
 	now := a.Clock()
 	if now.Sub(a.topologyAt) >= topologyInterval {
