--- a/cmd/linenscale/read.go
+++ b/cmd/linenscale/read.go
@@ -154,7 +154,7 @@
 		sort.Slice(e.Engines, func(i, j int) bool { return e.Engines[i].Score < e.Engines[j].Score })
 		var rows [][]string
 		for _, x := range e.Engines {
-			rows = append(rows, []string{x.Engine, x.Refused, x.Score.Round(time.Microsecond).String(), fmt.Sprintf("%.1f of %d", x.Load, x.Slots), x.Health})
+			rows = append(rows, []string{x.Engine, x.Exclusion, x.Score.Round(time.Microsecond).String(), fmt.Sprintf("%.1f of %d", x.Load, x.Slots), x.Health})
 		}
 		return t.print(e, []string{"ENGINE", "STANDING", "SCORE", "LOAD", "HEALTH"}, rows)
 	}}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -197,7 +197,7 @@
 	e := &p.view.Engines[choice.Index]
 	e.InFlight++
 	p.own[choice.Index].note(now, e.InFlight)
-	p.view.Cached.Add(w.Tag.ask.PrefixChain, choice.Index)
+	p.view.Prefixes.Add(w.Tag.ask.PrefixChain, choice.Index)
 	p.started(now)
 	f.suspects.Begin(w.Tag.fingerprint)
 	key := engineKey(p.service, e.Name)
@@ -283,7 +283,7 @@
 }
 
 // Explain gives each engine's score, or why it is refused, for a request.
-func (f *Fleet) Explain(ask Ask) []route.Explained {
+func (f *Fleet) Explain(ask Ask) []route.EngineScore {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[ask.Request.Service]
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -84,7 +84,7 @@
 		must.True(t, errors.As(err, &refusal))
 		must.Eq(t, request.ReasonNoEngine, refusal.Reason)
 		must.GreaterEq(t, time.Second, refusal.RetryAfter)
-		must.Eq(t, route.RefusedLimited.String(), f.Explain(c.ask())[0].Refused)
+		must.Eq(t, route.ExcludedRateLimited.String(), f.Explain(c.ask())[0].Exclusion)
 	}
 }
 
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -64,7 +64,7 @@
 		h.Observe(health.Shed, 0)
 		// The engine is fuller than its reports say: believe that others
 		// fill it, until reports say otherwise.
-		e.Others = max(e.Others, float64(e.Slots+e.Slots/4-e.InFlight))
+		e.OtherLoad = max(e.OtherLoad, float64(e.Slots+e.Slots/4-e.InFlight))
 		e.ReportedAt = now
 	case Abandoned:
 		h.Observe(health.Abandoned, 0)
@@ -114,7 +114,7 @@
 
 // Evicted notes that an engine has dropped a cached prefix.
 func (f *Fleet) Evicted(service, engine string, prefix uint64) {
-	f.each(service, engine, func(p *pool, i int) { p.view.Cached.Remove(prefix, i) })
+	f.each(service, engine, func(p *pool, i int) { p.view.Prefixes.Remove(prefix, i) })
 }
 
 // SetLeaving notes which engine addresses the platform says are leaving.
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -24,7 +24,7 @@
 
 // waiting is what the queue carries for the fleet.
 type waiting struct {
-	ask         route.Ask
+	ask         route.Request
 	ready       func(Served)
 	fingerprint quarantine.Fingerprint
 }
@@ -47,7 +47,7 @@
 func newPool(service string) *pool {
 	return &pool{
 		service: service,
-		view:    route.View{Cached: route.NewPrefixIndex(prefixes)},
+		view:    route.View{Prefixes: route.NewPrefixIndex(prefixes)},
 		queue:   admit.New[waiting](queueLimit),
 		budget:  retry.New(),
 	}
@@ -111,7 +111,7 @@
 }
 
 func (p *pool) judge(now time.Time) {
-	route.FillOthers(p.view.Engines, now)
+	route.FillOtherLoad(p.view.Engines, now)
 	for i, h := range health.Judge(p.health, now) {
 		e := &p.view.Engines[i]
 		e.Health = h
@@ -132,10 +132,10 @@
 		Need:     ask.Need,
 		MaxWait:  ask.MaxWait,
 	}
-	w.Tag = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Ask{
+	w.Tag = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Request{
 		Model:       r.Model,
 		PrefixChain: r.PrefixChain,
-		Prefill:     ask.Prefill,
+		PrefillTime: ask.Prefill,
 		Tried:       p.indexes(ask.Tried),
 	}}
 	if ask.Permitted != nil {
@@ -168,7 +168,7 @@
 // anyFit tells whether some engine could take the request if it had a slot.
 func (p *pool) anyFit(w *waiter) bool {
 	for _, e := range route.Explain(&p.view, &w.Tag.ask) {
-		if e.Refused == route.RefusedNot.String() || e.Refused == route.RefusedFull.String() {
+		if e.Exclusion == route.NotExcluded.String() || e.Exclusion == route.ExcludedFull.String() {
 			return true
 		}
 	}
@@ -227,7 +227,7 @@
 func (p *pool) anyFree() bool {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
-		if e.Health == route.Healthy && !e.Limited && e.Asked == 0 && !e.Full() {
+		if e.Health == route.Healthy && !e.RateLimited && e.Pushback == 0 && !e.Full() {
 			return true
 		}
 	}
@@ -261,7 +261,7 @@
 	n, load := 0, 0.0
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
-		if e.Health != route.Healthy || e.Asked != 0 {
+		if e.Health != route.Healthy || e.Pushback != 0 {
 			continue
 		}
 		d.Slots += e.Slots
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -27,7 +27,7 @@
 		e := &p.view.Engines[i]
 		key := engineKey(p.service, e.Name)
 		bar, _ := f.pushback.Exclusion(key, now)
-		e.Asked, e.Limited = bar.Reason, !f.limits.Allows(key, now)
+		e.Pushback, e.RateLimited = bar.Reason, !f.limits.Allows(key, now)
 	}
 }
 
--- a/fleet/pushback_test.go
+++ b/fleet/pushback_test.go
@@ -34,7 +34,7 @@
 	refusal := refused(t, f, c)
 	must.Eq(t, request.ReasonNoEngine, refusal.Reason)
 	must.Eq(t, 2*time.Second, refusal.RetryAfter)
-	must.Eq(t, route.RefusedResting.String(), f.Explain(c.ask())[0].Refused)
+	must.Eq(t, route.ExcludedBackingOff.String(), f.Explain(c.ask())[0].Exclusion)
 	must.Eq(t, 0, f.Digests()[0].Digest.Slots, must.Sprint("no capacity for other regions"))
 	c.now = c.now.Add(2 * time.Second)
 	for i := range 20 { // it has nothing to do, which isn't believed at once
@@ -77,7 +77,7 @@
 	ticket.Done(fleet.Result{Outcome: fleet.Answered})
 	f.ProbedLeaving("s", "e", false, probed)
 	refused(t, f, c)
-	must.Eq(t, route.RefusedLeaving.String(), f.Explain(c.ask())[0].Refused)
+	must.Eq(t, route.ExcludedDraining.String(), f.Explain(c.ask())[0].Exclusion)
 	c.now = c.now.Add(time.Second)
 	f.ProbedLeaving("s", "e", true, c.now)
 	refused(t, f, c)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -128,17 +128,17 @@
 		}
 	}
 	policy := x.service.Policy
-	weights := route.Weights{Tail: policy.Tail, Cost: policy.Cost, Away: policy.Away, Target: policy.FirstToken}
-	ask := route.RegionAsk{
-		Prefill:   p.prefill,
-		Permitted: func(region string) bool { return s.regionPermitted(x, region) },
+	weights := route.Weights{TailLatency: policy.Tail, Cost: policy.Cost, Locality: policy.Away, FirstTokenTarget: policy.FirstToken}
+	ask := route.RegionRequest{
+		PrefillTime: p.prefill,
+		Permitted:   func(region string) bool { return s.regionPermitted(x, region) },
 	}
 	choice := route.ChooseRegion(time.Now(), digests, home, weights, &ask, s.Random())
 	if choice.Index >= 0 {
 		s.Log.Info("region chosen",
 			zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.Uint64("revision", x.config.Revision()),
 			zap.String("home", x.req.Home), zap.String("region", digests[choice.Index].Region),
-			zap.String("reason", choice.Reason), zap.Duration("expected", choice.Expected))
+			zap.String("reason", choice.Reason), zap.Duration("expected", choice.FirstTokenTime))
 	}
 	return choice, digests
 }
@@ -223,8 +223,8 @@
 func (s *Server) logEngine(x *exchange, ticket *fleet.Ticket, attempt int) {
 	s.Log.Info("engine chosen",
 		zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.Uint64("revision", x.config.Revision()),
-		zap.String("engine", ticket.Engine), zap.String("reason", ticket.Choice.Reason), zap.Int("hit_blocks", ticket.Choice.Hit),
-		zap.Duration("score", ticket.Choice.Score), zap.Duration("waited", ticket.Waited), zap.Int("attempt", attempt))
+		zap.String("engine", ticket.Engine), zap.String("reason", ticket.Choice.Reason), zap.Int("hit_blocks", ticket.Choice.CachedBlocks),
+		zap.Duration("score", ticket.Choice.ExpectedTime), zap.Duration("waited", ticket.Waited), zap.Int("attempt", attempt))
 }
 
 // headerPriority tells an engine how urgent a request is, 0 first.
--- a/health/health.go
+++ b/health/health.go
@@ -161,7 +161,7 @@
 	case e.stopping:
 		return route.Stopping
 	case e.draining:
-		return route.Leaving
+		return route.Draining
 	case e.failedProbes >= unreachableAfter:
 		return route.Unreachable
 	case now.Before(e.ejectedUntil):
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -107,7 +107,7 @@
 	p[0].SetStopping(true)
 	p[1].SetLeaving(true)
 	p[2].Probe(false)
-	must.Eq(t, []route.Health{route.Stopping, route.Leaving, route.Healthy}, health.Judge(p, now))
+	must.Eq(t, []route.Health{route.Stopping, route.Draining, route.Healthy}, health.Judge(p, now))
 	p[2].Probe(false)
 	must.Eq(t, route.Unreachable, health.Judge(p, now)[2])
 	p[2].Probe(true)
--- a/internal/bench/scenarios.go
+++ b/internal/bench/scenarios.go
@@ -154,13 +154,13 @@
 
 // Associations compares the ways to choose a region on both associations.
 func Associations() []Table {
-	coop := association([]string{"lagos", "abuja", "kano"}, route.Weights{Tail: 4, Cost: 1, Away: 1, Target: 380 * time.Millisecond}, func(home, region string) bool {
+	coop := association([]string{"lagos", "abuja", "kano"}, route.Weights{TailLatency: 4, Cost: 1, Locality: 1, FirstTokenTarget: 380 * time.Millisecond}, func(home, region string) bool {
 		if home == "kano" {
 			return region != "lagos"
 		}
 		return region != "kano"
 	})
-	match := association([]string{"tunis", "sfax", "marseille"}, route.Weights{Tail: 1, Cost: 1, Away: 4, Target: 380 * time.Millisecond}, func(home, region string) bool {
+	match := association([]string{"tunis", "sfax", "marseille"}, route.Weights{TailLatency: 1, Cost: 1, Locality: 4, FirstTokenTarget: 380 * time.Millisecond}, func(home, region string) bool {
 		if home == "marseille" {
 			return region != "tunis"
 		}
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -381,7 +381,7 @@
 		}
 		return best
 	case RegionOurs:
-		ask := route.RegionAsk{Permitted: permitted, Prefill: time.Duration(a.bytes) * prefillByte, Warm: 0.5}
+		ask := route.RegionRequest{Permitted: permitted, PrefillTime: time.Duration(a.bytes) * prefillByte, CachedShare: 0.5}
 		if c := route.ChooseRegion(w.time.Now(), digests, home, w.opts.Weights, &ask, w.random.Uint64()); c.Index >= 0 {
 			return c.Index
 		}
--- a/operator/server.go
+++ b/operator/server.go
@@ -208,11 +208,11 @@
 
 // Explanation is the answer to GET /v1/explain.
 type Explanation struct {
-	Revision uint64            `json:"revision"`
-	Lease    string            `json:"lease"` // why nothing is served, or empty
-	Here     string            `json:"here"`  // why this region may not have it, or empty
-	Regions  []ExplainedRegion `json:"regions"`
-	Engines  []route.Explained `json:"engines"` // of this region
+	Revision uint64              `json:"revision"`
+	Lease    string              `json:"lease"` // why nothing is served, or empty
+	Here     string              `json:"here"`  // why this region may not have it, or empty
+	Regions  []ExplainedRegion   `json:"regions"`
+	Engines  []route.EngineScore `json:"engines"` // of this region
 }
 
 // ExplainedRegion is one region's standing for a request.
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -54,7 +54,7 @@
 func TestLeavingIsBelievedAtOnce(t *testing.T) {
 	p, f := setup(t)
 	p.Believe(list(now, "live", "leaving", "live"), now)
-	must.Eq(t, route.Leaving, health(t, f, "b"))
+	must.Eq(t, route.Draining, health(t, f, "b"))
 	must.Eq(t, route.Healthy, health(t, f, "a"))
 }
 
@@ -76,7 +76,7 @@
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 	later := now.Add(6 * time.Second)
 	p.Believe(list(later, "live", "", "live"), later)
-	must.Eq(t, route.Leaving, health(t, f, "b"))
+	must.Eq(t, route.Draining, health(t, f, "b"))
 	p.Believe(list(later, "live", "live", "live"), later)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
--- a/route/policy.go
+++ b/route/policy.go
@@ -35,7 +35,7 @@
 // Choose picks an engine for a request, or returns NoChoice if none is
 // eligible. random is 64 uniformly distributed bits; equal arguments yield
 // equal choices. Choose doesn't allocate.
-func Choose(p Policy, v *View, req *Ask, random uint64) Choice {
+func Choose(p Policy, v *View, req *Request, random uint64) Choice {
 	switch p.(type) {
 	case Random:
 		return chooseRandom(v, req, random)
@@ -50,7 +50,7 @@
 
 // firstEligible returns the index of the first eligible engine, scanning from a
 // random position, or -1. It skips the index exclude if that isn't negative.
-func firstEligible(v *View, req *Ask, random uint64, exclude int) int {
+func firstEligible(v *View, req *Request, random uint64, exclude int) int {
 	n := len(v.Engines)
 	if n == 0 {
 		return -1
@@ -58,14 +58,14 @@
 	start := int(random % uint64(n))
 	for k := range n {
 		i := (start + k) % n
-		if i != exclude && exclusion(v, req, i) == RefusedNot {
+		if i != exclude && exclusion(v, req, i) == NotExcluded {
 			return i
 		}
 	}
 	return -1
 }
 
-func chooseRandom(v *View, req *Ask, random uint64) Choice {
+func chooseRandom(v *View, req *Request, random uint64) Choice {
 	i := firstEligible(v, req, random, -1)
 	if i < 0 {
 		return NoChoice
@@ -73,7 +73,7 @@
 	return Choice{Index: i, Reason: "random"}
 }
 
-func chooseFewestInFlight(v *View, req *Ask, random uint64) Choice {
+func chooseFewestInFlight(v *View, req *Request, random uint64) Choice {
 	best := NoChoice
 	n := len(v.Engines)
 	if n == 0 {
@@ -84,7 +84,7 @@
 	start := int(random % uint64(n))
 	for k := range n {
 		i := (start + k) % n
-		if exclusion(v, req, i) != RefusedNot {
+		if exclusion(v, req, i) != NotExcluded {
 			continue
 		}
 		if best.Index < 0 || v.Engines[i].InFlight < v.Engines[best.Index].InFlight {
@@ -94,7 +94,7 @@
 	return best
 }
 
-func chooseTwoChoices(v *View, req *Ask, random uint64) Choice {
+func chooseTwoChoices(v *View, req *Request, random uint64) Choice {
 	first := firstEligible(v, req, random, -1)
 	if first < 0 {
 		return NoChoice
@@ -119,7 +119,7 @@
 	minHolderBound    = 0.8
 )
 
-func choosePrefixBounded(v *View, req *Ask, random uint64) Choice {
+func choosePrefixBounded(v *View, req *Request, random uint64) Choice {
 	best := NoChoice
 	sum, n := 0.0, 0
 	for range min(sampleSize, len(v.Engines)) {
@@ -128,26 +128,26 @@
 		if i >= 0 {
 			sum += v.Engines[i].utilisation()
 			n++
-			best = lowerScore(v, req, best, Choice{Index: i, Hit: v.cachedBlocks(req, i), Reason: "expected time"})
+			best = lowerScore(v, req, best, Choice{Index: i, CachedBlocks: v.cachedBlocks(req, i), Reason: "expected time"})
 		}
 	}
-	if best.Index < 0 || v.Cached == nil {
+	if best.Index < 0 || v.Prefixes == nil {
 		return best
 	}
 	bound := max(minHolderBound, holderBoundFactor*sum/float64(n))
 	for blocks := len(req.PrefixChain); blocks > 0; blocks-- {
-		holders := v.Cached.Holders(req.PrefixChain[blocks-1])
+		holders := v.Prefixes.Holders(req.PrefixChain[blocks-1])
 		for _, holder := range holders {
 			i := int(holder) - 1
-			if i < 0 || i >= len(v.Engines) || exclusion(v, req, i) != RefusedNot {
+			if i < 0 || i >= len(v.Engines) || exclusion(v, req, i) != NotExcluded {
 				continue
 			}
 			if v.Engines[i].utilisation() > bound {
 				continue
 			}
-			best = lowerScore(v, req, best, Choice{Index: i, Hit: blocks, Reason: "prefix"})
+			best = lowerScore(v, req, best, Choice{Index: i, CachedBlocks: blocks, Reason: "prefix"})
 		}
-		if best.Hit >= blocks {
+		if best.CachedBlocks >= blocks {
 			break
 		}
 	}
@@ -156,9 +156,9 @@
 
 // lowerScore computes the candidate's score and returns the choice with the
 // lower score. Any candidate replaces NoChoice.
-func lowerScore(v *View, req *Ask, old, candidate Choice) Choice {
-	candidate.Score = v.score(req, candidate)
-	if old.Index < 0 || candidate.Score < old.Score {
+func lowerScore(v *View, req *Request, old, candidate Choice) Choice {
+	candidate.ExpectedTime = v.score(req, candidate)
+	if old.Index < 0 || candidate.ExpectedTime < old.ExpectedTime {
 		return candidate
 	}
 	return old
@@ -166,11 +166,11 @@
 
 // score returns the expected time to the first token, including a penalty for
 // utilisation.
-func (v *View) score(req *Ask, c Choice) time.Duration {
+func (v *View) score(req *Request, c Choice) time.Duration {
 	e := &v.Engines[c.Index]
-	prefill := req.Prefill
+	prefill := req.PrefillTime
 	if n := len(req.PrefixChain); n > 0 {
-		prefill = req.Prefill * time.Duration(n-c.Hit) / time.Duration(n)
+		prefill = req.PrefillTime * time.Duration(n-c.CachedBlocks) / time.Duration(n)
 	}
 	// An engine slows down before all its slots are in use, and a busier engine
 	// has less headroom for the next burst. The penalty is quadratic.
@@ -184,12 +184,12 @@
 
 // cachedBlocks returns how many leading blocks of the prompt the engine has
 // cached, according to the prefix index.
-func (v *View) cachedBlocks(req *Ask, engine int) int {
-	if v.Cached == nil {
+func (v *View) cachedBlocks(req *Request, engine int) int {
+	if v.Prefixes == nil {
 		return 0
 	}
 	for blocks := len(req.PrefixChain); blocks > 0; blocks-- {
-		for _, holder := range v.Cached.Holders(req.PrefixChain[blocks-1]) {
+		for _, holder := range v.Prefixes.Holders(req.PrefixChain[blocks-1]) {
 			if int(holder)-1 == engine {
 				return blocks
 			}
@@ -207,32 +207,32 @@
 	return x ^ (x >> 31)
 }
 
-// Explained reports how one engine was rated for a request.
-type Explained struct {
-	Engine  string        `json:"engine"`
-	Refused string        `json:"refused"` // "considered", or the reason for the exclusion
-	Score   time.Duration `json:"score"`   // expected time to the first token
-	Hit     int           `json:"hit"`     // cached prefix blocks
-	Load    float64       `json:"load"`
-	Slots   int           `json:"slots"`
-	Health  string        `json:"health"`
+// EngineScore reports how one engine was rated for a request.
+type EngineScore struct {
+	Engine       string        `json:"engine"`
+	Exclusion    string        `json:"refused"` // "considered", or the reason for the exclusion
+	Score        time.Duration `json:"score"`   // expected time to the first token
+	CachedBlocks int           `json:"hit"`     // cached prefix blocks
+	Load         float64       `json:"load"`
+	Slots        int           `json:"slots"`
+	Health       string        `json:"health"`
 }
 
 // Explain returns the score of every engine, and for each engine that is not
 // eligible the reason.
-func Explain(v *View, req *Ask) []Explained {
-	out := make([]Explained, len(v.Engines))
+func Explain(v *View, req *Request) []EngineScore {
+	out := make([]EngineScore, len(v.Engines))
 	for i := range v.Engines {
 		e := &v.Engines[i]
 		cached := v.cachedBlocks(req, i)
-		out[i] = Explained{
-			Engine:  e.Name,
-			Refused: exclusion(v, req, i).String(),
-			Score:   v.score(req, Choice{Index: i, Hit: cached}),
-			Hit:     cached,
-			Load:    e.Load(),
-			Slots:   e.Slots,
-			Health:  e.Health.String(),
+		out[i] = EngineScore{
+			Engine:       e.Name,
+			Exclusion:    exclusion(v, req, i).String(),
+			Score:        v.score(req, Choice{Index: i, CachedBlocks: cached}),
+			CachedBlocks: cached,
+			Load:         e.Load(),
+			Slots:        e.Slots,
+			Health:       e.Health.String(),
 		}
 	}
 	return out
--- a/route/region.go
+++ b/route/region.go
@@ -58,26 +58,26 @@
 
 // Weights holds the priorities that operators set for a service.
 type Weights struct {
-	Tail   float64       // weight of tail latency
-	Cost   float64       // weight of engine cost
-	Away   float64       // weight of keeping requests in the home region
-	Target time.Duration // target for the time to the first token
+	TailLatency      float64       // weight of tail latency
+	Cost             float64       // weight of engine cost
+	Locality         float64       // weight of keeping requests in the home region
+	FirstTokenTarget time.Duration // target for the time to the first token
 }
 
-// RegionAsk describes a request for the choice of a region.
-type RegionAsk struct {
+// RegionRequest describes a request for the choice of a region.
+type RegionRequest struct {
 	// Permitted reports whether selectors allow the region; nil allows all.
-	Permitted func(region string) bool
-	Prefill   time.Duration // time to prefill the prompt with an empty cache
+	Permitted   func(region string) bool
+	PrefillTime time.Duration // time to prefill the prompt with an empty cache
 	// Estimated share of the prompt that is cached in the home region, 0 to 1.
-	Warm float64
+	CachedShare float64
 }
 
 // RegionChoice is the result of ChooseRegion.
 type RegionChoice struct {
-	Index    int // into the digests; -1 if no region is permitted and reachable
-	Reason   string
-	Expected time.Duration // expected time to the first token in the chosen region
+	Index          int // into the digests; -1 if no region is permitted and reachable
+	Reason         string
+	FirstTokenTime time.Duration // expected time to the first token in the chosen region
 }
 
 // remoteMargin is the margin by which the expected time of a remote region must
@@ -89,10 +89,10 @@
 // region relative to tail latency. If neither weight is set, both count the
 // same.
 func (w *Weights) localityWeight() float64 {
-	if w.Tail+w.Away == 0 {
+	if w.TailLatency+w.Locality == 0 {
 		return 0.5
 	}
-	return w.Away / (w.Tail + w.Away)
+	return w.Locality / (w.TailLatency + w.Locality)
 }
 
 // queueingWeight returns the factor for the mean queueing delay. It ranges from
@@ -110,7 +110,7 @@
 // most requests are faster.
 func (w *Weights) homeThreshold() time.Duration {
 	locality := w.localityWeight()
-	return time.Duration(homeThresholdFactor * locality * locality * float64(w.Target))
+	return time.Duration(homeThresholdFactor * locality * locality * float64(w.FirstTokenTarget))
 }
 
 const homeThresholdFactor = 4
@@ -127,15 +127,15 @@
 // proportion to free slots rather than taken as the best.
 //
 // random is 64 uniformly distributed bits.
-func ChooseRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionAsk, random uint64) RegionChoice {
+func ChooseRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionRequest, random uint64) RegionChoice {
 	homeUsable := home >= 0 && (req.Permitted == nil || req.Permitted(digests[home].Region)) && digests[home].Slots > 0
 	if homeUsable {
-		expected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.Prefill, req.Warm)
+		expected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.PrefillTime, req.CachedShare)
 		if expected <= w.homeThreshold() {
-			return RegionChoice{Index: home, Reason: "home meets the target", Expected: expected}
+			return RegionChoice{Index: home, Reason: "home meets the target", FirstTokenTime: expected}
 		}
 		if !inHomeExcess(&digests[home], &w, now, random) {
-			return RegionChoice{Index: home, Reason: "home's share", Expected: expected}
+			return RegionChoice{Index: home, Reason: "home's share", FirstTokenTime: expected}
 		}
 	}
 	remote := drawRemoteRegion(now, digests, home, w, req, splitmix64(random), maxDigestAge)
@@ -145,10 +145,10 @@
 		}
 		return remote
 	}
-	homeExpected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.Prefill, req.Warm)
+	homeExpected := digests[home].expectedWait(now, w.queueingWeight()) + uncachedPrefill(req.PrefillTime, req.CachedShare)
 	margin := time.Duration(w.localityWeight() * float64(remoteMargin))
-	if remote.Index < 0 || remote.Expected+margin >= homeExpected {
-		return RegionChoice{Index: home, Reason: "no other region is better", Expected: homeExpected}
+	if remote.Index < 0 || remote.FirstTokenTime+margin >= homeExpected {
+		return RegionChoice{Index: home, Reason: "no other region is better", FirstTokenTime: homeExpected}
 	}
 	return remote
 }
@@ -173,7 +173,7 @@
 
 // drawRemoteRegion draws a remote region at random, in proportion to its
 // regionWeight. It ignores regions whose digest is older than maxAge.
-func drawRemoteRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionAsk, random uint64, maxAge time.Duration) RegionChoice {
+func drawRemoteRegion(now time.Time, digests []Digest, home int, w Weights, req *RegionRequest, random uint64, maxAge time.Duration) RegionChoice {
 	total := 0.0
 	for i := range digests {
 		total += regionWeight(now, &digests[i], i == home, w, req, maxAge)
@@ -194,7 +194,7 @@
 		}
 	}
 	d := &digests[chosen]
-	return RegionChoice{Index: chosen, Reason: "away", Expected: d.expectedWait(now, w.queueingWeight()) + d.RoundTrip + req.Prefill}
+	return RegionChoice{Index: chosen, Reason: "away", FirstTokenTime: d.expectedWait(now, w.queueingWeight()) + d.RoundTrip + req.PrefillTime}
 }
 
 // minRegionWeight keeps a region without free slots eligible, because it may be
@@ -203,11 +203,11 @@
 
 // regionWeight returns the free slots of a region divided by its latency and cost
 // factors, or 0 if the region isn't eligible.
-func regionWeight(now time.Time, d *Digest, isHome bool, w Weights, req *RegionAsk, maxAge time.Duration) float64 {
+func regionWeight(now time.Time, d *Digest, isHome bool, w Weights, req *RegionRequest, maxAge time.Duration) float64 {
 	if isHome || d.Cut || now.Sub(d.At) > maxAge || d.Slots == 0 || (req.Permitted != nil && !req.Permitted(d.Region)) {
 		return 0
 	}
-	latencyFactor := 1 + w.Tail*d.RoundTrip.Seconds()
+	latencyFactor := 1 + w.TailLatency*d.RoundTrip.Seconds()
 	costFactor := 1 + w.Cost*d.Cost
 	return (d.freeSlots(now) + minRegionWeight) / (latencyFactor * costFactor)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -21,7 +21,7 @@
 const (
 	Healthy     Health = iota
 	Ejected            // an outlier: high failure rate, or far slower than its peers
-	Leaving            // draining, because the platform reclaims its host
+	Draining           // draining, because the platform reclaims its host
 	Stopping           // an operator's label tells it to finish its requests and stop
 	Unreachable        // probes fail
 )
@@ -42,7 +42,7 @@
 	Cost    float64
 
 	InFlight   int     // requests from this host in flight
-	Others     float64 // requests from other hosts, smoothed over reports
+	OtherLoad  float64 // requests from other hosts, smoothed over reports
 	ReportedAt time.Time
 	// IgnoreReportsUntil is the time before which reports of the engine are ignored,
 	// because one of them contradicted this host's own count.
@@ -51,14 +51,14 @@
 	ServiceTime time.Duration // smoothed time that a request occupies a slot
 	Health      Health
 	Ramp        float64 // share of Slots that may be used; 0 means all
-	Limited     bool    // this host has used up its share of the engine's rate limit, or has none
+	RateLimited bool    // this host has used up its share of the engine's rate limit, or has none
 	// Pushback by which the engine excludes itself for this host; 0 for none.
-	Asked pushback.Reason
+	Pushback pushback.Reason
 }
 
 // Load estimates the number of requests at the engine: the exact number from
 // this host plus the reported number from other hosts.
-func (e *Engine) Load() float64 { return float64(e.InFlight) + e.Others }
+func (e *Engine) Load() float64 { return float64(e.InFlight) + e.OtherLoad }
 
 // Parameters of the load estimate.
 const (
@@ -85,34 +85,34 @@
 	}
 	others := float64(total - own)
 	if e.ReportedAt.IsZero() {
-		e.Others = others
+		e.OtherLoad = others
 	} else {
-		e.Others += otherLoadSmoothing * (others - e.Others)
+		e.OtherLoad += otherLoadSmoothing * (others - e.OtherLoad)
 	}
 	e.ReportedAt = at
 	return e
 }
 
-// reportUsable reports whether Others can be relied on: the latest report isn't
+// reportUsable reports whether OtherLoad can be relied on: the latest report isn't
 // stale, and reports of the engine aren't being ignored.
 func (e *Engine) reportUsable(now time.Time) bool {
 	return now.Sub(e.ReportedAt) <= maxReportAge && !now.Before(e.IgnoreReportsUntil)
 }
 
-// FillOthers sets Others of each engine whose report is stale or ignored to the
+// FillOtherLoad sets OtherLoad of each engine whose report is stale or ignored to the
 // mean of the engines with a usable report. Whatever the mean is, Load includes this
 // host's own requests.
-func FillOthers(engines []Engine, now time.Time) {
+func FillOtherLoad(engines []Engine, now time.Time) {
 	sum, n := 0.0, 0
 	for i := range engines {
 		if engines[i].reportUsable(now) {
-			sum += engines[i].Others
+			sum += engines[i].OtherLoad
 			n++
 		}
 	}
 	for i := range engines {
 		if e := &engines[i]; !e.reportUsable(now) {
-			e.Others = sum / float64(max(1, n))
+			e.OtherLoad = sum / float64(max(1, n))
 		}
 	}
 }
@@ -154,73 +154,73 @@
 // View is the input of a choice: the engines of one service in one region, and
 // the prompt prefixes that they have cached.
 type View struct {
-	Now     time.Time
-	Engines []Engine
-	Cached  *PrefixIndex // nil if caches are not tracked
+	Now      time.Time
+	Engines  []Engine
+	Prefixes *PrefixIndex // nil if caches are not tracked
 }
 
-// Ask describes a request for the choice of an engine.
-type Ask struct {
+// Request describes a request for the choice of an engine.
+type Request struct {
 	Model       string
 	PrefixChain []uint64      // hashes of the prompt's first block, first two blocks, and so on
-	Prefill     time.Duration // time to prefill the whole prompt with an empty cache
+	PrefillTime time.Duration // time to prefill the whole prompt with an empty cache
 	// Permitted reports whether selectors allow the engine; nil allows all.
 	Permitted func(e *Engine) bool
 	// Tried holds the indexes of the engines that earlier attempts used.
 	Tried []int
 }
 
-// Refused is the reason why an engine is excluded from a choice.
-type Refused uint8
+// Exclusion is the reason why an engine is excluded from a choice.
+type Exclusion uint8
 
 // The reasons. The zero value means that the engine was considered.
 const (
-	RefusedNot      Refused = iota
-	RefusedHealth           // not Healthy
-	RefusedModel            // serves another model
-	RefusedSelector         // not permitted by selectors
-	RefusedTried            // an earlier attempt used it
-	RefusedLimited          // this host's share of its rate limit is used up
-	RefusedResting          // it asked this host for backoff
-	RefusedLeaving          // it announced that it is draining
-	RefusedFull             // utilisation above maxUtilisation
+	NotExcluded         Exclusion = iota
+	ExcludedHealth                // not Healthy
+	ExcludedModel                 // serves another model
+	ExcludedSelector              // not permitted by selectors
+	ExcludedTried                 // an earlier attempt used it
+	ExcludedRateLimited           // this host's share of its rate limit is used up
+	ExcludedBackingOff            // it asked this host for backoff
+	ExcludedDraining              // it announced that it is draining
+	ExcludedFull                  // utilisation above maxUtilisation
 )
 
 // String returns the name used in logs and explanations.
-func (r Refused) String() string {
+func (r Exclusion) String() string {
 	return [...]string{"considered", "health", "model", "selector", "tried", "limited", "resting", "leaving", "full"}[r]
 }
 
-// exclusion returns why engine i can't serve the request, or RefusedNot if the
+// exclusion returns why engine i can't serve the request, or NotExcluded if the
 // engine is eligible.
-func exclusion(v *View, req *Ask, i int) Refused {
+func exclusion(v *View, req *Request, i int) Exclusion {
 	e := &v.Engines[i]
 	if e.Health != Healthy {
-		return RefusedHealth
+		return ExcludedHealth
 	}
 	if e.Model != "" && req.Model != "" && e.Model != req.Model {
-		return RefusedModel
+		return ExcludedModel
 	}
 	for _, tried := range req.Tried {
 		if tried == i {
-			return RefusedTried
+			return ExcludedTried
 		}
 	}
 	if req.Permitted != nil && !req.Permitted(e) {
-		return RefusedSelector
+		return ExcludedSelector
 	}
 	switch {
-	case e.Asked == pushback.Draining:
-		return RefusedLeaving
-	case e.Asked != 0:
-		return RefusedResting
-	case e.Limited:
-		return RefusedLimited
+	case e.Pushback == pushback.Draining:
+		return ExcludedDraining
+	case e.Pushback != 0:
+		return ExcludedBackingOff
+	case e.RateLimited:
+		return ExcludedRateLimited
 	}
 	if e.Full() {
-		return RefusedFull
+		return ExcludedFull
 	}
-	return RefusedNot
+	return NotExcluded
 }
 
 // maxUtilisation limits how many requests an engine may have: one for each slot
@@ -232,10 +232,10 @@
 
 // Choice is the result of Choose.
 type Choice struct {
-	Index  int           // into View.Engines; -1 for none
-	Hit    int           // leading prompt blocks that the engine probably has cached
-	Score  time.Duration // expected time to the first token; set only by PrefixBounded
-	Reason string
+	Index        int           // into View.Engines; -1 for none
+	CachedBlocks int           // leading prompt blocks that the engine probably has cached
+	ExpectedTime time.Duration // expected time to the first token; set only by PrefixBounded
+	Reason       string
 }
 
 // NoChoice is returned if no engine is eligible.
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -14,9 +14,9 @@
 
 // newView returns a view of n healthy engines with different loads.
 func newView(n int) *route.View {
-	v := &route.View{Now: time.Unix(1_700_000_000, 0), Cached: route.NewPrefixIndex(1 << 12)}
+	v := &route.View{Now: time.Unix(1_700_000_000, 0), Prefixes: route.NewPrefixIndex(1 << 12)}
 	for i := range n {
-		v.Engines = append(v.Engines, route.Engine{Name: fmt.Sprint("e", i), Slots: 8, InFlight: i % 5, Others: float64(i % 3), ReportedAt: v.Now, ServiceTime: time.Second})
+		v.Engines = append(v.Engines, route.Engine{Name: fmt.Sprint("e", i), Slots: 8, InFlight: i % 5, OtherLoad: float64(i % 3), ReportedAt: v.Now, ServiceTime: time.Second})
 	}
 	return v
 }
@@ -36,9 +36,9 @@
 			e.InFlight = rapid.IntRange(0, 12).Draw(t, "load")
 			e.Model = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "model")
 			excluded[e.Name] = rapid.Bool().Draw(t, "forbidden")
-			v.Cached.Add([]uint64{1, 2, 3}, i)
+			v.Prefixes.Add([]uint64{1, 2, 3}, i)
 		}
-		req := &route.Ask{Model: "a", PrefixChain: []uint64{1, 2, 3}, Prefill: time.Second, Permitted: func(e *route.Engine) bool { return !excluded[e.Name] }}
+		req := &route.Request{Model: "a", PrefixChain: []uint64{1, 2, 3}, PrefillTime: time.Second, Permitted: func(e *route.Engine) bool { return !excluded[e.Name] }}
 		if len(v.Engines) > 0 {
 			req.Tried = []int{rapid.IntRange(0, len(v.Engines)-1).Draw(t, "tried")}
 		}
@@ -69,10 +69,10 @@
 		for i := range v.Engines {
 			v.Engines[i].Health = route.Ejected
 		}
-		v.Engines[eligible].Health, v.Engines[eligible].InFlight, v.Engines[eligible].Others = route.Healthy, 0, 0
+		v.Engines[eligible].Health, v.Engines[eligible].InFlight, v.Engines[eligible].OtherLoad = route.Healthy, 0, 0
 		for _, p := range policies {
 			for _, random := range []uint64{0, 1, 1 << 63, math.MaxUint64 - 1, math.MaxUint64} {
-				must.Eq(t, eligible, route.Choose(p, v, &route.Ask{Prefill: time.Second}, random).Index, must.Sprintf("%T from %d", p, random))
+				must.Eq(t, eligible, route.Choose(p, v, &route.Request{PrefillTime: time.Second}, random).Index, must.Sprintf("%T from %d", p, random))
 			}
 		}
 	}
@@ -81,10 +81,10 @@
 func TestHolderOfThePrefixIsPreferredUntilItIsLoaded(t *testing.T) {
 	v := newView(12)
 	for i := range v.Engines {
-		v.Engines[i].InFlight, v.Engines[i].Others = 1, 0
+		v.Engines[i].InFlight, v.Engines[i].OtherLoad = 1, 0
 	}
-	req := &route.Ask{PrefixChain: []uint64{10, 11, 12, 13}, Prefill: time.Second}
-	v.Cached.Add(req.PrefixChain, 7)
+	req := &route.Request{PrefixChain: []uint64{10, 11, 12, 13}, PrefillTime: time.Second}
+	v.Prefixes.Add(req.PrefixChain, 7)
 	for random := range uint64(50) {
 		must.Eq(t, 7, route.Choose(route.PrefixBounded{}, v, req, random).Index)
 	}
@@ -106,7 +106,7 @@
 	for range 50 {
 		engines[0] = engines[0].WithReport(0, 0, now.Add(time.Second))
 	}
-	route.FillOthers(engines, now.Add(time.Second))
+	route.FillOtherLoad(engines, now.Add(time.Second))
 	must.Eq(t, 8, engines[0].Load(), must.Sprint("its load from other hosts must be set to the mean of its peers"))
 }
 
@@ -134,10 +134,10 @@
 	}
 }
 
-var weights = route.Weights{Tail: 1, Away: 4, Target: 380 * time.Millisecond}
+var weights = route.Weights{TailLatency: 1, Locality: 4, FirstTokenTarget: 380 * time.Millisecond}
 
 // remoteRequests returns how many of 1000 requests go to a remote region.
-func remoteRequests(d []route.Digest, w route.Weights, req *route.RegionAsk) int {
+func remoteRequests(d []route.Digest, w route.Weights, req *route.RegionRequest) int {
 	remote := 0
 	for i := range uint64(1000) {
 		if c := route.ChooseRegion(time.Unix(1_700_000_000, 0), d, 0, w, req, i*0x9e3779b97f4a7c15); c.Index > 0 {
@@ -148,36 +148,36 @@
 }
 
 func TestNoRequestGoesRemoteWhileHomeMeetsItsTarget(t *testing.T) {
-	must.Eq(t, 0, remoteRequests(digests(30), weights, &route.RegionAsk{}))
+	must.Eq(t, 0, remoteRequests(digests(30), weights, &route.RegionRequest{}))
 }
 
 func TestOnlyTheExcessGoesRemote(t *testing.T) {
-	remote := remoteRequests(digests(150), weights, &route.RegionAsk{})
+	remote := remoteRequests(digests(150), weights, &route.RegionRequest{})
 	must.Between(t, 200, remote, 900)
 }
 
 func TestResidencyHoldsUnderAnyOverload(t *testing.T) {
-	req := &route.RegionAsk{Permitted: func(region string) bool { return region != "near" }}
+	req := &route.RegionRequest{Permitted: func(region string) bool { return region != "near" }}
 	for i := range uint64(2000) {
 		c := route.ChooseRegion(time.Unix(1_700_000_000, 0), digests(10_000), 0, weights, req, i*0x9e3779b97f4a7c15)
 		must.NotEq(t, 1, c.Index)
 	}
-	noRegion := &route.RegionAsk{Permitted: func(string) bool { return false }}
+	noRegion := &route.RegionRequest{Permitted: func(string) bool { return false }}
 	must.Eq(t, -1, route.ChooseRegion(time.Now(), digests(0), 0, weights, noRegion, 1).Index)
 }
 
 func TestPartitionedRegionGetsNoRequests(t *testing.T) {
 	d := digests(10_000)
 	d[1].Cut, d[2].Cut = true, true
-	must.Eq(t, 0, remoteRequests(d, weights, &route.RegionAsk{}))
+	must.Eq(t, 0, remoteRequests(d, weights, &route.RegionRequest{}))
 }
 
 func TestStaleDigestAttractsNoRequests(t *testing.T) {
 	d := digests(150)
 	d[1].At = d[1].At.Add(-time.Hour)
 	d[2].At = d[2].At.Add(-time.Hour)
-	must.Eq(t, 0, remoteRequests(d, weights, &route.RegionAsk{}))
-	notHome := &route.RegionAsk{Permitted: func(region string) bool { return region != "home" }}
+	must.Eq(t, 0, remoteRequests(d, weights, &route.RegionRequest{}))
+	notHome := &route.RegionRequest{Permitted: func(region string) bool { return region != "home" }}
 	must.Greater(t, 0, remoteRequests(d, weights, notHome), must.Sprint("a stale digest must be used if the home region isn't permitted"))
 }
 
@@ -185,8 +185,8 @@
 	for _, n := range []int{15, 240, 600, 12_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v := newView(n)
-			req := &route.Ask{PrefixChain: []uint64{1, 2, 3, 4, 5, 6, 7, 8}, Prefill: time.Second}
-			v.Cached.Add(req.PrefixChain[:4], n/2)
+			req := &route.Request{PrefixChain: []uint64{1, 2, 3, 4, 5, 6, 7, 8}, PrefillTime: time.Second}
+			v.Prefixes.Add(req.PrefixChain[:4], n/2)
 			b.ReportAllocs()
 			for i := range b.N {
 				route.Choose(route.PrefixBounded{}, v, req, uint64(i)*0x9e3779b97f4a7c15)
@@ -202,7 +202,7 @@
 			for len(d) < n {
 				d = append(d, d[1])
 			}
-			req := &route.RegionAsk{}
+			req := &route.RegionRequest{}
 			b.ReportAllocs()
 			for i := range b.N {
 				route.ChooseRegion(d[0].At, d, 0, weights, req, uint64(i)*0x9e3779b97f4a7c15)
