--- a/admit/queue.go
+++ b/admit/queue.go
@@ -31,14 +31,14 @@
 
 // Waiter is a request in the queue.
 type Waiter[T any] struct {
-	Tag      T // data of the queue's owner, such as whom to wake
+	Payload  T // data of the queue's owner, such as whom to wake
 	Account  string
 	Priority int     // 0 is the most urgent
 	Cost     float64 // cost in fair queueing
 	Deadline time.Time
 	// Time that the request takes once it has a slot. A request with less time
 	// before its deadline isn't started.
-	Need time.Duration
+	ServiceTime time.Duration
 	// MaxWait is the longest time that the caller accepts to wait for a slot; 0
 	// means that only the deadline applies. Push turns it into a deadline.
 	MaxWait time.Duration
@@ -64,8 +64,8 @@
 	finishTags  [numClasses]map[string]float64 // by account, of the last waiter pushed
 }
 
-// New returns a queue of at most limit waiters.
-func New[T any](limit int) *Queue[T] {
+// NewQueue returns a queue of at most limit waiters.
+func NewQueue[T any](limit int) *Queue[T] {
 	q := &Queue[T]{limit: limit}
 	for i := range q.finishTags {
 		q.finishTags[i] = make(map[string]float64)
@@ -76,8 +76,8 @@
 // Len returns the number of waiters.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Ahead returns the number of waiters of this or a more urgent priority.
-func (q *Queue[T]) Ahead(priority int) int {
+// CountAhead returns the number of waiters of this or a more urgent priority.
+func (q *Queue[T]) CountAhead(priority int) int {
 	n := 0
 	for p := 0; p <= priority && p < numClasses; p++ {
 		n += q.heaps[p].Len()
@@ -91,17 +91,17 @@
 // time to empty the queue. A waiter may be pushed again after Pop; it keeps its
 // arrival time.
 func (q *Queue[T]) Push(w *Waiter[T], now time.Time, startRate float64) error {
-	wait := boundedSeconds(float64(q.Ahead(w.Priority)+1) / max(startRate, minRate))
+	wait := boundedSeconds(float64(q.CountAhead(w.Priority)+1) / max(startRate, minRate))
 	drainTime := boundedSeconds(float64(q.size+1) / max(startRate, minRate))
 	if q.size >= q.limit {
 		return &request.NotRun{Reason: request.ReasonOverload, Message: fmt.Sprintf("%d requests wait already", q.size), RetryAfter: drainTime}
 	}
 	if w.MaxWait > 0 {
-		w.Deadline = earlier(w.Deadline, now.Add(w.MaxWait+w.Need))
+		w.Deadline = earlier(w.Deadline, now.Add(w.MaxWait+w.ServiceTime))
 		w.MaxWait = 0
 	}
-	if end := now.Add(wait + w.Need); end.After(w.Deadline) {
-		message := fmt.Sprintf("a slot is expected after %v, with %v left and %v needed", wait.Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond), w.Need)
+	if end := now.Add(wait + w.ServiceTime); end.After(w.Deadline) {
+		message := fmt.Sprintf("a slot is expected after %v, with %v left and %v needed", wait.Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond), w.ServiceTime)
 		return &request.NotRun{Reason: request.ReasonOverload, Message: message, RetryAfter: drainTime}
 	}
 	q.lastSeq++
@@ -139,7 +139,7 @@
 func (q *Queue[T]) Pop(now time.Time, expired func(*Waiter[T])) *Waiter[T] {
 	for q.size > 0 {
 		w := q.popPriority(q.nextPriority())
-		if now.Add(w.Need).After(w.Deadline) {
+		if now.Add(w.ServiceTime).After(w.Deadline) {
 			expired(w)
 			continue
 		}
@@ -154,7 +154,7 @@
 	for p := range q.heaps {
 		var overdue []*Waiter[T]
 		for _, w := range q.heaps[p].all {
-			if now.Add(w.Need).After(w.Deadline) {
+			if now.Add(w.ServiceTime).After(w.Deadline) {
 				overdue = append(overdue, w)
 			}
 		}
--- a/admit/queue_test.go
+++ b/admit/queue_test.go
@@ -18,7 +18,7 @@
 const unlimitedRate = 1e6 // requests started per second
 
 func newWaiter(tag, account string, priority int) *admit.Waiter[string] {
-	return &admit.Waiter[string]{Tag: tag, Account: account, Priority: priority, Cost: 1, Deadline: now.Add(time.Minute)}
+	return &admit.Waiter[string]{Payload: tag, Account: account, Priority: priority, Cost: 1, Deadline: now.Add(time.Minute)}
 }
 
 func popAll(q *admit.Queue[string]) []string {
@@ -28,12 +28,12 @@
 		if w == nil {
 			return out
 		}
-		out = append(out, w.Tag)
+		out = append(out, w.Payload)
 	}
 }
 
 func TestBurstOfOneAccountDelaysOnlyThatAccount(t *testing.T) {
-	q := admit.New[string](100)
+	q := admit.NewQueue[string](100)
 	for i := range 20 {
 		must.NoError(t, q.Push(newWaiter(fmt.Sprint("flood-", i), "flood", 1), now, unlimitedRate))
 	}
@@ -42,7 +42,7 @@
 }
 
 func TestUrgentClassGoesFirstWithoutStarvingOthers(t *testing.T) {
-	q := admit.New[string](200)
+	q := admit.NewQueue[string](200)
 	must.NoError(t, q.Push(newWaiter("review", "a", 2), now, unlimitedRate))
 	for i := range 50 {
 		must.NoError(t, q.Push(newWaiter(fmt.Sprint("question-", i), "b", 0), now, unlimitedRate))
@@ -53,7 +53,7 @@
 }
 
 func TestRequestThatWouldMissItsDeadlineIsRejectedOnArrival(t *testing.T) {
-	q := admit.New[string](100)
+	q := admit.NewQueue[string](100)
 	for i := range 10 {
 		must.NoError(t, q.Push(newWaiter(fmt.Sprint(i), "a", 1), now, 10))
 	}
@@ -71,16 +71,16 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	q := admit.New[string](2)
+	q := admit.NewQueue[string](2)
 	must.NoError(t, q.Push(newWaiter("1", "a", 0), now, unlimitedRate))
 	must.NoError(t, q.Push(newWaiter("2", "a", 0), now, unlimitedRate))
 	must.Error(t, q.Push(newWaiter("3", "a", 0), now, unlimitedRate))
 }
 
 func TestWaiterExpiresOnceItCannotMeetItsDeadline(t *testing.T) {
-	q := admit.New[string](10)
+	q := admit.NewQueue[string](10)
 	w := newWaiter("1", "a", 0)
-	w.Deadline, w.Need = now.Add(time.Second), 100*time.Millisecond
+	w.Deadline, w.ServiceTime = now.Add(time.Second), 100*time.Millisecond
 	must.NoError(t, q.Push(w, now, unlimitedRate))
 	expired := 0
 	q.Expire(now.Add(850*time.Millisecond), func(*admit.Waiter[string]) { expired++ })
@@ -95,9 +95,9 @@
 // waiter must leave the queue exactly once.
 func TestEveryWaiterIsRemovedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := admit.New[string](50)
+		q := admit.NewQueue[string](50)
 		removals := map[string]int{}
-		countRemoval := func(w *admit.Waiter[string]) { removals[w.Tag]++ }
+		countRemoval := func(w *admit.Waiter[string]) { removals[w.Payload]++ }
 		var pushed []*admit.Waiter[string]
 		for i := range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -122,8 +122,8 @@
 			countRemoval(w)
 		}
 		for _, w := range pushed {
-			if removals[w.Tag] != 1 {
-				t.Fatalf("%s was removed %d times", w.Tag, removals[w.Tag])
+			if removals[w.Payload] != 1 {
+				t.Fatalf("%s was removed %d times", w.Payload, removals[w.Payload])
 			}
 		}
 	})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -168,7 +168,7 @@
 		return func() bool { return false }
 	}
 	w := p.newWaiter(ask, ready)
-	if p.queue.Ahead(ask.Request.Class.Priority()) == 0 {
+	if p.queue.CountAhead(ask.Request.Class.Priority()) == 0 {
 		if t := f.grant(p, w, now); t != nil {
 			ready(Served{Ticket: t})
 			return func() bool { return false }
@@ -190,21 +190,21 @@
 func (f *Fleet) grant(p *pool, w *waiter, now time.Time) *Ticket {
 	p.view.Now = now
 	f.markAsked(p, now)
-	choice := route.Choose(f.policy, &p.view, &w.Tag.ask, f.random.Uint64())
+	choice := route.Choose(f.policy, &p.view, &w.Payload.ask, f.random.Uint64())
 	if choice.Index < 0 {
 		return nil
 	}
 	e := &p.view.Engines[choice.Index]
 	e.InFlight++
 	p.own[choice.Index].note(now, e.InFlight)
-	p.view.Prefixes.Add(w.Tag.ask.PrefixChain, choice.Index)
+	p.view.Prefixes.Add(w.Payload.ask.PrefixChain, choice.Index)
 	p.started(now)
-	f.suspects.Begin(w.Tag.fingerprint)
+	f.suspects.Begin(w.Payload.fingerprint)
 	key := engineKey(p.service, e.Name)
 	f.limits.TakeToken(key, now)
 	return &Ticket{
 		Engine: e.Name, Address: e.Address, Choice: choice,
-		pool: p, fleet: f, index: choice.Index, began: now, chain: w.Tag.ask.PrefixChain, fingerprint: w.Tag.fingerprint,
+		pool: p, fleet: f, index: choice.Index, began: now, chain: w.Payload.ask.PrefixChain, fingerprint: w.Payload.fingerprint,
 		trial: f.pushback.Begin(key, now),
 	}
 }
@@ -218,7 +218,7 @@
 		}
 		if t := f.grant(p, w, now); t != nil {
 			t.Waited = now.Sub(w.Arrived())
-			w.Tag.ready(Served{Ticket: t})
+			w.Payload.ready(Served{Ticket: t})
 			continue
 		}
 		p.blocked = append(p.blocked, w)
@@ -292,7 +292,7 @@
 	}
 	p.view.Now = f.clock()
 	f.markAsked(p, p.view.Now)
-	return route.Explain(&p.view, &p.newWaiter(ask, nil).Tag.ask)
+	return route.Explain(&p.view, &p.newWaiter(ask, nil).Payload.ask)
 }
 
 // InFlight counts this host's requests on an engine, for a drain.
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -48,7 +48,7 @@
 	return &pool{
 		service: service,
 		view:    route.View{Prefixes: route.NewPrefixIndex(prefixes)},
-		queue:   admit.New[waiting](queueLimit),
+		queue:   admit.NewQueue[waiting](queueLimit),
 		budget:  retry.New(),
 	}
 }
@@ -125,21 +125,21 @@
 func (p *pool) newWaiter(ask Ask, ready func(Served)) *waiter {
 	r := ask.Request
 	w := &waiter{
-		Account:  r.Account,
-		Priority: r.Class.Priority(),
-		Cost:     float64(1 + len(r.PrefixChain)),
-		Deadline: r.Deadline,
-		Need:     ask.Need,
-		MaxWait:  ask.MaxWait,
+		Account:     r.Account,
+		Priority:    r.Class.Priority(),
+		Cost:        float64(1 + len(r.PrefixChain)),
+		Deadline:    r.Deadline,
+		ServiceTime: ask.Need,
+		MaxWait:     ask.MaxWait,
 	}
-	w.Tag = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Request{
+	w.Payload = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Request{
 		Model:       r.Model,
 		PrefixChain: r.PrefixChain,
 		PrefillTime: ask.Prefill,
 		Tried:       p.indexes(ask.Tried),
 	}}
 	if ask.Permitted != nil {
-		w.Tag.ask.Permitted = func(e *route.Engine) bool { return ask.Permitted(e.Place, e.Labels) }
+		w.Payload.ask.Permitted = func(e *route.Engine) bool { return ask.Permitted(e.Place, e.Labels) }
 	}
 	return w
 }
@@ -167,7 +167,7 @@
 
 // anyFit tells whether some engine could take the request if it had a slot.
 func (p *pool) anyFit(w *waiter) bool {
-	for _, e := range route.Explain(&p.view, &w.Tag.ask) {
+	for _, e := range route.Explain(&p.view, &w.Payload.ask) {
 		if e.Exclusion == route.NotExcluded.String() || e.Exclusion == route.ExcludedFull.String() {
 			return true
 		}
@@ -235,7 +235,7 @@
 }
 
 func (p *pool) refuseLate(w *waiter) {
-	w.Tag.ready(Served{Err: &request.NotRun{
+	w.Payload.ready(Served{Err: &request.NotRun{
 		Reason:     request.ReasonDeadline,
 		Message:    "no slot was free in time",
 		RetryAfter: time.Second,
@@ -249,7 +249,7 @@
 	for _, w := range p.blocked {
 		w.Cost = 0
 		if err := p.queue.Push(w, now, p.drainRate(now)); err != nil {
-			w.Tag.ready(Served{Err: err})
+			w.Payload.ready(Served{Err: err})
 		}
 	}
 	p.blocked = p.blocked[:0]
