--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -55,19 +55,19 @@
 	switch result.Outcome {
 	case Answered:
 		f.watch.RecordAnswer(t.Engine, t.began)
-		h.Observe(health.Succeeded, result.First)
+		h.RecordOutcome(health.Succeeded, result.First)
 		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.began))
 	case Failed, Broken:
-		h.Observe(health.Failed, 0)
+		h.RecordOutcome(health.Failed, 0)
 		t.pool.judge(now)
 	case Shed:
-		h.Observe(health.Shed, 0)
+		h.RecordOutcome(health.Shed, 0)
 		// The engine is fuller than its reports say: believe that others
 		// fill it, until reports say otherwise.
 		e.OtherLoad = max(e.OtherLoad, float64(e.Slots+e.Slots/4-e.InFlight))
 		e.ReportedAt = now
 	case Abandoned:
-		h.Observe(health.Abandoned, 0)
+		h.RecordOutcome(health.Abandoned, 0)
 	case Unsent:
 	}
 	f.dispatch(t.pool, now)
@@ -107,7 +107,7 @@
 		if ok {
 			f.watch.RecordAnswer(engine, sent)
 		}
-		p.health[i].Probe(ok)
+		p.health[i].RecordProbe(ok)
 		p.judge(f.clock())
 	})
 }
@@ -123,7 +123,7 @@
 	defer f.mu.Unlock()
 	for _, p := range f.pools {
 		for i := range p.view.Engines {
-			p.health[i].SetLeaving(leaving(p.view.Engines[i].Address))
+			p.health[i].SetDraining(leaving(p.view.Engines[i].Address))
 		}
 		p.judge(f.clock())
 	}
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -35,8 +35,8 @@
 type pool struct {
 	service string
 	view    route.View
-	health  []*health.Engine // beside view.Engines
-	own     []*ownLoad       // beside view.Engines
+	health  []*health.Tracker // beside view.Engines
+	own     []*ownLoad        // beside view.Engines
 	queue   *admit.Queue[waiting]
 	blocked []*waiter // popped, but no engine could take them
 	budget  *retry.Budget
@@ -91,7 +91,7 @@
 		free = len(p.health) - 1
 	}
 	p.view.Engines[free] = route.Engine{Name: name}
-	p.health[free] = &health.Engine{}
+	p.health[free] = &health.Tracker{}
 	p.own[free] = &ownLoad{}
 	return free
 }
@@ -99,7 +99,7 @@
 func (p *pool) set(i int, region string, e declare.Engine) {
 	v := &p.view.Engines[i]
 	if v.Address != e.Address {
-		p.health[i] = &health.Engine{}
+		p.health[i] = &health.Tracker{}
 	}
 	v.Address = e.Address
 	v.Place = permit.Place{Region: region, DataCentre: e.DataCentre}
@@ -112,7 +112,7 @@
 
 func (p *pool) judge(now time.Time) {
 	route.FillOtherLoad(p.view.Engines, now)
-	for i, h := range health.Judge(p.health, now) {
+	for i, h := range health.Evaluate(p.health, now) {
 		e := &p.view.Engines[i]
 		e.Health = h
 		if e.Name == "" {
--- a/health/health.go
+++ b/health/health.go
@@ -49,9 +49,9 @@
 	initialRamp = 0.1
 )
 
-// Engine tracks the health of one engine. The zero value is a healthy engine
+// Tracker tracks the health of one engine. The zero value is a healthy engine
 // without observations. It is not safe for concurrent use.
-type Engine struct {
+type Tracker struct {
 	draining bool
 	stopping bool
 
@@ -78,9 +78,9 @@
 	Abandoned         // cancelled by the caller, which doesn't concern the engine
 )
 
-// Observe records the outcome of a real request and, for a success, the time to
+// RecordOutcome records the outcome of a real request and, for a success, the time to
 // the first byte.
-func (e *Engine) Observe(outcome Outcome, firstByte time.Duration) {
+func (e *Tracker) RecordOutcome(outcome Outcome, firstByte time.Duration) {
 	switch outcome {
 	case Shed, Abandoned:
 		return
@@ -100,7 +100,7 @@
 
 // countProbationSuccess counts a success after an ejection. On probation, a single
 // failure ejects the engine again, for twice as long.
-func (e *Engine) countProbationSuccess() {
+func (e *Tracker) countProbationSuccess() {
 	if e.probation == 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (e *Engine) observeLatency(seconds float64) {
+func (e *Tracker) observeLatency(seconds float64) {
 	if e.latency == 0 {
 		e.latency = seconds
 		return
@@ -118,8 +118,8 @@
 	e.latency += smoothing * (seconds - e.latency)
 }
 
-// Probe records the result of a probe.
-func (e *Engine) Probe(ok bool) {
+// RecordProbe records the result of a probe.
+func (e *Tracker) RecordProbe(ok bool) {
 	if ok {
 		e.failedProbes = 0
 		return
@@ -127,22 +127,22 @@
 	e.failedProbes++
 }
 
-// SetLeaving sets whether the engine's host is being reclaimed according to the
+// SetDraining sets whether the engine's host is being reclaimed according to the
 // platform's list.
-func (e *Engine) SetLeaving(draining bool) { e.draining = draining }
+func (e *Tracker) SetDraining(draining bool) { e.draining = draining }
 
 // SetStopping sets whether an operator's label tells the engine to stop.
-func (e *Engine) SetStopping(stopping bool) { e.stopping = stopping }
+func (e *Tracker) SetStopping(stopping bool) { e.stopping = stopping }
 
 // Latency returns the smoothed time to the first byte, or 0 if no request has
 // succeeded since the last ejection.
-func (e *Engine) Latency() time.Duration {
+func (e *Tracker) Latency() time.Duration {
 	return time.Duration(e.latency * float64(time.Second))
 }
 
-// Judge returns the health of each engine of a pool, at the same index. It may
+// Evaluate returns the health of each engine of a pool, at the same index. It may
 // start or end ejections.
-func Judge(pool []*Engine, now time.Time) []route.Health {
+func Evaluate(pool []*Tracker, now time.Time) []route.Health {
 	out := make([]route.Health, len(pool))
 	for i, e := range pool {
 		out[i] = e.individualHealth(now)
@@ -156,7 +156,7 @@
 
 // individualHealth returns the health of the engine without a comparison with its
 // peers.
-func (e *Engine) individualHealth(now time.Time) route.Health {
+func (e *Tracker) individualHealth(now time.Time) route.Health {
 	switch {
 	case e.stopping:
 		return route.Stopping
@@ -174,7 +174,7 @@
 // ejectOutliers ejects outliers, worst first, as long as at least half of the
 // usable engines (healthy or ejected) stay healthy. If earlier ejections leave
 // fewer healthy, it ends ejections, best engine first.
-func ejectOutliers(pool []*Engine, out []route.Health, now time.Time) {
+func ejectOutliers(pool []*Tracker, out []route.Health, now time.Time) {
 	usable, healthy := 0, 0
 	for _, h := range out {
 		if h == route.Healthy || h == route.Ejected {
@@ -203,14 +203,14 @@
 	}
 }
 
-func (e *Engine) isOutlier(median float64) bool {
+func (e *Tracker) isOutlier(median float64) bool {
 	if e.observations < minObservations {
 		return false
 	}
 	return e.failureRate > outlierFailureRate || (median > 0 && e.latency > slowFactor*median)
 }
 
-func (e *Engine) startEjection(now time.Time) {
+func (e *Tracker) startEjection(now time.Time) {
 	duration := min(baseEjection<<min(e.ejections, 4), maxEjection)
 	e.ejections++
 	e.ejectedUntil = now.Add(duration)
@@ -220,7 +220,7 @@
 
 // worstFirst returns the indexes of the pool ordered by failure rate, then by
 // latency, highest first.
-func worstFirst(pool []*Engine) []int {
+func worstFirst(pool []*Tracker) []int {
 	order := make([]int, len(pool))
 	for i := range order {
 		order[i] = i
@@ -237,7 +237,7 @@
 
 // medianLatency returns the median latency of the healthy engines in seconds, or 0
 // if fewer than three have one.
-func medianLatency(pool []*Engine, out []route.Health) float64 {
+func medianLatency(pool []*Tracker, out []route.Health) float64 {
 	var all []float64
 	for i, e := range pool {
 		if out[i] == route.Healthy && e.latency > 0 {
@@ -254,7 +254,7 @@
 // recordHealth stores the health and starts the ramp when an engine becomes
 // healthy again. An engine that was always healthy gets no ramp, nor does one
 // whose stopping label was removed, because it has been serving all the time.
-func (e *Engine) recordHealth(h route.Health, now time.Time) {
+func (e *Tracker) recordHealth(h route.Health, now time.Time) {
 	if h == route.Healthy && e.previous != route.Healthy && e.previous != route.Stopping {
 		e.recoveredAt = now
 	}
@@ -262,7 +262,7 @@
 }
 
 // Ramp returns the share of its slots that the engine may use, 0 to 1.
-func (e *Engine) Ramp(now time.Time) float64 {
+func (e *Tracker) Ramp(now time.Time) float64 {
 	if e.recoveredAt.IsZero() {
 		return 1
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -12,18 +12,18 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-func newPool(n int) []*health.Engine {
-	pool := make([]*health.Engine, n)
+func newPool(n int) []*health.Tracker {
+	pool := make([]*health.Tracker, n)
 	for i := range pool {
-		pool[i] = &health.Engine{}
+		pool[i] = &health.Tracker{}
 	}
 	return pool
 }
 
 // observe records n requests with the same outcome.
-func observe(e *health.Engine, outcome health.Outcome, n int) {
+func observe(e *health.Tracker, outcome health.Outcome, n int) {
 	for range n {
-		e.Observe(outcome, 100*time.Millisecond)
+		e.RecordOutcome(outcome, 100*time.Millisecond)
 	}
 }
 
@@ -40,15 +40,15 @@
 func TestFailingEngineIsEjectedAndReturnsWithARamp(t *testing.T) {
 	p := newPool(4)
 	observe(p[0], health.Failed, 10)
-	must.Eq(t, route.Ejected, health.Judge(p, now)[0])
-	must.Eq(t, route.Ejected, health.Judge(p, now.Add(4*time.Second))[0])
+	must.Eq(t, route.Ejected, health.Evaluate(p, now)[0])
+	must.Eq(t, route.Ejected, health.Evaluate(p, now.Add(4*time.Second))[0])
 	afterEjection := now.Add(6 * time.Second)
-	must.Eq(t, route.Healthy, health.Judge(p, afterEjection)[0])
+	must.Eq(t, route.Healthy, health.Evaluate(p, afterEjection)[0])
 	must.Less(t, 0.2, p[0].Ramp(afterEjection))
 	must.Eq(t, 1, p[0].Ramp(afterEjection.Add(health.RampTime)))
 	observe(p[0], health.Failed, 1)
-	must.Eq(t, route.Ejected, health.Judge(p, afterEjection)[0], must.Sprint("one failure on probation must eject it again"))
-	must.Eq(t, route.Ejected, health.Judge(p, afterEjection.Add(8*time.Second))[0], must.Sprint("the second ejection must last twice as long"))
+	must.Eq(t, route.Ejected, health.Evaluate(p, afterEjection)[0], must.Sprint("one failure on probation must eject it again"))
+	must.Eq(t, route.Ejected, health.Evaluate(p, afterEjection.Add(8*time.Second))[0], must.Sprint("the second ejection must last twice as long"))
 }
 
 func TestAtLeastHalfOfThePoolStaysHealthy(t *testing.T) {
@@ -57,7 +57,7 @@
 		for _, e := range p {
 			observe(e, health.Failed, 20)
 		}
-		must.GreaterEq(t, (n+1)/2, count(health.Judge(p, now), route.Healthy), must.Sprintf("%d engines", n))
+		must.GreaterEq(t, (n+1)/2, count(health.Evaluate(p, now), route.Healthy), must.Sprintf("%d engines", n))
 	}
 }
 
@@ -68,17 +68,17 @@
 	p := newPool(4)
 	observe(p[0], health.Failed, 10)
 	observe(p[1], health.Failed, 10)
-	must.Eq(t, 2, count(health.Judge(p, now), route.Ejected))
-	p[2].SetLeaving(true)
-	p[3].SetLeaving(true)
-	must.GreaterEq(t, 1, count(health.Judge(p, now), route.Healthy))
+	must.Eq(t, 2, count(health.Evaluate(p, now), route.Ejected))
+	p[2].SetDraining(true)
+	p[3].SetDraining(true)
+	must.GreaterEq(t, 1, count(health.Evaluate(p, now), route.Healthy))
 }
 
 func TestSheddingIsNotFailure(t *testing.T) {
 	p := newPool(4)
 	observe(p[0], health.Shed, 100)
 	observe(p[1], health.Abandoned, 100)
-	must.Eq(t, 4, count(health.Judge(p, now), route.Healthy))
+	must.Eq(t, 4, count(health.Evaluate(p, now), route.Healthy))
 }
 
 func TestSlowEngineIsEjectedOnlyIfPeersAreFaster(t *testing.T) {
@@ -89,27 +89,27 @@
 			if i == 0 {
 				latency = time.Second
 			}
-			e.Observe(health.Succeeded, latency)
+			e.RecordOutcome(health.Succeeded, latency)
 		}
 	}
-	must.Eq(t, route.Ejected, health.Judge(p, now)[0])
+	must.Eq(t, route.Ejected, health.Evaluate(p, now)[0])
 	slowPool := newPool(4)
 	for _, e := range slowPool {
 		for range 20 {
-			e.Observe(health.Succeeded, 10*time.Second)
+			e.RecordOutcome(health.Succeeded, 10*time.Second)
 		}
 	}
-	must.Eq(t, 4, count(health.Judge(slowPool, now), route.Healthy), must.Sprint("overload slows down all engines alike"))
+	must.Eq(t, 4, count(health.Evaluate(slowPool, now), route.Healthy), must.Sprint("overload slows down all engines alike"))
 }
 
 func TestDrainingStoppingAndProbesNeedNoPeerComparison(t *testing.T) {
 	p := newPool(3)
 	p[0].SetStopping(true)
-	p[1].SetLeaving(true)
-	p[2].Probe(false)
-	must.Eq(t, []route.Health{route.Stopping, route.Draining, route.Healthy}, health.Judge(p, now))
-	p[2].Probe(false)
-	must.Eq(t, route.Unreachable, health.Judge(p, now)[2])
-	p[2].Probe(true)
-	must.Eq(t, route.Healthy, health.Judge(p, now)[2])
+	p[1].SetDraining(true)
+	p[2].RecordProbe(false)
+	must.Eq(t, []route.Health{route.Stopping, route.Draining, route.Healthy}, health.Evaluate(p, now))
+	p[2].RecordProbe(false)
+	must.Eq(t, route.Unreachable, health.Evaluate(p, now)[2])
+	p[2].RecordProbe(true)
+	must.Eq(t, route.Healthy, health.Evaluate(p, now)[2])
 }
