--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -62,14 +62,14 @@
 	limited          []*engine            // usable but for their rate limits, and not in usable
 	pushedBack       []*engine            // backing off or draining
 	cacheHolders     map[uint32][]*engine // engines that may have cached a block, by its hash
-	retryBudget      *retry.Window
+	retryBudget      *retry.WindowBudget
 	throughput       *throughputEstimator
 	failureBaselines map[string]*failureBaseline // by route
 	readyEngines     int                         // that accept requests and aren't cold
 }
 
 func newPool(s catalog.Service, budget retry.Policy) *pool {
-	return &pool{service: s, engines: make(map[string]*engine), cacheHolders: make(map[uint32][]*engine), failureBaselines: make(map[string]*failureBaseline), retryBudget: retry.NewWindow(budget), throughput: newThroughputEstimator(s.Model != nil)}
+	return &pool{service: s, engines: make(map[string]*engine), cacheHolders: make(map[uint32][]*engine), failureBaselines: make(map[string]*failureBaseline), retryBudget: retry.NewWindowBudget(budget), throughput: newThroughputEstimator(s.Model != nil)}
 }
 
 // update applies the registered state of an engine.
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -169,7 +169,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.pools[service]
-	return ok && p.retryBudget.Take(d.Clock(), len(d.Peers()))
+	return ok && p.retryBudget.TryRetry(d.Clock(), len(d.Peers()))
 }
 
 // CountFirstSend counts the first send of a request, which earns retry budget.
@@ -177,6 +177,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p, ok := d.pools[service]; ok {
-		p.retryBudget.First(d.Clock())
+		p.retryBudget.CountFirstSend(d.Clock())
 	}
 }
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -81,7 +81,7 @@
 }
 
 // Retry spends a retry of the service's budget, or tells that there is none.
-func (t *Ticket) Retry() bool { return t.pool.budget.Take() }
+func (t *Ticket) Retry() bool { return t.pool.budget.TryRetry() }
 
 // Report is one load report of an engine.
 type Report struct {
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -49,7 +49,7 @@
 		service: service,
 		view:    route.View{Prefixes: route.NewPrefixIndex(prefixes)},
 		queue:   admit.NewQueue[waiting](queueLimit),
-		budget:  retry.New(),
+		budget:  retry.NewBudget(),
 	}
 }
 
@@ -220,7 +220,7 @@
 func (s *startRate) rate(now time.Time) float64 { return s.decayed(now) / rateWindow.Seconds() }
 
 func (p *pool) started(now time.Time) {
-	p.budget.First()
+	p.budget.CountFirstAttempt()
 	p.starts.add(now)
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -5,7 +5,7 @@
 // fraction more requests, plus the burst. The attempt count and the deadline of a
 // request are forwarded with it between entry hosts; a budget is local to a host.
 //
-// A Window limits retries in a sliding time window, over all hosts together.
+// A WindowBudget limits retries in a sliding time window, over all hosts together.
 package retry
 
 import "sync"
@@ -29,19 +29,19 @@
 	denied        uint64
 }
 
-// New returns a budget with DefaultBurst tokens.
-func New() *Budget { return &Budget{tokens: DefaultBurst} }
+// NewBudget returns a budget with DefaultBurst tokens.
+func NewBudget() *Budget { return &Budget{tokens: DefaultBurst} }
 
-// First counts a first attempt and adds its share of a token.
-func (b *Budget) First() {
+// CountFirstAttempt counts a first attempt and adds its share of a token.
+func (b *Budget) CountFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.firstAttempts++
 	b.tokens = min(b.tokens+DefaultShare, DefaultBurst)
 }
 
-// Take spends a token for a retry. It returns false if there is none.
-func (b *Budget) Take() bool {
+// TryRetry spends a token for a retry. It returns false if there is none.
+func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/retry/window.go
+++ b/retry/window.go
@@ -18,26 +18,26 @@
 // because the counts of the hosts differ slightly from those of the engines.
 const safetyFactor = 0.7
 
-// Window enforces one host's share of a Policy. It is not safe for concurrent use;
-// NewWindow returns one.
-type Window struct {
+// WindowBudget enforces one host's share of a Policy. It is not safe for concurrent use;
+// NewWindowBudget returns one.
+type WindowBudget struct {
 	policy     Policy
 	firstSends slidingCounter
 	retries    slidingCounter
 }
 
-// NewWindow returns a window without any sends counted.
-func NewWindow(p Policy) *Window {
-	return &Window{policy: p, firstSends: slidingCounter{window: p.Window}, retries: slidingCounter{window: p.Window}}
+// NewWindowBudget returns a window without any sends counted.
+func NewWindowBudget(p Policy) *WindowBudget {
+	return &WindowBudget{policy: p, firstSends: slidingCounter{window: p.Window}, retries: slidingCounter{window: p.Window}}
 }
 
-// First counts a request that this host sends for the first time.
-func (w *Window) First(now time.Time) { w.firstSends.add(now) }
+// CountFirstSend counts a request that this host sends for the first time.
+func (w *WindowBudget) CountFirstSend(now time.Time) { w.firstSends.add(now) }
 
-// Take counts a retry if the budget allows one and reports whether it does. hosts
+// TryRetry counts a retry if the budget allows one and reports whether it does. hosts
 // is the number of hosts that share the policy: each may spend Share of its own
 // requests and an equal part of Extra.
-func (w *Window) Take(now time.Time, hosts int) bool {
+func (w *WindowBudget) TryRetry(now time.Time, hosts int) bool {
 	allowed := safetyFactor * (w.policy.Share*float64(w.firstSends.count(now)) + w.policy.Extra/float64(max(1, hosts)))
 	if float64(w.retries.count(now)+1) > allowed {
 		return false
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -15,19 +15,19 @@
 	policy := retry.Policy{Share: 0.2, Extra: 50, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 12).Draw(t, "hosts")
-		windows := make([]*retry.Window, hosts)
+		windows := make([]*retry.WindowBudget, hosts)
 		for i := range windows {
-			windows[i] = retry.NewWindow(policy)
+			windows[i] = retry.NewWindowBudget(policy)
 		}
 		now := time.Unix(1000, 0)
 		var firstSends, retries []time.Time
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, hosts-1).Draw(t, "host")]
-			w.First(now)
+			w.CountFirstSend(now)
 			firstSends = append(firstSends, now)
 			for range rapid.IntRange(0, 5).Draw(t, "retries") {
-				if w.Take(now, hosts) {
+				if w.TryRetry(now, hosts) {
 					retries = append(retries, now)
 				}
 			}
