--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -25,7 +25,7 @@
 	readRate         decayingRate // prompt tokens that this gateway has sent
 	cached           cachedBlocks
 	failures         excessFailures // failures beyond the baseline
-	slowdown         pace.Factor
+	slowdown         pace.Slowdown
 	replaced         bool      // another incarnation answers at its address
 	replacedAt       time.Time // when this gateway saw that itself
 	connectFailures  int       // consecutive failed connections
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -35,9 +35,9 @@
 // throughputEstimator estimates the Throughput of a service's engines from their answers.
 // The Dispatcher's lock guards it.
 type throughputEstimator struct {
-	firstEvent     *pace.Line // time until the first event, by the tokens to be read before it
-	outputPerToken *pace.Mean
-	slotTime       *pace.Mean
+	firstEvent     *pace.LinearEstimator // time until the first event, by the tokens to be read before it
+	outputPerToken *pace.MeanEstimator
+	slotTime       *pace.MeanEstimator
 
 	model   bool // the service's engines run a model
 	answers int  // number of answers used
@@ -49,8 +49,8 @@
 		slotTime = priorModelSlotTime
 	}
 	return &throughputEstimator{
-		firstEvent:     pace.NewLine(priorOverhead, priorReadTokens, priorOverhead+priorReadTime),
-		outputPerToken: pace.NewMean(priorOutputPerToken), slotTime: pace.NewMean(slotTime), model: model,
+		firstEvent:     pace.NewLinearEstimator(priorOverhead, priorReadTokens, priorOverhead+priorReadTime),
+		outputPerToken: pace.NewMeanEstimator(priorOutputPerToken), slotTime: pace.NewMeanEstimator(slotTime), model: model,
 	}
 }
 
@@ -63,9 +63,9 @@
 // a model the whole answer arrives at once, when the request frees its slot.
 func (s *throughputEstimator) usualError() time.Duration {
 	if s.model {
-		return s.firstEvent.Error()
+		return s.firstEvent.MeanError()
 	}
-	return s.slotTime.Error()
+	return s.slotTime.MeanError()
 }
 
 // logEstimates logs the throughput of each service and the round trip to each other
@@ -93,9 +93,9 @@
 	took := now.Sub(t.sentAt)
 	firstEvent := t.pool.throughput.firstEvent
 	// A usual error must not count as slowness of the engine.
-	usualError := firstEvent.Error()
-	t.engine.slowdown.Note(firstEvent.At(t.readTokens)+usualError, took+usualError, now)
-	firstEvent.Note(t.readTokens, took)
+	usualError := firstEvent.MeanError()
+	t.engine.slowdown.Observe(firstEvent.Estimate(t.readTokens)+usualError, took+usualError, now)
+	firstEvent.Observe(t.readTokens, took)
 }
 
 // recordCompletion updates the estimates with a complete answer.
@@ -104,8 +104,8 @@
 		return
 	}
 	t.pool.throughput.answers++
-	t.pool.throughput.slotTime.Note(now.Sub(t.sentAt))
+	t.pool.throughput.slotTime.Observe(now.Sub(t.sentAt))
 	if t.outputTokens > 0 {
-		t.pool.throughput.outputPerToken.Note(now.Sub(t.firstEventAt) / time.Duration(t.outputTokens))
+		t.pool.throughput.outputPerToken.Observe(now.Sub(t.firstEventAt) / time.Duration(t.outputTokens))
 	}
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,9 +1,9 @@
 // Package pace estimates the throughput of engines from the duration of their
 // responses.
 //
-// The throughput of an engine isn't declared anywhere. A Line estimates a fixed time
-// and a time per unit of work, by linear regression over recent responses; a Mean, an
-// average duration; a Factor, how much slower an engine is than its peers. Each
+// The throughput of an engine isn't declared anywhere. A LinearEstimator estimates a fixed time
+// and a time per unit of work, by linear regression over recent responses; a MeanEstimator, an
+// average duration; a Slowdown, how much slower an engine is than its peers. Each
 // starts from a prior that a few responses outweigh, and discounts old responses.
 // The regression and the slowdown factor also limit the effect of outliers: a response
 // may be late because of a lost packet, or early because it came from a cache.
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Line estimates the duration of work as a fixed time plus a time per unit. NewLine
+// LinearEstimator estimates the duration of work as a fixed time plus a time per unit. NewLinearEstimator
 // returns one.
-type Line struct {
+type LinearEstimator struct {
 	// Sums of the least-squares fit over all observations, weighted by age; x is the
 	// work and y the duration in ns.
 	sumWeight, sumX, sumY, sumXX, sumXY float64
@@ -39,16 +39,16 @@
 	priorErrorShare = 0.3
 )
 
-// NewLine returns a line whose prior goes through two points: the duration fixed
+// NewLinearEstimator returns a line whose prior goes through two points: the duration fixed
 // without work, and duration for the given work.
-func NewLine(fixed time.Duration, work float64, duration time.Duration) *Line {
-	l := &Line{meanError: priorErrorShare * float64(duration)}
+func NewLinearEstimator(fixed time.Duration, work float64, duration time.Duration) *LinearEstimator {
+	l := &LinearEstimator{meanError: priorErrorShare * float64(duration)}
 	l.add(0, float64(fixed), priorWeight)
 	l.add(work, float64(duration), priorWeight)
 	return l
 }
 
-func (l *Line) add(x, y, weight float64) {
+func (l *LinearEstimator) add(x, y, weight float64) {
 	l.sumWeight += weight
 	l.sumX += weight * x
 	l.sumY += weight * y
@@ -56,9 +56,9 @@
 	l.sumXY += weight * x * y
 }
 
-// Note adds an observation: the duration of the given work.
-func (l *Line) Note(work float64, duration time.Duration) {
-	expected := float64(l.At(work))
+// Observe adds an observation: the duration of the given work.
+func (l *LinearEstimator) Observe(work float64, duration time.Duration) {
+	expected := float64(l.Estimate(work))
 	residual := float64(duration) - expected
 	bound := outlierFactor * l.meanError
 	l.meanError += errorSmoothing * (min(math.Abs(residual), 2*bound) - l.meanError)
@@ -70,7 +70,7 @@
 }
 
 // PerUnit returns the estimated time per unit of work, in ns. It is never negative.
-func (l *Line) PerUnit() float64 {
+func (l *LinearEstimator) PerUnit() float64 {
 	determinant := l.sumWeight*l.sumXX - l.sumX*l.sumX
 	if determinant <= 0 {
 		return 0
@@ -79,45 +79,45 @@
 }
 
 // Fixed returns the estimated time without work. It is never negative.
-func (l *Line) Fixed() time.Duration {
+func (l *LinearEstimator) Fixed() time.Duration {
 	return time.Duration(max(0, (l.sumY-l.PerUnit()*l.sumX)/l.sumWeight))
 }
 
-// At returns the expected duration of the given work.
-func (l *Line) At(work float64) time.Duration {
+// Estimate returns the expected duration of the given work.
+func (l *LinearEstimator) Estimate(work float64) time.Duration {
 	return l.Fixed() + time.Duration(l.PerUnit()*work)
 }
 
-// Error returns the mean absolute error of the expected duration.
-func (l *Line) Error() time.Duration { return time.Duration(l.meanError) }
+// MeanError returns the mean absolute error of the expected duration.
+func (l *LinearEstimator) MeanError() time.Duration { return time.Duration(l.meanError) }
 
-// Mean estimates an average duration. NewMean returns one.
-type Mean struct {
+// MeanEstimator estimates an average duration. NewMeanEstimator returns one.
+type MeanEstimator struct {
 	sumWeight, sum float64
 	meanError      float64 // mean absolute error, in ns
 }
 
-// NewMean returns a mean with the given prior.
-func NewMean(prior time.Duration) *Mean {
-	return &Mean{sumWeight: priorWeight, sum: priorWeight * float64(prior), meanError: priorErrorShare * float64(prior)}
+// NewMeanEstimator returns a mean with the given prior.
+func NewMeanEstimator(prior time.Duration) *MeanEstimator {
+	return &MeanEstimator{sumWeight: priorWeight, sum: priorWeight * float64(prior), meanError: priorErrorShare * float64(prior)}
 }
 
-// Note adds an observation.
-func (m *Mean) Note(duration time.Duration) {
+// Observe adds an observation.
+func (m *MeanEstimator) Observe(duration time.Duration) {
 	m.meanError += errorSmoothing * (math.Abs(float64(duration-m.Value())) - m.meanError)
 	m.sum = observationDecay*m.sum + float64(duration)
 	m.sumWeight = observationDecay*m.sumWeight + 1
 }
 
 // Value returns the estimated mean.
-func (m *Mean) Value() time.Duration { return time.Duration(m.sum / m.sumWeight) }
+func (m *MeanEstimator) Value() time.Duration { return time.Duration(m.sum / m.sumWeight) }
 
-// Error returns the mean absolute deviation from the mean.
-func (m *Mean) Error() time.Duration { return time.Duration(m.meanError) }
+// MeanError returns the mean absolute deviation from the mean.
+func (m *MeanEstimator) MeanError() time.Duration { return time.Duration(m.meanError) }
 
-// Factor estimates how many times as long as its peers an engine takes, as a
+// Slowdown estimates how many times as long as its peers an engine takes, as a
 // geometric mean. The zero value has no observations and a value of 1.
-type Factor struct {
+type Slowdown struct {
 	sumLog    float64 // weighted sum of the logarithms of the observed ratios
 	sumWeight float64
 	updatedAt time.Time
@@ -138,15 +138,15 @@
 )
 
 // decay reduces the weight of past observations by their age.
-func (f *Factor) decay(now time.Time) {
+func (f *Slowdown) decay(now time.Time) {
 	factor := math.Exp(-float64(now.Sub(f.updatedAt)) / float64(slowdownTimeConstant))
 	f.sumLog *= factor
 	f.sumWeight *= factor
 	f.updatedAt = now
 }
 
-// Note adds an observation: the expected and the actual duration of a response.
-func (f *Factor) Note(expected, duration time.Duration, now time.Time) {
+// Observe adds an observation: the expected and the actual duration of a response.
+func (f *Slowdown) Observe(expected, duration time.Duration, now time.Time) {
 	f.decay(now)
 	ratio := float64(max(duration, 1)) / float64(max(expected, 1))
 	ratio = max(1/maxSlowdown, min(maxSlowdown, ratio))
@@ -155,7 +155,7 @@
 }
 
 // Value returns the estimated factor as of now.
-func (f Factor) Value(now time.Time) float64 {
+func (f Slowdown) Value(now time.Time) float64 {
 	f.decay(now)
 	return math.Exp(f.sumLog / (f.sumWeight + slowdownPriorWeight))
 }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -31,10 +31,10 @@
 		t.Run(fmt.Sprint(unitsPerMS), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 1))
 			engine := simulatedEngine{unitsPerMS, 16 * time.Millisecond, 0.15}
-			line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
+			line := pace.NewLinearEstimator(20*time.Millisecond, 9000, 250*time.Millisecond)
 			for range 100 {
 				work := 9000 * random.Float64()
-				line.Note(work, engine.duration(random, work))
+				line.Observe(work, engine.duration(random, work))
 			}
 			estimated := float64(time.Millisecond) / line.PerUnit()
 			must.Between(t, 0.8*unitsPerMS, estimated, 1.25*unitsPerMS)
@@ -46,7 +46,7 @@
 func TestLineResistsOutliers(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	engine := simulatedEngine{40, 16 * time.Millisecond, 0.1}
-	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
+	line := pace.NewLinearEstimator(20*time.Millisecond, 9000, 250*time.Millisecond)
 	for n := range 400 {
 		work := 9000 * random.Float64()
 		duration := engine.duration(random, work)
@@ -56,7 +56,7 @@
 		case 10:
 			duration = time.Millisecond
 		}
-		line.Note(work, duration)
+		line.Observe(work, duration)
 	}
 	must.Between(t, 30, float64(time.Millisecond)/line.PerUnit(), 50)
 }
@@ -64,53 +64,53 @@
 // TestLineFollowsAChangeOfThroughput makes the engine 2.5 times slower.
 func TestLineFollowsAChangeOfThroughput(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
-	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
+	line := pace.NewLinearEstimator(20*time.Millisecond, 9000, 250*time.Millisecond)
 	for _, unitsPerMS := range []float64{56, 22} {
 		engine := simulatedEngine{unitsPerMS, 16 * time.Millisecond, 0.1}
 		for range 200 {
 			work := 9000 * random.Float64()
-			line.Note(work, engine.duration(random, work))
+			line.Observe(work, engine.duration(random, work))
 		}
 		must.Between(t, 0.8*unitsPerMS, float64(time.Millisecond)/line.PerUnit(), 1.2*unitsPerMS)
 	}
-	must.Less(t, 100*time.Millisecond, line.Error())
+	must.Less(t, 100*time.Millisecond, line.MeanError())
 }
 
 // TestLineHandlesObservationsOfEqualWork adds observations that don't determine the
 // slope.
 func TestLineHandlesObservationsOfEqualWork(t *testing.T) {
-	line := pace.NewLine(20*time.Millisecond, 9000, 250*time.Millisecond)
+	line := pace.NewLinearEstimator(20*time.Millisecond, 9000, 250*time.Millisecond)
 	for range 1000 {
-		line.Note(500, 40*time.Millisecond)
+		line.Observe(500, 40*time.Millisecond)
 	}
-	must.Between(t, 38*time.Millisecond, line.At(500), 42*time.Millisecond)
+	must.Between(t, 38*time.Millisecond, line.Estimate(500), 42*time.Millisecond)
 	must.GreaterEq(t, 0, line.PerUnit())
 }
 
 // TestFactorDetectsASlowEngine lets responses take four times the expected time, and
 // then the expected time.
 func TestFactorDetectsASlowEngine(t *testing.T) {
-	var f pace.Factor
+	var f pace.Slowdown
 	now := time.Unix(1000, 0)
 	must.Eq(t, 1, f.Value(now))
-	f.Note(100*time.Millisecond, 10*time.Second, now)
+	f.Observe(100*time.Millisecond, 10*time.Second, now)
 	must.Less(t, 2, f.Value(now), must.Sprint("a single slow response must count little"))
 	for range 10 {
-		f.Note(100*time.Millisecond, 400*time.Millisecond, now)
+		f.Observe(100*time.Millisecond, 400*time.Millisecond, now)
 	}
 	must.Between(t, 2.5, f.Value(now), 5)
 	must.Between(t, 1, f.Value(now.Add(30*time.Second)), 1.2, must.Sprint("the slowdown must be forgotten without new responses"))
 	for range 20 {
-		f.Note(100*time.Millisecond, 100*time.Millisecond, now)
+		f.Observe(100*time.Millisecond, 100*time.Millisecond, now)
 	}
 	must.Between(t, 0.9, f.Value(now), 1.3)
 }
 
-func ExampleMean() {
-	m := pace.NewMean(20 * time.Millisecond)
+func ExampleMeanEstimator() {
+	m := pace.NewMeanEstimator(20 * time.Millisecond)
 	for range 300 {
-		m.Note(60 * time.Millisecond)
+		m.Observe(60 * time.Millisecond)
 	}
-	fmt.Println(m.Value().Round(time.Millisecond), m.Error().Round(time.Millisecond))
+	fmt.Println(m.Value().Round(time.Millisecond), m.MeanError().Round(time.Millisecond))
 	// Output: 60ms 0s
 }
