--- a/cmd/linenscale-lab/placement.go
+++ b/cmd/linenscale-lab/placement.go
@@ -24,7 +24,7 @@
 }
 
 func (c *placementCommand) run() error {
-	for _, t := range dispatchbench.Grown(c.seed, c.ours) {
+	for _, t := range dispatchbench.CompareStrategies(c.seed, c.ours) {
 		if err := t.Write(os.Stdout); err != nil {
 			return err
 		}
--- a/internal/dispatchbench/scenarios.go
+++ b/internal/dispatchbench/scenarios.go
@@ -160,9 +160,9 @@
 	return s.result()
 }
 
-// Grown compares the strategies at a site with 140 engines and 63 gateways, or runs
+// CompareStrategies compares the strategies at a site with 140 engines and 63 gateways, or runs
 // package dispatch alone.
-func Grown(seed uint64, dispatchOnly bool) []Table {
+func CompareStrategies(seed uint64, dispatchOnly bool) []Table {
 	var out []Table
 	for _, s := range scenarios() {
 		t := Table{Name: s.name}
