--- a/daemon/dial.go
+++ b/daemon/dial.go
@@ -57,9 +57,9 @@
 // DialContext opens a connection.
 func (d *tripDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	place := d.place(address)
-	bound := d.trips.Bound(place, d.slack)
+	bound := d.trips.ConnectTimeout(place, d.slack)
 	if d.patient {
-		bound = d.trips.PatientBound(place, d.slack)
+		bound = d.trips.RetryConnectTimeout(place, d.slack)
 	}
 	bounded, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -67,9 +67,9 @@
 	conn, err := d.Dialer.DialContext(bounded, network, address)
 	switch {
 	case err == nil:
-		d.trips.Note(place, time.Since(began))
+		d.trips.Observe(place, time.Since(began))
 	case d.patient && ctx.Err() == nil && bounded.Err() != nil:
-		d.trips.Missed(place)
+		d.trips.RecordTimeout(place)
 	}
 	return conn, err
 }
--- a/trip/trip.go
+++ b/trip/trip.go
@@ -67,16 +67,16 @@
 // New returns a table without any estimates.
 func New() *Table { return &Table{places: make(map[string]*rttEstimate)} }
 
-// Note updates the estimate of a place from the duration of one round trip and
+// Observe updates the estimate of a place from the duration of one round trip and
 // resets its count of timeouts.
-func (t *Table) Note(place string, rtt time.Duration) {
+func (t *Table) Observe(place string, rtt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.estimateFor(place).observe(max(rtt, 1))
 }
 
-// Missed records that a connect attempt timed out.
-func (t *Table) Missed(place string) {
+// RecordTimeout records that a connect attempt timed out.
+func (t *Table) RecordTimeout(place string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.estimateFor(place).timeouts++
@@ -103,18 +103,18 @@
 	return e.srtt, true
 }
 
-// Bound returns the connect timeout for a place: the smoothed RTT plus a margin for
+// ConnectTimeout returns the connect timeout for a place: the smoothed RTT plus a margin for
 // its variation, which is at least slack, the time that the other end may need.
-func (t *Table) Bound(place string, slack time.Duration) time.Duration {
+func (t *Table) ConnectTimeout(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.estimateFor(place).timeout(slack)
 }
 
-// PatientBound is Bound for callers that retry. After one timeout it is twice as
+// RetryConnectTimeout is ConnectTimeout for callers that retry. After one timeout it is twice as
 // long, after two it is three times as long, and then the sequence restarts. It
 // never exceeds MaxTimeout.
-func (t *Table) PatientBound(place string, slack time.Duration) time.Duration {
+func (t *Table) RetryConnectTimeout(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.estimateFor(place)
--- a/trip/trip_test.go
+++ b/trip/trip_test.go
@@ -21,13 +21,13 @@
 			table := trip.New()
 			for n := range 50 {
 				rtt := roundTrip + time.Duration(n%5)*15*time.Millisecond
-				must.Less(t, table.Bound("r", slack), rtt, must.Sprintf("connection %d", n))
-				table.Note("r", rtt)
+				must.Less(t, table.ConnectTimeout("r", slack), rtt, must.Sprintf("connection %d", n))
+				table.Observe("r", rtt)
 			}
 			estimated, ok := table.RoundTrip("r")
 			must.True(t, ok)
 			must.Between(t, roundTrip, estimated, roundTrip+60*time.Millisecond)
-			must.Less(t, roundTrip+250*time.Millisecond, table.Bound("r", slack), must.Sprint("the timeout must stay short for a partitioned place"))
+			must.Less(t, roundTrip+250*time.Millisecond, table.ConnectTimeout("r", slack), must.Sprint("the timeout must stay short for a partitioned place"))
 		})
 	}
 }
@@ -36,20 +36,20 @@
 // a place again after its RTT has grown.
 func TestTimeoutAdaptsAfterTheRoundTripTriples(t *testing.T) {
 	table := trip.New()
-	table.Note("r", 100*time.Millisecond)
-	table.Note("r", 100*time.Millisecond)
+	table.Observe("r", 100*time.Millisecond)
+	table.Observe("r", 100*time.Millisecond)
 	longer := 300 * time.Millisecond
 	timeouts := 0
-	for table.PatientBound("r", slack) < longer {
-		table.Missed("r")
+	for table.RetryConnectTimeout("r", slack) < longer {
+		table.RecordTimeout("r")
 		timeouts++
 	}
 	must.Less(t, 3, timeouts)
-	must.Less(t, longer, table.Bound("r", slack), must.Sprint("the timeout without retries must not grow"))
+	must.Less(t, longer, table.ConnectTimeout("r", slack), must.Sprint("the timeout without retries must not grow"))
 	for range 30 {
-		table.Note("r", longer)
+		table.Observe("r", longer)
 	}
-	must.Less(t, table.Bound("r", slack), longer)
+	must.Less(t, table.ConnectTimeout("r", slack), longer)
 }
 
 // TestTimeoutsStayShortDuringAPartition lets many attempts time out. Every third
@@ -58,14 +58,14 @@
 func TestTimeoutsStayShortDuringAPartition(t *testing.T) {
 	table := trip.New()
 	for range 20 {
-		table.Note("r", 110*time.Millisecond)
+		table.Observe("r", 110*time.Millisecond)
 	}
-	first := table.PatientBound("r", slack)
+	first := table.RetryConnectTimeout("r", slack)
 	for n := 1; n < 30; n++ {
-		table.Missed("r")
-		must.LessEq(t, trip.MaxTimeout, table.PatientBound("r", slack))
+		table.RecordTimeout("r")
+		must.LessEq(t, trip.MaxTimeout, table.RetryConnectTimeout("r", slack))
 		if n%3 == 0 {
-			must.Eq(t, first, table.PatientBound("r", slack))
+			must.Eq(t, first, table.RetryConnectTimeout("r", slack))
 		}
 	}
 }
@@ -73,12 +73,12 @@
 func ExampleTable() {
 	table := trip.New()
 	_, ok := table.RoundTrip("kano")
-	fmt.Println(ok, table.Bound("kano", 100*time.Millisecond))
+	fmt.Println(ok, table.ConnectTimeout("kano", 100*time.Millisecond))
 	for range 10 {
-		table.Note("kano", 160*time.Millisecond)
+		table.Observe("kano", 160*time.Millisecond)
 	}
 	rtt, _ := table.RoundTrip("kano")
-	fmt.Println(rtt, table.Bound("kano", 100*time.Millisecond))
+	fmt.Println(rtt, table.ConnectTimeout("kano", 100*time.Millisecond))
 	// Output:
 	// false 400ms
 	// 160ms 260ms
