--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -33,15 +33,15 @@
 	region string
 	clock  Clock
 	policy route.Policy
-	random *rand.Rand
+	rng    *rand.Rand
 
-	mu       sync.Mutex
-	pools    map[string]*pool
-	suspects *quarantine.Table
-	watch    *quarantine.Watch
-	limits   *ratelimit.Table // that engines name
-	pushback *pushback.Table  // what engines ask of this host
-	sharing  []string         // the hosts of this region that share them, as declared
+	mu            sync.Mutex
+	pools         map[string]*pool
+	quarantine    *quarantine.Table
+	crashDetector *quarantine.Watch
+	limits        *ratelimit.Table // that engines name
+	pushback      *pushback.Table  // what engines ask of this host
+	limitSharers  []string         // the hosts of this region that share them, as declared
 }
 
 // queueLimit bounds the requests that wait in one pool.
@@ -54,30 +54,30 @@
 		region: region,
 		clock:  clock,
 		policy: policy,
-		random: rand.New(rand.NewPCG(seed, seed^0x5bd1e995)),
+		rng:    rand.New(rand.NewPCG(seed, seed^0x5bd1e995)),
 		pools:  make(map[string]*pool),
 
-		suspects: quarantine.New(),
-		watch:    quarantine.NewWatch(),
-		limits:   ratelimit.New(host),
-		pushback: pushback.New(),
+		quarantine:    quarantine.New(),
+		crashDetector: quarantine.NewWatch(),
+		limits:        ratelimit.New(host),
+		pushback:      pushback.New(),
 	}
 }
 
 // Apply takes over the engines of a configuration. An engine that is declared
 // still keeps its counts; one that isn't gets nothing new, nor does one that an
 // undecided change holds: held may be nil.
-func (f *Fleet) Apply(config declare.Config, held func(engine string) bool) {
+func (f *Fleet) Apply(config declare.Config, isHeld func(engine string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shareAmong(config)
-	wanted := map[string][]declare.Engine{}
+	f.setLimitSharers(config)
+	byService := map[string][]declare.Engine{}
 	for _, e := range declare.Each[declare.Engine](config) {
-		if held != nil && held(e.Name) {
+		if isHeld != nil && isHeld(e.Name) {
 			e = e.WithState(declare.EngineStopping)
 		}
 		if config.RegionOf(e.DataCentre) == f.region {
-			wanted[e.Service] = append(wanted[e.Service], e)
+			byService[e.Service] = append(byService[e.Service], e)
 		}
 	}
 	for _, s := range declare.Each[declare.Service](config) {
@@ -86,8 +86,8 @@
 			p = newPool(s.Name)
 			f.pools[s.Name] = p
 		}
-		p.apply(f.region, wanted[s.Name])
-		p.judge(f.clock())
+		p.apply(f.region, byService[s.Name])
+		p.updateHealth(f.clock())
 	}
 	for name, p := range f.pools {
 		if _, ok := config.Service(name); !ok {
@@ -116,11 +116,11 @@
 	Choice  route.Choice
 	Waited  time.Duration
 
-	pool  *pool
-	fleet *Fleet
-	index int
-	began time.Time
-	chain []uint64
+	pool        *pool
+	fleet       *Fleet
+	engineIndex int
+	sentAt      time.Time
+	prefixChain []uint64
 
 	fingerprint quarantine.Fingerprint
 	trial       bool // it shows whether the engine takes any after a rest
@@ -128,9 +128,9 @@
 
 // Acquire gives a ticket for the best engine, waiting in the queue if none has
 // a slot. The error is a *request.NotRun.
-func (f *Fleet) Acquire(ctx context.Context, ask Ask) (*Ticket, error) {
+func (f *Fleet) Acquire(ctx context.Context, req Ask) (*Ticket, error) {
 	served := make(chan Served, 1)
-	cancel := f.Submit(ask, func(s Served) { served <- s })
+	cancel := f.Submit(req, func(s Served) { served <- s })
 	select {
 	case s := <-served:
 		return s.Ticket, s.Err
@@ -154,31 +154,31 @@
 // Submit returns, and perhaps with the fleet's lock held: it must not call the
 // fleet. cancel takes the request out of the queue; it tells whether ready will
 // not be called.
-func (f *Fleet) Submit(ask Ask, ready func(Served)) (cancel func() bool) {
+func (f *Fleet) Submit(req Ask, ready func(Served)) (cancel func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.pools[ask.Request.Service]
+	p, ok := f.pools[req.Request.Service]
 	if !ok {
 		ready(Served{Err: &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine of the service is known here"}})
 		return func() bool { return false }
 	}
 	now := f.clock()
-	if err := f.checkSuspect(ask.Fingerprint, now); err != nil {
+	if err := f.checkQuarantine(req.Fingerprint, now); err != nil {
 		ready(Served{Err: err})
 		return func() bool { return false }
 	}
-	w := p.newWaiter(ask, ready)
-	if p.queue.Ahead(ask.Request.Class.Priority()) == 0 {
+	w := p.newWaiter(req, ready)
+	if p.queue.Ahead(req.Request.Class.Priority()) == 0 {
 		if t := f.grant(p, w, now); t != nil {
 			ready(Served{Ticket: t})
 			return func() bool { return false }
 		}
 	}
 	if err := p.enqueue(w, now); err != nil {
-		ready(Served{Err: f.opensRefusal(p, err, now)})
+		ready(Served{Err: f.raiseRetryAfter(p, err, now)})
 		return func() bool { return false }
 	}
-	f.dispatch(p, now)
+	f.serveQueue(p, now)
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -189,30 +189,30 @@
 // grant gives the waiter a slot if an engine has one. The lock is held.
 func (f *Fleet) grant(p *pool, w *waiter, now time.Time) *Ticket {
 	p.view.Now = now
-	f.markAsked(p, now)
-	choice := route.Choose(f.policy, &p.view, &w.Tag.ask, f.random.Uint64())
+	f.markExclusions(p, now)
+	choice := route.Choose(f.policy, &p.view, &w.Tag.req, f.rng.Uint64())
 	if choice.Index < 0 {
 		return nil
 	}
 	e := &p.view.Engines[choice.Index]
 	e.InFlight++
-	p.own[choice.Index].note(now, e.InFlight)
-	p.view.Cached.Add(w.Tag.ask.PrefixChain, choice.Index)
-	p.started(now)
-	f.suspects.Begin(w.Tag.fingerprint)
+	p.history[choice.Index].record(now, e.InFlight)
+	p.view.Cached.Add(w.Tag.req.PrefixChain, choice.Index)
+	p.countStart(now)
+	f.quarantine.Begin(w.Tag.fingerprint)
 	key := engineKey(p.service, e.Name)
 	f.limits.Take(key, now)
 	return &Ticket{
 		Engine: e.Name, Address: e.Address, Choice: choice,
-		pool: p, fleet: f, index: choice.Index, began: now, chain: w.Tag.ask.PrefixChain, fingerprint: w.Tag.fingerprint,
+		pool: p, fleet: f, engineIndex: choice.Index, sentAt: now, prefixChain: w.Tag.req.PrefixChain, fingerprint: w.Tag.fingerprint,
 		trial: f.pushback.Begin(key, now),
 	}
 }
 
-// dispatch serves the queue while there are slots. The lock is held.
-func (f *Fleet) dispatch(p *pool, now time.Time) {
-	for p.queue.Len() > 0 && p.anyFree() {
-		w := p.queue.Pop(now, p.refuseLate)
+// serveQueue serves the queue while there are slots. The lock is held.
+func (f *Fleet) serveQueue(p *pool, now time.Time) {
+	for p.queue.Len() > 0 && p.anyFreeSlot() {
+		w := p.queue.Pop(now, p.rejectLate)
 		if w == nil {
 			return
 		}
@@ -232,12 +232,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	f.limits.SetMembers(f.sharing, now)
+	f.limits.SetMembers(f.limitSharers, now)
 	for _, p := range f.pools {
-		f.markAsked(p, now)
-		p.judge(now)
-		p.queue.Expire(now.Add(f.opens(p, now)), p.refuseLate)
-		f.dispatch(p, now)
+		f.markExclusions(p, now)
+		p.updateHealth(now)
+		p.queue.Expire(now.Add(f.availableIn(p, now)), p.rejectLate)
+		f.serveQueue(p, now)
 	}
 }
 
@@ -250,16 +250,16 @@
 func (f *Fleet) Addresses() []Address {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []Address
+	var addresses []Address
 	for name, p := range f.pools {
 		for i := range p.view.Engines {
 			if e := &p.view.Engines[i]; e.Name != "" {
-				all = append(all, Address{name, e.Name, e.Address})
+				addresses = append(addresses, Address{name, e.Name, e.Address})
 			}
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Engine < all[j].Engine })
-	return all
+	sort.Slice(addresses, func(i, j int) bool { return addresses[i].Engine < addresses[j].Engine })
+	return addresses
 }
 
 // Digests gives the state of each service's engines in this region.
@@ -267,12 +267,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	out := make([]ServiceDigest, 0, len(f.pools))
+	digests := make([]ServiceDigest, 0, len(f.pools))
 	for name, p := range f.pools {
-		out = append(out, ServiceDigest{Service: name, Digest: p.digest(f.region, now), Queued: p.queue.Len()})
+		digests = append(digests, ServiceDigest{Service: name, Digest: p.digest(f.region, now), Queued: p.queue.Len()})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
-	return out
+	sort.Slice(digests, func(i, j int) bool { return digests[i].Service < digests[j].Service })
+	return digests
 }
 
 // ServiceDigest is the digest of one service.
@@ -283,16 +283,16 @@
 }
 
 // Explain gives each engine's score, or why it is refused, for a request.
-func (f *Fleet) Explain(ask Ask) []route.Explained {
+func (f *Fleet) Explain(req Ask) []route.Explained {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.pools[ask.Request.Service]
+	p, ok := f.pools[req.Request.Service]
 	if !ok {
 		return nil
 	}
 	p.view.Now = f.clock()
-	f.markAsked(p, p.view.Now)
-	return route.Explain(&p.view, &p.newWaiter(ask, nil).Tag.ask)
+	f.markExclusions(p, p.view.Now)
+	return route.Explain(&p.view, &p.newWaiter(req, nil).Tag.req)
 }
 
 // InFlight counts this host's requests on an engine, for a drain.
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -9,24 +9,24 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// shareAmong takes over which hosts share limits: those of this region, as declared, which all
+// setLimitSharers takes over which hosts share limits: those of this region, as declared, which all
 // hosts agree on. The lock is held.
-func (f *Fleet) shareAmong(config declare.Config) {
-	f.sharing = f.sharing[:0]
+func (f *Fleet) setLimitSharers(config declare.Config) {
+	f.limitSharers = f.limitSharers[:0]
 	for _, h := range declare.Each[declare.Host](config) {
 		if h.State != declare.HostGone && h.State != declare.HostLeaving && config.RegionOf(h.DataCentre) == f.region {
-			f.sharing = append(f.sharing, h.Name)
+			f.limitSharers = append(f.limitSharers, h.Name)
 		}
 	}
-	f.limits.SetMembers(f.sharing, f.clock())
+	f.limits.SetMembers(f.limitSharers, f.clock())
 }
 
 // HeardLimit takes what the head of the engine's answer says of how many requests it takes.
-func (t *Ticket) HeardLimit(word ratelimit.Word) {
+func (t *Ticket) HeardLimit(signal ratelimit.Word) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.Hear(engineKey(t.pool.service, t.Engine), word, t.began, f.clock())
+	f.limits.Hear(engineKey(t.pool.service, t.Engine), signal, t.sentAt, f.clock())
 }
 
 // TellLimits gives what this host knows of limits, for the others.
@@ -37,8 +37,8 @@
 }
 
 // HearLimits takes what another host of this region told of limits so long ago.
-func (f *Fleet) HearLimits(notes []ratelimit.Note, age time.Duration) {
+func (f *Fleet) HearLimits(reports []ratelimit.Note, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.HearNotes(ratelimit.Older(notes, age), f.clock())
+	f.limits.HearNotes(ratelimit.Older(reports, age), f.clock())
 }
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -29,8 +29,8 @@
 	First   time.Duration // until the first byte of the answer
 }
 
-// serviceSmoothing is the weight of the newest service time.
-const serviceSmoothing = 0.1
+// serviceTimeSmoothing is the weight of the newest service time.
+const serviceTimeSmoothing = 0.1
 
 // Done gives the slot back. It must be called exactly once for each ticket.
 func (t *Ticket) Done(result Result) {
@@ -38,11 +38,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	e := &t.pool.view.Engines[t.index]
+	e := &t.pool.view.Engines[t.engineIndex]
 	e.InFlight--
-	t.pool.own[t.index].note(now, e.InFlight)
-	h := t.pool.health[t.index]
-	f.suspects.End(t.fingerprint, result.Outcome == Answered, now)
+	t.pool.history[t.engineIndex].record(now, e.InFlight)
+	engineHealth := t.pool.health[t.engineIndex]
+	f.quarantine.End(t.fingerprint, result.Outcome == Answered, now)
 	if t.trial {
 		f.pushback.End(engineKey(t.pool.service, t.Engine))
 	}
@@ -50,34 +50,34 @@
 		f.limits.GiveBack(engineKey(t.pool.service, t.Engine), now)
 	}
 	if result.Outcome == Broken {
-		f.watch.Broke(t.Engine, t.fingerprint, now)
+		f.crashDetector.Broke(t.Engine, t.fingerprint, now)
 	}
 	switch result.Outcome {
 	case Answered:
-		f.watch.Answers(t.Engine, t.began)
-		h.Observe(health.Succeeded, result.First)
-		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.began))
+		f.crashDetector.Answers(t.Engine, t.sentAt)
+		engineHealth.Observe(health.Succeeded, result.First)
+		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.sentAt))
 	case Failed, Broken:
-		h.Observe(health.Failed, 0)
-		t.pool.judge(now)
+		engineHealth.Observe(health.Failed, 0)
+		t.pool.updateHealth(now)
 	case Shed:
-		h.Observe(health.Shed, 0)
+		engineHealth.Observe(health.Shed, 0)
 		// The engine is fuller than its reports say: believe that others
 		// fill it, until reports say otherwise.
 		e.Others = max(e.Others, float64(e.Slots+e.Slots/4-e.InFlight))
 		e.ReportedAt = now
 	case Abandoned:
-		h.Observe(health.Abandoned, 0)
+		engineHealth.Observe(health.Abandoned, 0)
 	case Unsent:
 	}
-	f.dispatch(t.pool, now)
+	f.serveQueue(t.pool, now)
 }
 
-func smooth(old, newest time.Duration) time.Duration {
+func smooth(old, latest time.Duration) time.Duration {
 	if old == 0 {
-		return newest
+		return latest
 	}
-	return old + time.Duration(serviceSmoothing*float64(newest-old))
+	return old + time.Duration(serviceTimeSmoothing*float64(latest-old))
 }
 
 // Retry spends a retry of the service's budget, or tells that there is none.
@@ -92,40 +92,40 @@
 
 // SetReport notes a load report. One older than the last is dropped.
 func (f *Fleet) SetReport(service, engine string, report Report) {
-	f.each(service, engine, func(p *pool, i int) {
+	f.withEngine(service, engine, func(p *pool, i int) {
 		e := &p.view.Engines[i]
 		if report.At.Before(e.ReportedAt) {
 			return
 		}
-		*e = e.WithReport(report.Running+report.Waiting, p.own[i].at(report.At, e.InFlight), report.At)
+		*e = e.WithReport(report.Running+report.Waiting, p.history[i].at(report.At, e.InFlight), report.At)
 	})
 }
 
 // Probe notes the result of a probe that was sent at a time.
 func (f *Fleet) Probe(service, engine string, sent time.Time, ok bool) {
-	f.each(service, engine, func(p *pool, i int) {
+	f.withEngine(service, engine, func(p *pool, i int) {
 		if ok {
-			f.watch.Answers(engine, sent)
+			f.crashDetector.Answers(engine, sent)
 		}
 		p.health[i].Probe(ok)
-		p.judge(f.clock())
+		p.updateHealth(f.clock())
 	})
 }
 
 // Evicted notes that an engine has dropped a cached prefix.
 func (f *Fleet) Evicted(service, engine string, prefix uint64) {
-	f.each(service, engine, func(p *pool, i int) { p.view.Cached.Remove(prefix, i) })
+	f.withEngine(service, engine, func(p *pool, i int) { p.view.Cached.Remove(prefix, i) })
 }
 
 // SetLeaving notes which engine addresses the platform says are leaving.
-func (f *Fleet) SetLeaving(leaving func(address string) bool) {
+func (f *Fleet) SetLeaving(draining func(address string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.pools {
 		for i := range p.view.Engines {
-			p.health[i].SetLeaving(leaving(p.view.Engines[i].Address))
+			p.health[i].SetLeaving(draining(p.view.Engines[i].Address))
 		}
-		p.judge(f.clock())
+		p.updateHealth(f.clock())
 	}
 }
 
@@ -143,7 +143,7 @@
 	return 0, false
 }
 
-func (f *Fleet) each(service, engine string, do func(p *pool, i int)) {
+func (f *Fleet) withEngine(service, engine string, fn func(p *pool, i int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[service]
@@ -152,8 +152,8 @@
 	}
 	for i := range p.view.Engines {
 		if p.view.Engines[i].Name == engine {
-			do(p, i)
+			fn(p, i)
 		}
 	}
-	f.dispatch(p, f.clock())
+	f.serveQueue(p, f.clock())
 }
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -19,25 +19,25 @@
 // labelModel is the engine label that names the model it has loaded.
 const labelModel = "model"
 
-// prefixes bounds each generation of a pool's prefix index.
-const prefixes = 1 << 14
+// prefixIndexSize bounds each generation of a pool's prefix index.
+const prefixIndexSize = 1 << 14
 
-// waiting is what the queue carries for the fleet.
-type waiting struct {
-	ask         route.Ask
+// waiterTag is what the queue carries for the fleet.
+type waiterTag struct {
+	req         route.Ask
 	ready       func(Served)
 	fingerprint quarantine.Fingerprint
 }
 
-type waiter = admit.Waiter[waiting]
+type waiter = admit.Waiter[waiterTag]
 
 // pool is guarded by its Fleet's lock.
 type pool struct {
 	service string
 	view    route.View
 	health  []*health.Engine // beside view.Engines
-	own     []*ownLoad       // beside view.Engines
-	queue   *admit.Queue[waiting]
+	history []*loadHistory   // beside view.Engines
+	queue   *admit.Queue[waiterTag]
 	blocked []*waiter // popped, but no engine could take them
 	budget  *retry.Budget
 
@@ -47,8 +47,8 @@
 func newPool(service string) *pool {
 	return &pool{
 		service: service,
-		view:    route.View{Cached: route.NewPrefixIndex(prefixes)},
-		queue:   admit.New[waiting](queueLimit),
+		view:    route.View{Cached: route.NewPrefixIndex(prefixIndexSize)},
+		queue:   admit.New[waiterTag](queueLimit),
 		budget:  retry.New(),
 	}
 }
@@ -60,8 +60,8 @@
 	declared := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		declared[e.Name] = true
-		i := p.place(e.Name)
-		p.set(i, region, e)
+		i := p.findOrAdd(e.Name)
+		p.setEngine(i, region, e)
 	}
 	for i := range p.view.Engines {
 		if e := &p.view.Engines[i]; !declared[e.Name] {
@@ -73,8 +73,8 @@
 	}
 }
 
-// place finds or makes the place of an engine.
-func (p *pool) place(name string) int {
+// findOrAdd finds or makes the place of an engine.
+func (p *pool) findOrAdd(name string) int {
 	free := -1
 	for i := range p.view.Engines {
 		switch p.view.Engines[i].Name {
@@ -87,30 +87,30 @@
 	if free < 0 {
 		p.view.Engines = append(p.view.Engines, route.Engine{})
 		p.health = append(p.health, nil)
-		p.own = append(p.own, nil)
+		p.history = append(p.history, nil)
 		free = len(p.health) - 1
 	}
 	p.view.Engines[free] = route.Engine{Name: name}
 	p.health[free] = &health.Engine{}
-	p.own[free] = &ownLoad{}
+	p.history[free] = &loadHistory{}
 	return free
 }
 
-func (p *pool) set(i int, region string, e declare.Engine) {
-	v := &p.view.Engines[i]
-	if v.Address != e.Address {
+func (p *pool) setEngine(i int, region string, declared declare.Engine) {
+	engine := &p.view.Engines[i]
+	if engine.Address != declared.Address {
 		p.health[i] = &health.Engine{}
 	}
-	v.Address = e.Address
-	v.Place = permit.Place{Region: region, DataCentre: e.DataCentre}
-	v.Labels = e.Labels
-	v.Model = e.Labels.Get(labelModel)
-	v.Slots = e.Slots
-	v.Cost = e.Cost
-	p.health[i].SetStopping(e.State == declare.EngineStopping)
+	engine.Address = declared.Address
+	engine.Place = permit.Place{Region: region, DataCentre: declared.DataCentre}
+	engine.Labels = declared.Labels
+	engine.Model = declared.Labels.Get(labelModel)
+	engine.Slots = declared.Slots
+	engine.Cost = declared.Cost
+	p.health[i].SetStopping(declared.State == declare.EngineStopping)
 }
 
-func (p *pool) judge(now time.Time) {
+func (p *pool) updateHealth(now time.Time) {
 	route.FillOthers(p.view.Engines, now)
 	for i, h := range health.Judge(p.health, now) {
 		e := &p.view.Engines[i]
@@ -122,24 +122,24 @@
 	}
 }
 
-func (p *pool) newWaiter(ask Ask, ready func(Served)) *waiter {
-	r := ask.Request
+func (p *pool) newWaiter(req Ask, ready func(Served)) *waiter {
+	r := req.Request
 	w := &waiter{
 		Account:  r.Account,
 		Priority: r.Class.Priority(),
 		Cost:     float64(1 + len(r.PrefixChain)),
 		Deadline: r.Deadline,
-		Need:     ask.Need,
-		MaxWait:  ask.MaxWait,
+		Need:     req.Need,
+		MaxWait:  req.MaxWait,
 	}
-	w.Tag = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Ask{
+	w.Tag = waiterTag{ready: ready, fingerprint: req.Fingerprint, req: route.Ask{
 		Model:       r.Model,
 		PrefixChain: r.PrefixChain,
-		Prefill:     ask.Prefill,
-		Tried:       p.indexes(ask.Tried),
+		Prefill:     req.Prefill,
+		Tried:       p.indexes(req.Tried),
 	}}
-	if ask.Permitted != nil {
-		w.Tag.ask.Permitted = func(e *route.Engine) bool { return ask.Permitted(e.Place, e.Labels) }
+	if req.Permitted != nil {
+		w.Tag.req.Permitted = func(e *route.Engine) bool { return req.Permitted(e.Place, e.Labels) }
 	}
 	return w
 }
@@ -159,15 +159,15 @@
 // enqueue puts the waiter into the queue, or refuses it at once: also where
 // no engine that lives could ever take it.
 func (p *pool) enqueue(w *waiter, now time.Time) error {
-	if !p.anyFit(w) {
+	if !p.anyEligible(w) {
 		return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine here is healthy and permitted", RetryAfter: time.Second}
 	}
-	return p.queue.Push(w, now, p.drainRate(now))
+	return p.queue.Push(w, now, p.expectedStartRate(now))
 }
 
-// anyFit tells whether some engine could take the request if it had a slot.
-func (p *pool) anyFit(w *waiter) bool {
-	for _, e := range route.Explain(&p.view, &w.Tag.ask) {
+// anyEligible tells whether some engine could take the request if it had a slot.
+func (p *pool) anyEligible(w *waiter) bool {
+	for _, e := range route.Explain(&p.view, &w.Tag.req) {
 		if e.Refused == route.RefusedNot.String() || e.Refused == route.RefusedFull.String() {
 			return true
 		}
@@ -175,56 +175,58 @@
 	return false
 }
 
-// drainRate estimates how many requests a second get a slot from this host:
+// expectedStartRate estimates how many requests a second get a slot from this host:
 // what has been seen in the last seconds, or, where nothing was, what the slots
 // could do.
-func (p *pool) drainRate(now time.Time) float64 {
-	if rate := p.starts.rate(now); rate > leastSeen {
+func (p *pool) expectedStartRate(now time.Time) float64 {
+	if rate := p.starts.rate(now); rate > minObservedRate {
 		return rate
 	}
-	could := 0.0
+	capacity := 0.0
 	for i := range p.view.Engines {
 		if e := &p.view.Engines[i]; e.Health == route.Healthy {
-			service := e.ServiceTime
-			if service == 0 {
-				service = time.Second
+			serviceTime := e.ServiceTime
+			if serviceTime == 0 {
+				serviceTime = time.Second
 			}
-			could += float64(e.Slots) / service.Seconds()
+			capacity += float64(e.Slots) / serviceTime.Seconds()
 		}
 	}
-	return could
+	return capacity
 }
 
-// leastSeen is the rate, a second, below which what was seen says nothing.
-const leastSeen = 1.0
+// minObservedRate is the rate, a second, below which what was seen says nothing.
+const minObservedRate = 1.0
 
-// rateWindow is over how long the rate of starts is taken.
-const rateWindow = 3 * time.Second
+// startRateWindow is over how long the rate of starts is taken.
+const startRateWindow = 3 * time.Second
 
-// startRate counts starts with a weight that decays over rateWindow. The zero
+// startRate counts starts with a weight that decays over startRateWindow. The zero
 // value has seen none.
 type startRate struct {
-	weight float64
-	at     time.Time
+	weight    float64
+	updatedAt time.Time
 }
 
-func (s *startRate) decayed(now time.Time) float64 {
-	return s.weight * math.Exp(-float64(now.Sub(s.at))/float64(rateWindow))
+func (s *startRate) decayedWeight(now time.Time) float64 {
+	return s.weight * math.Exp(-float64(now.Sub(s.updatedAt))/float64(startRateWindow))
 }
 
 func (s *startRate) add(now time.Time) {
-	s.weight, s.at = s.decayed(now)+1, now
+	s.weight, s.updatedAt = s.decayedWeight(now)+1, now
 }
 
 // rate gives the starts a second.
-func (s *startRate) rate(now time.Time) float64 { return s.decayed(now) / rateWindow.Seconds() }
+func (s *startRate) rate(now time.Time) float64 {
+	return s.decayedWeight(now) / startRateWindow.Seconds()
+}
 
-func (p *pool) started(now time.Time) {
+func (p *pool) countStart(now time.Time) {
 	p.budget.First()
 	p.starts.add(now)
 }
 
-func (p *pool) anyFree() bool {
+func (p *pool) anyFreeSlot() bool {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health == route.Healthy && !e.Limited && e.Asked == 0 && !e.Full() {
@@ -234,7 +236,7 @@
 	return false
 }
 
-func (p *pool) refuseLate(w *waiter) {
+func (p *pool) rejectLate(w *waiter) {
 	w.Tag.ready(Served{Err: &request.NotRun{
 		Reason:     request.ReasonDeadline,
 		Message:    "no slot was free in time",
@@ -248,7 +250,7 @@
 func (p *pool) requeueBlocked(now time.Time) {
 	for _, w := range p.blocked {
 		w.Cost = 0
-		if err := p.queue.Push(w, now, p.drainRate(now)); err != nil {
+		if err := p.queue.Push(w, now, p.expectedStartRate(now)); err != nil {
 			w.Tag.ready(Served{Err: err})
 		}
 	}
@@ -257,8 +259,8 @@
 
 func (p *pool) digest(region string, now time.Time) route.Digest {
 	d := route.Digest{Region: region, At: now}
-	var service time.Duration
-	n, load := 0, 0.0
+	var totalServiceTime time.Duration
+	measured, load := 0, 0.0
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health != route.Healthy || e.Asked != 0 {
@@ -267,13 +269,13 @@
 		d.Slots += e.Slots
 		load += e.Load()
 		if e.ServiceTime > 0 {
-			service += e.ServiceTime
-			n++
+			totalServiceTime += e.ServiceTime
+			measured++
 		}
 	}
 	d.Load = int(load+0.5) + p.queue.Len()
-	if n > 0 {
-		d.ServiceTime = service / time.Duration(n)
+	if measured > 0 {
+		d.ServiceTime = totalServiceTime / time.Duration(measured)
 	}
 	return d
 }
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -20,53 +20,53 @@
 	return xxhash.Sum64String(service + "\x00" + engine)
 }
 
-// markAsked notes which engines may get no request of this host now by their own word. The lock
+// markExclusions notes which engines may get no request of this host now by their own word. The lock
 // is held.
-func (f *Fleet) markAsked(p *pool, now time.Time) {
+func (f *Fleet) markExclusions(p *pool, now time.Time) {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		key := engineKey(p.service, e.Name)
-		bar, _ := f.pushback.Bar(key, now)
-		e.Asked, e.Limited = bar.Reason, !f.limits.Allows(key, now)
+		exclusion, _ := f.pushback.Bar(key, now)
+		e.Asked, e.Limited = exclusion.Reason, !f.limits.Allows(key, now)
 	}
 }
 
-// opens gives how long it takes until an engine that lives may get a request of this host by its
+// availableIn gives how long it takes until an engine that lives may get a request of this host by its
 // own word; 0 where one may now, or nothing tells when. The lock is held.
-func (f *Fleet) opens(p *pool, now time.Time) time.Duration {
-	soonest := time.Duration(math.MaxInt64)
+func (f *Fleet) availableIn(p *pool, now time.Time) time.Duration {
+	earliest := time.Duration(math.MaxInt64)
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health != route.Healthy {
 			continue
 		}
 		key := engineKey(p.service, e.Name)
-		bar, barred := f.pushback.Bar(key, now)
-		wait, shares := f.limits.Next(key, now)
+		exclusion, excluded := f.pushback.Bar(key, now)
+		wait, hasShare := f.limits.Next(key, now)
 		switch {
-		case barred && bar.Reason == pushback.Leaving, !shares:
-		case barred:
-			soonest = min(soonest, max(wait, bar.Until.Sub(now)))
+		case excluded && exclusion.Reason == pushback.Leaving, !hasShare:
+		case excluded:
+			earliest = min(earliest, max(wait, exclusion.Until.Sub(now)))
 		default:
-			soonest = min(soonest, wait)
+			earliest = min(earliest, wait)
 		}
 	}
-	if soonest == math.MaxInt64 {
+	if earliest == math.MaxInt64 {
 		return 0
 	}
-	return soonest
+	return earliest
 }
 
-// opensRefusal says when to come back where engines that have asked for less are all that is
+// raiseRetryAfter says when to come back where engines that have asked for less are all that is
 // left. The lock is held.
-func (f *Fleet) opensRefusal(p *pool, err error, now time.Time) error {
-	var refused *request.NotRun
-	if !errors.As(err, &refused) || refused.Reason != request.ReasonNoEngine {
+func (f *Fleet) raiseRetryAfter(p *pool, err error, now time.Time) error {
+	var rejection *request.NotRun
+	if !errors.As(err, &rejection) || rejection.Reason != request.ReasonNoEngine {
 		return err
 	}
-	out := *refused
-	out.RetryAfter = max(out.RetryAfter, f.opens(p, now))
-	return &out
+	raised := *rejection
+	raised.RetryAfter = max(raised.RetryAfter, f.availableIn(p, now))
+	return &raised
 }
 
 // Opens gives how long it takes until an engine of a service may get a request of this host by
@@ -78,25 +78,25 @@
 	if !ok {
 		return 0
 	}
-	return f.opens(p, f.clock())
+	return f.availableIn(p, f.clock())
 }
 
 // HeardPushback takes what the head of the engine's answer asks for, and whether the engine says
 // that it leaves. Others in the queue must not be sent there.
-func (t *Ticket) HeardPushback(word pushback.Word, leaving bool) {
+func (t *Ticket) HeardPushback(signal pushback.Word, draining bool) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key, now := engineKey(t.pool.service, t.Engine), f.clock()
-	f.pushback.Hear(key, word, now)
-	f.hearLeaving(key, leaving, t.began, now)
-	f.markAsked(t.pool, now)
+	f.pushback.Hear(key, signal, now)
+	f.recordDraining(key, draining, t.sentAt, now)
+	f.markExclusions(t.pool, now)
 }
 
-// hearLeaving takes whether an answer to what was sent at a time says that the engine leaves. One
+// recordDraining takes whether an answer to what was sent at a time says that the engine leaves. One
 // that doesn't, of an engine that did before, comes from its next life. The lock is held.
-func (f *Fleet) hearLeaving(key uint64, leaving bool, sent, now time.Time) {
-	if leaving {
+func (f *Fleet) recordDraining(key uint64, draining bool, sent, now time.Time) {
+	if draining {
 		f.pushback.HearLeaving(key, now)
 		return
 	}
@@ -108,13 +108,13 @@
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pushback.Taken(engineKey(t.pool.service, t.Engine), t.began)
+	f.pushback.Taken(engineKey(t.pool.service, t.Engine), t.sentAt)
 }
 
 // ProbedLeaving takes whether the answer to a probe that was sent at a time says that the engine
 // leaves.
-func (f *Fleet) ProbedLeaving(service, engine string, leaving bool, sent time.Time) {
+func (f *Fleet) ProbedLeaving(service, engine string, draining bool, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hearLeaving(engineKey(service, engine), leaving, sent, f.clock())
+	f.recordDraining(engineKey(service, engine), draining, sent, f.clock())
 }
