--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -21,8 +21,8 @@
 	f.limits.SetMembers(f.limitSharers, f.clock())
 }
 
-// HeardLimit takes what the head of the engine's answer says of how many requests it takes.
-func (t *Ticket) HeardLimit(signal ratelimit.Word) {
+// ApplyLimit takes what the head of the engine's answer says of how many requests it takes.
+func (t *Ticket) ApplyLimit(signal ratelimit.Word) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -54,12 +54,12 @@
 		f.Tick()
 		ticket := acquire(t, f, c)
 		if ticket.Engine == "needy" {
-			ticket.HeardLimit(ratelimit.Limited{PerSecond: 2})
+			ticket.ApplyLimit(ratelimit.Limited{PerSecond: 2})
 			if i >= 60 {
 				sent++
 			}
 		} else {
-			ticket.HeardLimit(ratelimit.Unlimited{})
+			ticket.ApplyLimit(ratelimit.Unlimited{})
 		}
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
 		if i%10 == 0 {
@@ -77,7 +77,7 @@
 	c := &clock{time.Unix(1_700_000_000, 0)}
 	for _, f := range sharing(t, c, engine("needy", 8)) {
 		ticket := acquire(t, f, c)
-		ticket.HeardLimit(ratelimit.Limited{PerSecond: 0.25})
+		ticket.ApplyLimit(ratelimit.Limited{PerSecond: 0.25})
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
 		_, err := f.Acquire(context.Background(), c.ask())
 		var refusal *request.NotRun
@@ -94,7 +94,7 @@
 	served := 0
 	for _, f := range sharing(t, c, engine("needy", 8)) {
 		ticket := acquire(t, f, c)
-		ticket.HeardLimit(ratelimit.Limited{PerSecond: 1})
+		ticket.ApplyLimit(ratelimit.Limited{PerSecond: 1})
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
 		c.now = c.now.Add(1500 * time.Millisecond)
 		for range 5 {
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -69,9 +69,9 @@
 	return &raised
 }
 
-// Opens gives how long it takes until an engine of a service may get a request of this host by
+// AvailableIn gives how long it takes until an engine of a service may get a request of this host by
 // its own word.
-func (f *Fleet) Opens(service string) time.Duration {
+func (f *Fleet) AvailableIn(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[service]
@@ -81,9 +81,9 @@
 	return f.availableIn(p, f.clock())
 }
 
-// HeardPushback takes what the head of the engine's answer asks for, and whether the engine says
+// ApplyPushback takes what the head of the engine's answer asks for, and whether the engine says
 // that it leaves. Others in the queue must not be sent there.
-func (t *Ticket) HeardPushback(signal pushback.Word, draining bool) {
+func (t *Ticket) ApplyPushback(signal pushback.Word, draining bool) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,8 +103,8 @@
 	f.pushback.Stays(key, sent)
 }
 
-// Taken notes that the engine has not refused the request.
-func (t *Ticket) Taken() {
+// Accepted notes that the engine has not refused the request.
+func (t *Ticket) Accepted() {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/pushback_test.go
+++ b/fleet/pushback_test.go
@@ -28,7 +28,7 @@
 func TestARestingEngineIsLeftAloneAndThenTriedOnce(t *testing.T) {
 	f, c := newFleet(t, engine("e", 8))
 	ticket := acquire(t, f, c)
-	ticket.HeardPushback(pushback.Rest{For: 3 * time.Second}, false)
+	ticket.ApplyPushback(pushback.Rest{For: 3 * time.Second}, false)
 	ticket.Done(fleet.Result{Outcome: fleet.Shed})
 	c.now = c.now.Add(time.Second)
 	refusal := refused(t, f, c)
@@ -43,7 +43,7 @@
 	f.Tick()
 	first := acquire(t, f, c)
 	refused(t, f, c)
-	first.Taken()
+	first.Accepted()
 	acquire(t, f, c)
 }
 
@@ -57,7 +57,7 @@
 	ask.Request.Deadline = c.now.Add(2 * time.Second)
 	f.Submit(ask, func(s fleet.Served) { short = s })
 	f.Submit(c.ask(), func(s fleet.Served) { long = s })
-	holds.HeardPushback(pushback.Rest{For: 5 * time.Second}, false)
+	holds.ApplyPushback(pushback.Rest{For: 5 * time.Second}, false)
 	holds.Done(fleet.Result{Outcome: fleet.Shed})
 	f.Tick()
 	must.ErrorContains(t, short.Err, "no slot was free in time")
@@ -73,7 +73,7 @@
 	probed := c.now
 	c.now = c.now.Add(time.Second)
 	ticket := acquire(t, f, c)
-	ticket.HeardPushback(pushback.Nothing{}, true)
+	ticket.ApplyPushback(pushback.Nothing{}, true)
 	ticket.Done(fleet.Result{Outcome: fleet.Answered})
 	f.ProbedLeaving("s", "e", false, probed)
 	refused(t, f, c)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -101,7 +101,7 @@
 	}
 	var failure *relay.Failure
 	if errors.As(done.last, &failure) {
-		return &request.NotRun{Reason: request.ReasonNoEngine, Message: failure.Error(), RetryAfter: max(retryEngine, s.Fleet.Opens(x.req.Service))}
+		return &request.NotRun{Reason: request.ReasonNoEngine, Message: failure.Error(), RetryAfter: max(retryEngine, s.Fleet.AvailableIn(x.req.Service))}
 	}
 	return &request.OutcomeUnknown{Message: done.last.Error()}
 }
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -27,9 +27,9 @@
 	refused := resp.Header.Get(relay.HeaderNotRun) == "true"
 	word := pushback.Read(refused, resp.Header, time.Now())
 	leaving := resp.Header.Get(relay.HeaderLeaving) == "true"
-	ticket.HeardPushback(word, leaving)
+	ticket.ApplyPushback(word, leaving)
 	if !refused {
-		ticket.Taken()
+		ticket.Accepted()
 	}
 	if _, asks := word.(pushback.Rest); asks {
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
@@ -45,7 +45,7 @@
 // hearLimit tells the fleet what an answer says of how many requests its engine takes.
 func (s *Server) hearLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
 	word := ratelimit.Parse(header.Values(relay.HeaderLimit))
-	ticket.HeardLimit(word)
+	ticket.ApplyLimit(word)
 	if _, unlimited := word.(ratelimit.Unlimited); unlimited {
 		return
 	}
