--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -1,4 +1,4 @@
-// This file defines how the fleet keeps requests from engines that crash under them.
+// This file defines how the fleet quarantines requests that crash engines.
 
 package fleet
 
@@ -12,17 +12,19 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// minIncarnation is how long a life of a declared engine is taken to be at least. Declared engines
-// don't say when they were started, so that one host's crash is taken for another's where
-// both fall into the same ten seconds: several hosts see each one, within a second or two.
+// minIncarnation is the assumed minimum time between two crashes of a declared engine.
+// Declared engines don't report when they were started, so crashes are told apart by the
+// interval of ten seconds in which they are detected. Several hosts detect each crash within
+// a second or two, and their reports must count as one crash.
 const minIncarnation = 10 * time.Second
 
-// incarnation names the life of an engine that ends now.
+// incarnation identifies the incarnation of an engine that crashes now.
 func incarnation(engine string, now time.Time) string {
 	return engine + "@" + strconv.FormatInt(now.UnixNano()/int64(minIncarnation), 10)
 }
 
-// checkQuarantine refuses a request under which engines crashed. The lock is held.
+// checkQuarantine returns a *request.NotRun if the request is quarantined. f.mu must be
+// held.
 func (f *Fleet) checkQuarantine(fp quarantine.Fingerprint, now time.Time) error {
 	var rejection *quarantine.Refused
 	if !errors.As(f.quarantine.Check(fp, now), &rejection) {
@@ -31,7 +33,8 @@
 	return &request.NotRun{Reason: request.ReasonQuarantined, Message: rejection.Error() + "; fingerprint " + fp.String(), RetryAfter: rejection.RetryAfter}
 }
 
-// Refused notes that an engine takes no connections: its process has ended.
+// Refused records that an engine refuses connections, which means that its process has
+// ended. Requests whose connections to it broke just before are reported as the cause.
 func (f *Fleet) Refused(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,15 +44,15 @@
 	}
 }
 
-// TellCrashes gives what this host knows of crashes, for the others.
+// TellCrashes returns the crash reports to send to the other hosts.
 func (f *Fleet) TellCrashes() []quarantine.Note {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.Standing(f.clock())
 }
 
-// HearCrashes takes what another host told of crashes so long ago. It gives the requests
-// that are refused from now on.
+// HearCrashes applies the crash reports of another host, which are age old. It returns
+// the fingerprints that are quarantined as a result.
 func (f *Fleet) HearCrashes(reports []quarantine.Note, age time.Duration) []quarantine.Fingerprint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,12 +1,11 @@
-// Package fleet keeps what one entry host knows of the engines of its region,
-// and hands out their slots.
+// Package fleet tracks the engines of an entry host's region and allocates their slots to
+// requests.
 //
-// A Fleet owns one pool for each service. A pool joins the pure decisions of
-// the packages route, admit and health with the running counts they need:
-// Acquire gives a Ticket for an engine, waiting in the pool's queue if it
-// must, and every Ticket is given back by Done exactly once. The decisions
-// are made under the pool's lock and take microseconds; nothing waits for the
-// network while holding it.
+// A Fleet has one pool per service. A pool combines the pure decision functions of the
+// packages route, admit and health with the live counts that they need. Acquire returns a
+// Ticket for an engine, after queueing if no slot is free, and each Ticket is released by
+// exactly one call to Done. Decisions are made under the fleet's lock and take
+// microseconds; no network call is made while the lock is held.
 package fleet
 
 import (
@@ -25,10 +24,10 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Clock gives the time; tests set their own.
+// Clock returns the current time. Tests pass their own.
 type Clock func() time.Time
 
-// Fleet is safe for concurrent use. New makes one.
+// Fleet holds the pools of one entry host. It is safe for concurrent use; New creates one.
 type Fleet struct {
 	region string
 	clock  Clock
@@ -39,16 +38,16 @@
 	pools         map[string]*pool
 	quarantine    *quarantine.Table
 	crashDetector *quarantine.Watch
-	limits        *ratelimit.Table // that engines name
-	pushback      *pushback.Table  // what engines ask of this host
-	limitSharers  []string         // the hosts of this region that share them, as declared
+	limits        *ratelimit.Table // rate limits that engines announce
+	pushback      *pushback.Table  // backoff and draining that engines announce to this host
+	limitSharers  []string         // declared hosts of this region, among which limits are divided
 }
 
-// queueLimit bounds the requests that wait in one pool.
+// queueLimit is the maximum number of requests queued in one pool.
 const queueLimit = 512
 
-// New makes an empty fleet of an entry host, for the engines of its region. seed makes its
-// random choices repeatable.
+// New returns a fleet without engines for an entry host and its region. seed initialises
+// the random generator, so that choices are reproducible.
 func New(host, region string, clock Clock, policy route.Policy, seed uint64) *Fleet {
 	return &Fleet{
 		region: region,
@@ -64,9 +63,10 @@
 	}
 }
 
-// Apply takes over the engines of a configuration. An engine that is declared
-// still keeps its counts; one that isn't gets nothing new, nor does one that an
-// undecided change holds: held may be nil.
+// Apply replaces the declared engines by those of a configuration. An engine that is
+// still declared keeps its counts. An engine that is no longer declared, or for which
+// isHeld reports that an undecided change affects it, gets no new requests. isHeld may be
+// nil.
 func (f *Fleet) Apply(config declare.Config, isHeld func(engine string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,20 +96,21 @@
 	}
 }
 
-// Ask is what Acquire needs beside the request.
+// Ask describes a request that needs a slot. Permitted, if not nil, reports whether the
+// request may run at a place on an engine with these labels.
 type Ask struct {
 	Request   request.Request
 	Permitted func(place permit.Place, labels declare.Labels) bool
-	Prefill   time.Duration // to read the prompt into a cold cache
-	Need      time.Duration // least time from a slot to the answer's first byte
+	Prefill   time.Duration // estimated time to read the whole prompt without a cached prefix
+	Need      time.Duration // minimum time from getting a slot to the first byte of the answer
 	Tried     []string      // engines of earlier attempts
-	// MaxWait is the longest wait that is worth while; 0 for the deadline.
+	// MaxWait is the longest time to wait in the queue; 0 means until the deadline.
 	MaxWait time.Duration
-	// Fingerprint is the same for each repeat of the request; 0 where it isn't known.
+	// Fingerprint is equal for all repeats of the request; 0 means unknown.
 	Fingerprint quarantine.Fingerprint
 }
 
-// Ticket is the right to send one request to one engine.
+// Ticket is a slot on one engine, which allows one request to be sent there.
 type Ticket struct {
 	Engine  string
 	Address string
@@ -123,11 +124,11 @@
 	prefixChain []uint64
 
 	fingerprint quarantine.Fingerprint
-	trial       bool // it shows whether the engine takes any after a rest
+	trial       bool // the single request that tests the engine after its backoff
 }
 
-// Acquire gives a ticket for the best engine, waiting in the queue if none has
-// a slot. The error is a *request.NotRun.
+// Acquire returns a ticket for the best engine. It waits in the queue if no permitted
+// engine has a free slot. The error is a *request.NotRun.
 func (f *Fleet) Acquire(ctx context.Context, req Ask) (*Ticket, error) {
 	served := make(chan Served, 1)
 	cancel := f.Submit(req, func(s Served) { served <- s })
@@ -144,16 +145,16 @@
 	return nil, &request.NotRun{Reason: request.ReasonCancelled, Message: "the caller went away, or its deadline passed, while the request waited"}
 }
 
-// Served is the outcome of Submit: a ticket, or a *request.NotRun.
+// Served is the result of Submit: either a ticket, or a *request.NotRun as the error.
 type Served struct {
 	Ticket *Ticket
 	Err    error
 }
 
-// Submit is Acquire without waiting. ready is called once, perhaps before
-// Submit returns, and perhaps with the fleet's lock held: it must not call the
-// fleet. cancel takes the request out of the queue; it tells whether ready will
-// not be called.
+// Submit is the non-blocking form of Acquire. It calls ready once, possibly before it
+// returns and possibly with the fleet's lock held, so ready must not call the fleet.
+// cancel removes the request from the queue and reports whether it did so, in which case
+// ready is not called.
 func (f *Fleet) Submit(req Ask, ready func(Served)) (cancel func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,7 +187,8 @@
 	}
 }
 
-// grant gives the waiter a slot if an engine has one. The lock is held.
+// grant returns a ticket for the waiter, or nil if no suitable engine has a free slot.
+// f.mu must be held.
 func (f *Fleet) grant(p *pool, w *waiter, now time.Time) *Ticket {
 	p.view.Now = now
 	f.markExclusions(p, now)
@@ -209,7 +211,7 @@
 	}
 }
 
-// serveQueue serves the queue while there are slots. The lock is held.
+// serveQueue grants free slots to queued requests. f.mu must be held.
 func (f *Fleet) serveQueue(p *pool, now time.Time) {
 	for p.queue.Len() > 0 && p.anyFreeSlot() {
 		w := p.queue.Pop(now, p.rejectLate)
@@ -226,8 +228,8 @@
 	p.requeueBlocked(now)
 }
 
-// Tick re-judges every pool, drops what is late and serves what can be
-// served. The owner calls it several times a second.
+// Tick updates the health of all engines, rejects queued requests that can no longer meet
+// their deadline, and grants free slots. The owner calls it several times per second.
 func (f *Fleet) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,12 +243,12 @@
 	}
 }
 
-// Address is one engine to probe.
+// Address identifies an engine and the address at which to probe it.
 type Address struct {
 	Service, Engine, Address string
 }
 
-// Addresses lists the engines that are declared now.
+// Addresses returns the current engines of all pools, sorted by name.
 func (f *Fleet) Addresses() []Address {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -262,7 +264,7 @@
 	return addresses
 }
 
-// Digests gives the state of each service's engines in this region.
+// Digests returns the load of each service's engines in this region, sorted by service.
 func (f *Fleet) Digests() []ServiceDigest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -275,14 +277,16 @@
 	return digests
 }
 
-// ServiceDigest is the digest of one service.
+// ServiceDigest is the load of one service's engines, and the number of requests that
+// wait for them at this host.
 type ServiceDigest struct {
 	Service string       `json:"service"`
 	Digest  route.Digest `json:"digest"`
 	Queued  int          `json:"queued"`
 }
 
-// Explain gives each engine's score, or why it is refused, for a request.
+// Explain returns, for each engine of the service, its score for the request or the
+// reason that it is excluded.
 func (f *Fleet) Explain(req Ask) []route.Explained {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -295,7 +299,8 @@
 	return route.Explain(&p.view, &p.newWaiter(req, nil).Tag.req)
 }
 
-// InFlight counts this host's requests on an engine, for a drain.
+// InFlight returns the number of requests that this host has in flight on an engine. A
+// drain is complete when it is 0 at all hosts.
 func (f *Fleet) InFlight(engine string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -1,4 +1,4 @@
-// This file defines how the fleet keeps to the limits that engines name in their answers.
+// This file defines how the fleet applies the rate limits that engines announce.
 
 package fleet
 
@@ -9,8 +9,9 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// setLimitSharers takes over which hosts share limits: those of this region, as declared, which all
-// hosts agree on. The lock is held.
+// setLimitSharers sets the hosts among which limits are divided: the declared hosts of
+// this region that are neither draining nor gone. All hosts have the same configuration
+// and so divide limits alike. f.mu must be held.
 func (f *Fleet) setLimitSharers(config declare.Config) {
 	f.limitSharers = f.limitSharers[:0]
 	for _, h := range declare.Each[declare.Host](config) {
@@ -21,7 +22,7 @@
 	f.limits.SetMembers(f.limitSharers, f.clock())
 }
 
-// ApplyLimit takes what the head of the engine's answer says of how many requests it takes.
+// ApplyLimit applies the rate limit in the header of the engine's answer.
 func (t *Ticket) ApplyLimit(signal ratelimit.Word) {
 	f := t.fleet
 	f.mu.Lock()
@@ -29,14 +30,14 @@
 	f.limits.Hear(engineKey(t.pool.service, t.Engine), signal, t.sentAt, f.clock())
 }
 
-// TellLimits gives what this host knows of limits, for the others.
+// TellLimits returns the limit reports to send to the other hosts of this region.
 func (f *Fleet) TellLimits() []ratelimit.Note {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.Standing(f.clock())
 }
 
-// HearLimits takes what another host of this region told of limits so long ago.
+// HearLimits applies the limit reports of another host of this region, which are age old.
 func (f *Fleet) HearLimits(reports []ratelimit.Note, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -1,5 +1,5 @@
-// This file defines what the fleet learns from: the end of each ticket, load
-// reports, cache events, probes and the platform's list.
+// This file defines the inputs that update the state of engines: finished tickets, load
+// reports, cache events, probes and the platform's list of instances.
 
 package fleet
 
@@ -10,29 +10,31 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Outcome says how a ticket ended.
+// Outcome is the result of a ticket's request, as far as it concerns the engine.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a ticket.
 const (
 	Answered  Outcome = iota
-	Failed            // no answer, or a wrong one
-	Shed              // the engine refused for load
-	Abandoned         // the caller went away
-	Unsent            // nothing was sent
-	Broken            // the connection ended before the answer did
+	Failed            // no answer, or an invalid one
+	Shed              // the engine rejected the request because of overload
+	Abandoned         // the caller cancelled the request
+	Unsent            // the request was not sent
+	Broken            // the connection ended before the answer was complete
 )
 
-// Result is given back with a ticket.
+// Result describes how a ticket's request ended.
 type Result struct {
 	Outcome Outcome
-	First   time.Duration // until the first byte of the answer
+	First   time.Duration // time to the first byte of the answer, if Answered
 }
 
-// serviceTimeSmoothing is the weight of the newest service time.
+// serviceTimeSmoothing is the weight of the latest sample in the moving average of the
+// service time.
 const serviceTimeSmoothing = 0.1
 
-// Done gives the slot back. It must be called exactly once for each ticket.
+// Done releases the slot and records the result. It must be called exactly once per
+// ticket.
 func (t *Ticket) Done(result Result) {
 	f := t.fleet
 	f.mu.Lock()
@@ -62,8 +64,8 @@
 		t.pool.updateHealth(now)
 	case Shed:
 		engineHealth.Observe(health.Shed, 0)
-		// The engine is fuller than its reports say: believe that others
-		// fill it, until reports say otherwise.
+		// The engine is fuller than its load reports show. Assume that requests of
+		// other hosts fill it, until the next report.
 		e.Others = max(e.Others, float64(e.Slots+e.Slots/4-e.InFlight))
 		e.ReportedAt = now
 	case Abandoned:
@@ -80,17 +82,19 @@
 	return old + time.Duration(serviceTimeSmoothing*float64(latest-old))
 }
 
-// Retry spends a retry of the service's budget, or tells that there is none.
+// Retry takes one retry from the service's retry budget. It returns false if the budget
+// is exhausted.
 func (t *Ticket) Retry() bool { return t.pool.budget.Take() }
 
-// Report is one load report of an engine.
+// Report is a load report of an engine: its running and waiting requests.
 type Report struct {
 	Running int       `json:"running"`
 	Waiting int       `json:"waiting"`
-	At      time.Time `json:"at"` // when the engine measured it
+	At      time.Time `json:"at"` // time of the measurement, by the engine's clock
 }
 
-// SetReport notes a load report. One older than the last is dropped.
+// SetReport applies a load report of an engine. A report older than the latest one is
+// ignored.
 func (f *Fleet) SetReport(service, engine string, report Report) {
 	f.withEngine(service, engine, func(p *pool, i int) {
 		e := &p.view.Engines[i]
@@ -101,7 +105,7 @@
 	})
 }
 
-// Probe notes the result of a probe that was sent at a time.
+// Probe records whether a probe, sent at the given time, succeeded.
 func (f *Fleet) Probe(service, engine string, sent time.Time, ok bool) {
 	f.withEngine(service, engine, func(p *pool, i int) {
 		if ok {
@@ -112,12 +116,13 @@
 	})
 }
 
-// Evicted notes that an engine has dropped a cached prefix.
+// Evicted records that an engine evicted a prefix from its cache.
 func (f *Fleet) Evicted(service, engine string, prefix uint64) {
 	f.withEngine(service, engine, func(p *pool, i int) { p.view.Cached.Remove(prefix, i) })
 }
 
-// SetLeaving notes which engine addresses the platform says are leaving.
+// SetLeaving marks the engines whose addresses are draining according to the platform's
+// list of instances. They get no new requests.
 func (f *Fleet) SetLeaving(draining func(address string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +134,8 @@
 	}
 }
 
-// Health gives an engine's health; false if it isn't known here.
+// Health returns the health of an engine. The second result is false if no pool contains
+// the engine.
 func (f *Fleet) Health(engine string) (route.Health, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/own.go
+++ b/fleet/own.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// historySize is how many samples are kept, and sampleSpacing their least distance.
-// Together they reach back further than load reports lag.
+// historySize is the number of samples in a loadHistory, and sampleSpacing the minimum time
+// between two of them. Together they cover a longer period than the delay of load reports.
 const (
 	historySize   = 64
 	sampleSpacing = 50 * time.Millisecond
 )
 
-// loadHistory remembers how many requests this host had on an engine, so that a
-// report that lags can be corrected by what this host had there at its time.
-// The zero value is a host that never had any.
+// loadHistory records how many requests this host had in flight on an engine. A load report
+// is delayed; to find the load that other hosts cause, the number at the time of the report
+// is subtracted from it. The zero value is the history of a host that has sent none.
 type loadHistory struct {
 	samples [historySize]loadSample
-	next    int // where the next sample goes
+	next    int // index of the next sample
 }
 
 type loadSample struct {
@@ -22,7 +22,7 @@
 	inFlight int
 }
 
-// record remembers the number from now on.
+// record adds a sample, or updates the latest one if it is more recent than sampleSpacing.
 func (o *loadHistory) record(now time.Time, inFlight int) {
 	last := &o.samples[(o.next+historySize-1)%historySize]
 	if !last.at.IsZero() && now.Sub(last.at) < sampleSpacing {
@@ -33,8 +33,8 @@
 	o.next = (o.next + 1) % historySize
 }
 
-// at gives the number at a time; present is what it is now, and is given where
-// no sample is older than the time.
+// at returns the number of requests at time t. It returns current, the number now, if all
+// samples are later than t.
 func (o *loadHistory) at(t time.Time, current int) int {
 	for k := 1; k <= historySize; k++ {
 		s := &o.samples[(o.next+historySize-k)%historySize]
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -1,4 +1,4 @@
-// This file defines the pool of one service's engines.
+// This file defines the pool of engines of one service.
 
 package fleet
 
@@ -16,13 +16,13 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// labelModel is the engine label that names the model it has loaded.
+// labelModel is the engine label that contains the name of the loaded model.
 const labelModel = "model"
 
-// prefixIndexSize bounds each generation of a pool's prefix index.
+// prefixIndexSize is the capacity of each of the two generations of a prefix index.
 const prefixIndexSize = 1 << 14
 
-// waiterTag is what the queue carries for the fleet.
+// waiterTag is the fleet's data in an entry of the queue.
 type waiterTag struct {
 	req         route.Ask
 	ready       func(Served)
@@ -31,14 +31,14 @@
 
 type waiter = admit.Waiter[waiterTag]
 
-// pool is guarded by its Fleet's lock.
+// pool holds the engines and the queue of one service. The Fleet's lock guards it.
 type pool struct {
 	service string
 	view    route.View
-	health  []*health.Engine // beside view.Engines
-	history []*loadHistory   // beside view.Engines
+	health  []*health.Engine // same indexes as view.Engines
+	history []*loadHistory   // same indexes as view.Engines
 	queue   *admit.Queue[waiterTag]
-	blocked []*waiter // popped, but no engine could take them
+	blocked []*waiter // popped from the queue, but no engine with a free slot was suitable
 	budget  *retry.Budget
 
 	starts startRate
@@ -53,9 +53,9 @@
 	}
 }
 
-// apply takes over the declared engines. Places of engines that are gone are
-// kept while requests are in flight there, then used again, so that indexes
-// in tickets and in the prefix index stay true.
+// apply sets the declared engines. An engine that is no longer declared keeps its index
+// while requests are in flight on it, so that indexes in tickets and in the prefix index
+// stay valid. After that, its index is reused.
 func (p *pool) apply(region string, engines []declare.Engine) {
 	declared := make(map[string]bool, len(engines))
 	for _, e := range engines {
@@ -73,7 +73,7 @@
 	}
 }
 
-// findOrAdd finds or makes the place of an engine.
+// findOrAdd returns the index of an engine, and adds the engine if it is new.
 func (p *pool) findOrAdd(name string) int {
 	free := -1
 	for i := range p.view.Engines {
@@ -156,8 +156,8 @@
 	return out
 }
 
-// enqueue puts the waiter into the queue, or refuses it at once: also where
-// no engine that lives could ever take it.
+// enqueue adds the waiter to the queue. It returns an error at once if no healthy engine
+// can serve the request, even after a wait, or if the queue rejects it.
 func (p *pool) enqueue(w *waiter, now time.Time) error {
 	if !p.anyEligible(w) {
 		return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine here is healthy and permitted", RetryAfter: time.Second}
@@ -165,7 +165,8 @@
 	return p.queue.Push(w, now, p.expectedStartRate(now))
 }
 
-// anyEligible tells whether some engine could take the request if it had a slot.
+// anyEligible reports whether some engine is suitable for the request, whether or not it
+// has a free slot now.
 func (p *pool) anyEligible(w *waiter) bool {
 	for _, e := range route.Explain(&p.view, &w.Tag.req) {
 		if e.Refused == route.RefusedNot.String() || e.Refused == route.RefusedFull.String() {
@@ -175,9 +176,9 @@
 	return false
 }
 
-// expectedStartRate estimates how many requests a second get a slot from this host:
-// what has been seen in the last seconds, or, where nothing was, what the slots
-// could do.
+// expectedStartRate estimates how many requests per second get a slot from this host. It
+// uses the rate observed within startRateWindow, or, if too few requests started, the
+// capacity of the healthy engines.
 func (p *pool) expectedStartRate(now time.Time) float64 {
 	if rate := p.starts.rate(now); rate > minObservedRate {
 		return rate
@@ -195,14 +196,15 @@
 	return capacity
 }
 
-// minObservedRate is the rate, a second, below which what was seen says nothing.
+// minObservedRate is the rate in requests per second below which the observed rate is not
+// meaningful.
 const minObservedRate = 1.0
 
-// startRateWindow is over how long the rate of starts is taken.
+// startRateWindow is the time constant of the decay in startRate.
 const startRateWindow = 3 * time.Second
 
-// startRate counts starts with a weight that decays over startRateWindow. The zero
-// value has seen none.
+// startRate estimates the rate of started requests by a count that decays exponentially
+// over startRateWindow. The zero value has counted none.
 type startRate struct {
 	weight    float64
 	updatedAt time.Time
@@ -216,7 +218,7 @@
 	s.weight, s.updatedAt = s.decayedWeight(now)+1, now
 }
 
-// rate gives the starts a second.
+// rate returns the started requests per second.
 func (s *startRate) rate(now time.Time) float64 {
 	return s.decayedWeight(now) / startRateWindow.Seconds()
 }
@@ -244,9 +246,9 @@
 	}})
 }
 
-// requeueBlocked gives back what was popped but fits no engine with a free
-// slot now. Their fair share was charged once already, so they go in with
-// the least cost.
+// requeueBlocked puts requests that were popped, but for which no engine with a free slot
+// was suitable, back into the queue. Their fair share was charged when they were first
+// queued, so they return at the minimum cost.
 func (p *pool) requeueBlocked(now time.Time) {
 	for _, w := range p.blocked {
 		w.Cost = 0
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -1,4 +1,5 @@
-// This file defines how the fleet keeps to what engines ask of this host in their answers.
+// This file defines how the fleet applies backoff and draining that engines announce in
+// their answers.
 
 package fleet
 
@@ -14,14 +15,15 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// engineKey names an engine among hosts. Declared engines don't say when they were started: what
-// one has asked for before it started again holds until its end, or until its next answer.
+// engineKey identifies an engine on all hosts. It can't include the incarnation, because
+// declared engines don't report when they were started. So the backoff or limit announced by
+// one incarnation remains effective for the next until it expires or the next answer comes.
 func engineKey(service, engine string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + engine)
 }
 
-// markExclusions notes which engines may get no request of this host now by their own word. The lock
-// is held.
+// markExclusions updates, for each engine of the pool, whether its backoff, draining or rate
+// limit excludes it for this host now. f.mu must be held.
 func (f *Fleet) markExclusions(p *pool, now time.Time) {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
@@ -31,8 +33,9 @@
 	}
 }
 
-// availableIn gives how long it takes until an engine that lives may get a request of this host by its
-// own word; 0 where one may now, or nothing tells when. The lock is held.
+// availableIn returns the time until the first healthy engine's backoff and rate limit allow
+// this host another request. It returns 0 if one allows it now, or if the time is unknown for
+// all of them. f.mu must be held.
 func (f *Fleet) availableIn(p *pool, now time.Time) time.Duration {
 	earliest := time.Duration(math.MaxInt64)
 	for i := range p.view.Engines {
@@ -57,8 +60,8 @@
 	return earliest
 }
 
-// raiseRetryAfter says when to come back where engines that have asked for less are all that is
-// left. The lock is held.
+// raiseRetryAfter returns err with RetryAfter raised to availableIn, if err is a rejection
+// because no engine is available. Otherwise, it returns err unchanged. f.mu must be held.
 func (f *Fleet) raiseRetryAfter(p *pool, err error, now time.Time) error {
 	var rejection *request.NotRun
 	if !errors.As(err, &rejection) || rejection.Reason != request.ReasonNoEngine {
@@ -69,8 +72,8 @@
 	return &raised
 }
 
-// AvailableIn gives how long it takes until an engine of a service may get a request of this host by
-// its own word.
+// AvailableIn returns the time until some engine of a service allows this host another
+// request, as far as backoff and rate limits are concerned.
 func (f *Fleet) AvailableIn(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +84,9 @@
 	return f.availableIn(p, f.clock())
 }
 
-// ApplyPushback takes what the head of the engine's answer asks for, and whether the engine says
-// that it leaves. Others in the queue must not be sent there.
+// ApplyPushback applies the backoff that the engine asks for in the header of its answer,
+// and whether the engine announces that it is draining. It also updates the pool at once, so
+// that no queued request is sent to the engine.
 func (t *Ticket) ApplyPushback(signal pushback.Word, draining bool) {
 	f := t.fleet
 	f.mu.Lock()
@@ -93,8 +97,9 @@
 	f.markExclusions(t.pool, now)
 }
 
-// recordDraining takes whether an answer to what was sent at a time says that the engine leaves. One
-// that doesn't, of an engine that did before, comes from its next life. The lock is held.
+// recordDraining records whether the answer to a request or probe sent at a time announces
+// that the engine is draining. If an engine that announced it no longer does so, in answer
+// to a later request, the answer comes from its next incarnation. f.mu must be held.
 func (f *Fleet) recordDraining(key uint64, draining bool, sent, now time.Time) {
 	if draining {
 		f.pushback.HearLeaving(key, now)
@@ -103,7 +108,7 @@
 	f.pushback.Stays(key, sent)
 }
 
-// Accepted notes that the engine has not refused the request.
+// Accepted records that the engine did not reject the request.
 func (t *Ticket) Accepted() {
 	f := t.fleet
 	f.mu.Lock()
@@ -111,8 +116,8 @@
 	f.pushback.Taken(engineKey(t.pool.service, t.Engine), t.sentAt)
 }
 
-// ProbedLeaving takes whether the answer to a probe that was sent at a time says that the engine
-// leaves.
+// ProbedLeaving records whether the answer to a probe, sent at the given time, announces
+// that the engine is draining.
 func (f *Fleet) ProbedLeaving(service, engine string, draining bool, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
