--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -12,15 +12,14 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// minIncarnation is the assumed minimum time between two crashes of a declared engine.
-// Declared engines don't report when they were started, so crashes are told apart by the
-// interval of ten seconds in which they are detected. Several hosts detect each crash within
-// a second or two, and their reports must count as one crash.
-const minIncarnation = 10 * time.Second
+// crashInterval is the length of the intervals by which crashes of a declared engine are told
+// apart. Declared engines don't report when they were started, so all crashes detected within
+// one interval count as one. Several hosts detect each crash, within a second or two.
+const crashInterval = 10 * time.Second
 
 // incarnation identifies the incarnation of an engine that crashes now.
 func incarnation(engine string, now time.Time) string {
-	return engine + "@" + strconv.FormatInt(now.UnixNano()/int64(minIncarnation), 10)
+	return engine + "@" + strconv.FormatInt(now.UnixNano()/int64(crashInterval), 10)
 }
 
 // checkQuarantine returns a *request.NotRun if the request is quarantined. f.mu must be
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,10 +14,10 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// clock is a time that tests set.
+// clock is a manually set clock.
 type clock struct{ now time.Time }
 
-func (c *clock) get() time.Time { return c.now }
+func (c *clock) read() time.Time { return c.now }
 
 func config(t *testing.T, engines ...declare.Engine) declare.Config {
 	t.Helper()
@@ -41,38 +41,38 @@
 func newFleet(t *testing.T, engines ...declare.Engine) (*fleet.Fleet, *clock) {
 	t.Helper()
 	c := &clock{time.Unix(1_700_000_000, 0)}
-	f := fleet.New("h", "r", c.get, route.PrefixBounded{}, 1)
+	f := fleet.New("h", "r", c.read, route.PrefixBounded{}, 1)
 	f.Apply(config(t, engines...), nil)
 	return f, c
 }
 
-func (c *clock) ask() fleet.Ask {
+func (c *clock) request() fleet.Ask {
 	return fleet.Ask{Request: request.Request{Service: "s", Class: request.ClassStandard, Deadline: c.now.Add(time.Minute)}}
 }
 
 func acquire(t *testing.T, f *fleet.Fleet, c *clock) *fleet.Ticket {
 	t.Helper()
-	ticket, err := f.Acquire(context.Background(), c.ask())
+	ticket, err := f.Acquire(context.Background(), c.request())
 	must.NoError(t, err)
 	return ticket
 }
 
-func TestWaiterGetsTheSlotThatIsGivenBack(t *testing.T) {
+func TestWaiterGetsReleasedSlot(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	first := acquire(t, f, c)
 	served := make(chan fleet.Served, 1)
-	f.Submit(c.ask(), func(s fleet.Served) { served <- s })
+	f.Submit(c.request(), func(s fleet.Served) { served <- s })
 	must.Eq(t, 0, len(served))
 	first.Done(fleet.Result{Outcome: fleet.Answered})
 	must.Eq(t, "e", (<-served).Ticket.Engine)
 }
 
-func TestCancelledWaiterLeavesNoSlotBehind(t *testing.T) {
+func TestCancelledWaiterLeaksNoSlot(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	first := acquire(t, f, c)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := f.Acquire(ctx, c.ask())
+	_, err := f.Acquire(ctx, c.request())
 	var refusal *request.NotRun
 	must.True(t, errors.As(err, &refusal))
 	first.Done(fleet.Result{Outcome: fleet.Answered})
@@ -80,12 +80,12 @@
 	acquire(t, f, c)
 }
 
-func TestStoppedEngineFinishesAndGetsNothingNew(t *testing.T) {
+func TestStoppingEngineFinishesAndGetsNoNewRequests(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8), engine("b", 8))
-	var onA *fleet.Ticket
-	for onA == nil {
+	var ticketOnA *fleet.Ticket
+	for ticketOnA == nil {
 		if ticket := acquire(t, f, c); ticket.Engine == "a" {
-			onA = ticket
+			ticketOnA = ticket
 		}
 	}
 	before := f.InFlight("a")
@@ -94,7 +94,7 @@
 		must.Eq(t, "b", acquire(t, f, c).Engine)
 	}
 	must.Eq(t, before, f.InFlight("a"))
-	onA.Done(fleet.Result{Outcome: fleet.Answered})
+	ticketOnA.Done(fleet.Result{Outcome: fleet.Answered})
 	must.Eq(t, before-1, f.InFlight("a"))
 }
 
@@ -106,23 +106,23 @@
 	}
 }
 
-func TestLeavingEngineGetsNothingNewAtOnce(t *testing.T) {
+func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8))
 	f.SetLeaving(func(string) bool { return true })
-	_, err := f.Acquire(context.Background(), c.ask())
+	_, err := f.Acquire(context.Background(), c.request())
 	var refusal *request.NotRun
 	must.True(t, errors.As(err, &refusal))
 	must.Eq(t, request.ReasonNoEngine, refusal.Reason)
 }
 
-// TestReclaimDuringADrain stops one engine while the host of the other is
-// reclaimed: what runs goes on, and new requests are refused as not run.
-func TestReclaimDuringADrain(t *testing.T) {
+// One engine is stopping while the host of the other is reclaimed: running requests finish,
+// and new requests are rejected as not run.
+func TestReclaimDuringDrain(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8), engine("b", 8))
 	running := []*fleet.Ticket{acquire(t, f, c), acquire(t, f, c), acquire(t, f, c)}
 	f.Apply(config(t, engine("a", 8).WithState(declare.EngineStopping), engine("b", 8)), nil)
 	f.SetLeaving(func(string) bool { return true })
-	_, err := f.Acquire(context.Background(), c.ask())
+	_, err := f.Acquire(context.Background(), c.request())
 	must.ErrorContains(t, err, "no engine here is healthy and permitted")
 	must.Eq(t, 3, f.InFlight("a")+f.InFlight("b"))
 	for _, ticket := range running {
@@ -131,13 +131,13 @@
 	must.Eq(t, 0, f.InFlight("a")+f.InFlight("b"))
 }
 
-func TestLateWaiterIsRefusedByTheTick(t *testing.T) {
+func TestTickRejectsLateWaiter(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	acquire(t, f, c)
-	ask := c.ask()
-	ask.Request.Deadline = c.now.Add(3 * time.Second)
+	req := c.request()
+	req.Request.Deadline = c.now.Add(3 * time.Second)
 	var got fleet.Served
-	f.Submit(ask, func(s fleet.Served) { got = s })
+	f.Submit(req, func(s fleet.Served) { got = s })
 	f.Tick()
 	must.Nil(t, got.Err)
 	c.now = c.now.Add(3*time.Second + 1)
@@ -145,7 +145,7 @@
 	must.ErrorContains(t, got.Err, "no slot was free in time")
 }
 
-func TestReplacedEngineKeepsTicketsTrue(t *testing.T) {
+func TestTicketOfReplacedEngineStaysValid(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8))
 	ticket := acquire(t, f, c)
 	f.Apply(config(t, engine("b", 8)), nil)
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -15,8 +15,9 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// sharing makes the fleets of three entry hosts of one region, which know the same engines.
-func sharing(t *testing.T, c *clock, engines ...declare.Engine) []*fleet.Fleet {
+// newFleetsOfRegion returns the fleets of three entry hosts of one region, which have the
+// same engines.
+func newFleetsOfRegion(t *testing.T, c *clock, engines ...declare.Engine) []*fleet.Fleet {
 	t.Helper()
 	change := declare.Change{Puts: []declare.Envelope{
 		{Object: declare.Region{Name: "r"}},
@@ -32,21 +33,20 @@
 	}
 	config, err := declare.Config{}.With(change)
 	must.NoError(t, err)
-	var all []*fleet.Fleet
+	var fleets []*fleet.Fleet
 	for i, name := range names {
-		f := fleet.New(name, "r", c.get, route.PrefixBounded{}, uint64(i))
+		f := fleet.New(name, "r", c.read, route.PrefixBounded{}, uint64(i))
 		f.Apply(config, nil)
-		all = append(all, f)
+		fleets = append(fleets, f)
 	}
-	return all
+	return fleets
 }
 
-// TestADeclaredEngineGetsWhatItTakes has a declared engine name a limit of two requests a
-// second before three entry hosts, while another serves all that comes. Nobody read it, and it
-// got a half of ten requests a second.
-func TestADeclaredEngineGetsWhatItTakes(t *testing.T) {
+// One of two engines announces a limit of two requests per second to three entry hosts.
+// Without the limit, it got half of ten requests per second.
+func TestHostsTogetherStayWithinEngineLimit(t *testing.T) {
 	c := &clock{time.Unix(1_700_000_000, 0)}
-	fleets := sharing(t, c, engine("needy", 8), engine("well", 8))
+	fleets := newFleetsOfRegion(t, c, engine("needy", 8), engine("well", 8))
 	sent := 0
 	for i := range 200 {
 		c.now = c.now.Add(100 * time.Millisecond)
@@ -68,41 +68,41 @@
 			}
 		}
 	}
-	must.Between(t, 14, sent, 28+5, must.Sprint("of 14 seconds"))
+	must.Between(t, 14, sent, 28+5, must.Sprint("requests sent in 14 seconds"))
 }
 
-// TestARequestForLimitedEnginesAloneIsRefusedAtOnce has the only engine name a limit. Who is
-// over isn't held in the queue, and is told when to come back.
-func TestARequestForLimitedEnginesAloneIsRefusedAtOnce(t *testing.T) {
+// The only engine announces a limit. Requests over the limit must be rejected at once with a
+// Retry-After, not queued.
+func TestRequestIsRejectedAtOnceWhenAllEnginesAreOverLimit(t *testing.T) {
 	c := &clock{time.Unix(1_700_000_000, 0)}
-	for _, f := range sharing(t, c, engine("needy", 8)) {
+	for _, f := range newFleetsOfRegion(t, c, engine("needy", 8)) {
 		ticket := acquire(t, f, c)
 		ticket.ApplyLimit(ratelimit.Limited{PerSecond: 0.25})
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
-		_, err := f.Acquire(context.Background(), c.ask())
-		var refusal *request.NotRun
-		must.True(t, errors.As(err, &refusal))
-		must.Eq(t, request.ReasonNoEngine, refusal.Reason)
-		must.GreaterEq(t, time.Second, refusal.RetryAfter)
-		must.Eq(t, route.RefusedLimited.String(), f.Explain(c.ask())[0].Refused)
+		_, err := f.Acquire(context.Background(), c.request())
+		var rejection *request.NotRun
+		must.True(t, errors.As(err, &rejection))
+		must.Eq(t, request.ReasonNoEngine, rejection.Reason)
+		must.GreaterEq(t, time.Second, rejection.RetryAfter)
+		must.Eq(t, route.RefusedLimited.String(), f.Explain(c.request())[0].Refused)
 	}
 }
 
-// TestARequestThatIsNotSentUsesNothingUp gives a ticket back unsent.
-func TestARequestThatIsNotSentUsesNothingUp(t *testing.T) {
+// A ticket that is released unsent must not use up the engine's rate limit.
+func TestUnsentRequestDoesNotCountAgainstLimit(t *testing.T) {
 	c := &clock{time.Unix(1_700_000_000, 0)}
 	served := 0
-	for _, f := range sharing(t, c, engine("needy", 8)) {
+	for _, f := range newFleetsOfRegion(t, c, engine("needy", 8)) {
 		ticket := acquire(t, f, c)
 		ticket.ApplyLimit(ratelimit.Limited{PerSecond: 1})
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
 		c.now = c.now.Add(1500 * time.Millisecond)
 		for range 5 {
-			if ticket, err := f.Acquire(context.Background(), c.ask()); err == nil {
+			if ticket, err := f.Acquire(context.Background(), c.request()); err == nil {
 				ticket.Done(fleet.Result{Outcome: fleet.Unsent})
 				served++
 			}
 		}
 	}
-	must.Eq(t, 5, served, must.Sprint("at the one host that has the share"))
+	must.Eq(t, 5, served, must.Sprint("only one host has a share of the limit"))
 }
--- a/fleet/own.go
+++ b/fleet/own.go
@@ -23,21 +23,21 @@
 }
 
 // record adds a sample, or updates the latest one if it is more recent than sampleSpacing.
-func (o *loadHistory) record(now time.Time, inFlight int) {
-	last := &o.samples[(o.next+historySize-1)%historySize]
+func (h *loadHistory) record(now time.Time, inFlight int) {
+	last := &h.samples[(h.next+historySize-1)%historySize]
 	if !last.at.IsZero() && now.Sub(last.at) < sampleSpacing {
 		last.inFlight = inFlight
 		return
 	}
-	o.samples[o.next] = loadSample{now, inFlight}
-	o.next = (o.next + 1) % historySize
+	h.samples[h.next] = loadSample{now, inFlight}
+	h.next = (h.next + 1) % historySize
 }
 
 // at returns the number of requests at time t. It returns current, the number now, if all
 // samples are later than t.
-func (o *loadHistory) at(t time.Time, current int) int {
+func (h *loadHistory) at(t time.Time, current int) int {
 	for k := 1; k <= historySize; k++ {
-		s := &o.samples[(o.next+historySize-k)%historySize]
+		s := &h.samples[(h.next+historySize-k)%historySize]
 		if s.at.IsZero() {
 			return 0
 		}
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -210,18 +210,16 @@
 	updatedAt time.Time
 }
 
-func (s *startRate) decayedWeight(now time.Time) float64 {
+func (s *startRate) decayed(now time.Time) float64 {
 	return s.weight * math.Exp(-float64(now.Sub(s.updatedAt))/float64(startRateWindow))
 }
 
 func (s *startRate) add(now time.Time) {
-	s.weight, s.updatedAt = s.decayedWeight(now)+1, now
+	s.weight, s.updatedAt = s.decayed(now)+1, now
 }
 
 // rate returns the started requests per second.
-func (s *startRate) rate(now time.Time) float64 {
-	return s.decayedWeight(now) / startRateWindow.Seconds()
-}
+func (s *startRate) rate(now time.Time) float64 { return s.decayed(now) / startRateWindow.Seconds() }
 
 func (p *pool) countStart(now time.Time) {
 	p.budget.First()
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -73,7 +73,7 @@
 }
 
 // AvailableIn returns the time until some engine of a service allows this host another
-// request, as far as backoff and rate limits are concerned.
+// request, as far as backoff and rate limits are concerned; 0 if that is now or unknown.
 func (f *Fleet) AvailableIn(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
