--- a/gateway/body.go
+++ b/gateway/body.go
@@ -32,11 +32,11 @@
 	pathModels      = "/v1/models"
 )
 
-// prefixBlock is the number of bytes of a prompt in one block of its prefix
-// chain, and maxBlocks bounds the chain.
+// prefixBlockSize is the number of bytes of a prompt in one block of its prefix
+// chain, and maxPrefixBlocks bounds the chain.
 const (
-	prefixBlock = 1024
-	maxBlocks   = 32
+	prefixBlockSize = 1024
+	maxPrefixBlocks   = 32
 )
 
 // prefillPerByte is the time that an engine takes to read one byte of a cold
@@ -48,7 +48,7 @@
 	if x.r.ContentLength > s.Limits.BodyBytes {
 		return nil, parsed, &request.NotRun{Reason: request.ReasonTooLarge, Message: "the body is longer than this host takes"}
 	}
-	x.r.Body = &bodyEnd{ReadCloser: x.r.Body}
+	x.r.Body = &trackedBody{ReadCloser: x.r.Body}
 	data, err := io.ReadAll(io.LimitReader(x.r.Body, s.Limits.BodyBytes+1))
 	if err != nil {
 		return nil, parsed, request.BadRequestf("the body ended early: %v", err)
@@ -62,17 +62,17 @@
 	return data, parsed, nil
 }
 
-func checkModel(service declare.Service, rest string, body modelBody) error {
+func checkModelBody(service declare.Service, path string, body modelBody) error {
 	if body.Model == "" {
 		return request.BadRequestf("model is missing")
 	}
 	if len(service.Models) > 0 && !slices.Contains(service.Models, body.Model) {
 		return request.BadRequestf("service %q has no model %q", service.Name, body.Model)
 	}
-	if rest == pathChat && len(body.Messages) == 0 {
+	if path == pathChat && len(body.Messages) == 0 {
 		return request.BadRequestf("messages is missing")
 	}
-	if rest == pathCompletions && len(body.Prompt) == 0 {
+	if path == pathCompletions && len(body.Prompt) == 0 {
 		return request.BadRequestf("prompt is missing")
 	}
 	return nil
@@ -81,14 +81,14 @@
 // PrefixChain hashes the growing prefixes of a prompt, block by block. A
 // prompt shorter than one block has no chain.
 func PrefixChain(prompt []byte) []uint64 {
-	n := min(len(prompt)/prefixBlock, maxBlocks)
+	n := min(len(prompt)/prefixBlockSize, maxPrefixBlocks)
 	if n == 0 {
 		return nil
 	}
 	chain := make([]uint64, n)
 	hash := xxhash.New()
 	for i := range chain {
-		_, _ = hash.Write(prompt[i*prefixBlock : (i+1)*prefixBlock])
+		_, _ = hash.Write(prompt[i*prefixBlockSize : (i+1)*prefixBlockSize])
 		chain[i] = hash.Sum64()
 	}
 	return chain
@@ -125,41 +125,41 @@
 
 // serveModel serves the OpenAI interface of a model service.
 func (s *Server) serveModel(x *exchange) {
-	rest, method := x.req.Rest, x.r.Method
-	if rest == pathModels && method == http.MethodGet {
+	path, method := x.req.Rest, x.r.Method
+	if path == pathModels && method == http.MethodGet {
 		s.serveModels(x)
 		return
 	}
-	if method != http.MethodPost || (rest != pathChat && rest != pathCompletions) {
-		s.refuse(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonUnknown, Message: "a model service doesn't serve " + method + " " + rest})
+	if method != http.MethodPost || (path != pathChat && path != pathCompletions) {
+		s.writeError(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonUnknown, Message: "a model service doesn't serve " + method + " " + path})
 		return
 	}
 	data, body, err := s.readModelBody(x)
 	if err == nil {
-		err = checkModel(x.service, rest, body)
+		err = checkModelBody(x.service, path, body)
 	}
 	if err != nil {
-		s.refuse(x.w, x.r, x.req, request.AsRefusal(err))
+		s.writeError(x.w, x.r, x.req, request.AsRefusal(err))
 		return
 	}
 	x.req = x.req.WithModel(body.Model).WithPrefix(PrefixChain(promptOf(body))).WithRepeatable(true)
-	p := &payload{whole: data, length: int64(len(data)), stream: body.Stream}
+	p := &payload{buffered: data, length: int64(len(data)), stream: body.Stream}
 	p.prefill = time.Duration(len(data)) * prefillPerByte
-	if err := s.attempts(x, p); err != nil {
-		s.refuse(x.w, x.r, x.req, request.AsRefusal(err))
+	if err := s.serveWithRetries(x, p); err != nil {
+		s.writeError(x.w, x.r, x.req, request.AsRefusal(err))
 	}
 }
 
 // isStream tells whether an answer is an event stream.
 func isStream(resp *http.Response) bool {
-	kind := resp.Header.Get("Content-Type")
-	return len(kind) >= len(eventStream) && kind[:len(eventStream)] == eventStream
+	contentType := resp.Header.Get("Content-Type")
+	return len(contentType) >= len(eventStream) && contentType[:len(eventStream)] == eventStream
 }
 
 const eventStream = "text/event-stream"
 
-// answerHeaders copies the headers of an answer for the caller.
-func answerHeaders(to http.Header, resp *http.Response) {
+// copyAnswerHeaders copies the headers of an answer for the caller.
+func copyAnswerHeaders(to http.Header, resp *http.Response) {
 	for name, values := range relay.Forwardable(resp.Header) {
 		switch name {
 		case relay.HeaderStream, request.HeaderOutcome:
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -14,8 +14,8 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// entriesLife is how long callers may use a list.
-const entriesLife = 5 * time.Second
+// entriesTTL is how long callers may use a list.
+const entriesTTL = 5 * time.Second
 
 // Entry is one host that a caller may use.
 type Entry struct {
@@ -41,46 +41,46 @@
 func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	guard, config, err := s.Authority.Serving()
 	if err != nil {
-		s.refuse(w, r, request.Request{}, request.AsRefusal(err))
+		s.writeError(w, r, request.Request{}, request.AsRefusal(err))
 		return
 	}
 	query := r.URL.Query()
-	asked := request.Request{Service: query.Get("service"), Home: query.Get("home"), Class: request.ClassStandard}
-	if _, ok := config.Service(asked.Service); asked.Service != "" && !ok {
-		s.refuse(w, r, asked, &request.NotRun{Reason: request.ReasonUnknown, Message: "service " + quote(asked.Service) + " is not declared"})
+	req := request.Request{Service: query.Get("service"), Home: query.Get("home"), Class: request.ClassStandard}
+	if _, ok := config.Service(req.Service); req.Service != "" && !ok {
+		s.writeError(w, r, req, &request.NotRun{Reason: request.ReasonUnknown, Message: "service " + quote(req.Service) + " is not declared"})
 		return
 	}
-	if asked.Home == "" {
-		asked.Home = s.place.Region
+	if req.Home == "" {
+		req.Home = s.place.Region
 	}
-	answer := Entries{TTL: entriesLife.Milliseconds(), Revision: config.Revision()}
-	for _, host := range shuffleNear(s.Peers.Entries(), s.Random) {
+	list := Entries{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
+	for _, host := range shuffleWithinDataCentres(s.Peers.Entries(), s.Random) {
 		place := permit.Place{Region: config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
-		if ok, _ := guard.Region(asked, place); asked.Service != "" && !ok {
+		if ok, _ := guard.Region(req, place); req.Service != "" && !ok {
 			continue
 		}
-		answer.Entries = append(answer.Entries, Entry{host.Name, "http://" + host.Callers, place.Region, place.DataCentre})
+		list.Entries = append(list.Entries, Entry{host.Name, "http://" + host.Callers, place.Region, place.DataCentre})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "max-age=5")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(list)
 }
 
-// shuffleNear shuffles hosts within each run of the same data centre. The
+// shuffleWithinDataCentres shuffles hosts within each run of the same data centre. The
 // input is ordered from near to far.
-func shuffleNear(hosts []declare.Host, random func() uint64) []declare.Host {
-	out := append([]declare.Host(nil), hosts...)
-	for from := 0; from < len(out); {
-		to := from + 1
-		for to < len(out) && out[to].DataCentre == out[from].DataCentre {
-			to++
+func shuffleWithinDataCentres(hosts []declare.Host, random func() uint64) []declare.Host {
+	shuffled := append([]declare.Host(nil), hosts...)
+	for start := 0; start < len(shuffled); {
+		end := start + 1
+		for end < len(shuffled) && shuffled[end].DataCentre == shuffled[start].DataCentre {
+			end++
 		}
-		run := out[from:to]
-		for i := len(run) - 1; i > 0; i-- {
+		group := shuffled[start:end]
+		for i := len(group) - 1; i > 0; i-- {
 			j := int(random() % uint64(i+1))
-			run[i], run[j] = run[j], run[i]
+			group[i], group[j] = group[j], group[i]
 		}
-		from = to
+		start = end
 	}
-	return out
+	return shuffled
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -104,8 +104,8 @@
 // within Limits.StopTime.
 func (s *Server) Run(ctx context.Context, callers, handover net.Listener) error {
 	servers := []*http.Server{
-		s.server(s.CallersHandler()),
-		s.server(s.HandoverHandler()),
+		s.newHTTPServer(s.CallersHandler()),
+		s.newHTTPServer(s.HandoverHandler()),
 	}
 	listeners := []net.Listener{callers, handover}
 	group := pool.New().WithErrors()
@@ -128,10 +128,10 @@
 func (s *Server) stop(servers []*http.Server) error {
 	s.stopping.Store(true)
 	s.Log.Info("stopping", zap.Int64("in_flight", s.inFlight.Load()), zap.Duration("at_most", s.Limits.StopTime))
-	bound, cancel := context.WithTimeout(context.Background(), s.Limits.StopTime)
+	stopCtx, cancel := context.WithTimeout(context.Background(), s.Limits.StopTime)
 	defer cancel()
 	for _, server := range servers {
-		if err := server.Shutdown(bound); err != nil {
+		if err := server.Shutdown(stopCtx); err != nil {
 			s.Log.Warn("requests cut off", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
 			server.Close()
 		}
@@ -139,21 +139,21 @@
 	return nil
 }
 
-func (s *Server) server(handler http.Handler) *http.Server {
+func (s *Server) newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: s.Limits.HeaderTime,
-		IdleTimeout:       idleTime,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
 		ErrorLog:          telemetry.HTTPErrors(s.Log),
 	}
 }
 
-const idleTime = 2 * time.Minute
+const idleTimeout = 2 * time.Minute
 
 // CallersHandler serves callers.
 func (s *Server) CallersHandler() http.Handler {
-	router := s.router(s.serveCaller)
+	router := s.newRouter(s.serveCaller)
 	router.GET("/v1/entries", s.serveEntries)
 	router.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { w.WriteHeader(http.StatusNoContent) })
 	router.GET("/readyz", s.serveReady)
@@ -161,9 +161,9 @@
 }
 
 // HandoverHandler serves other entry hosts.
-func (s *Server) HandoverHandler() http.Handler { return s.router(s.servePeer) }
+func (s *Server) HandoverHandler() http.Handler { return s.newRouter(s.serveHandover) }
 
-func (s *Server) router(handle httprouter.Handle) *httprouter.Router {
+func (s *Server) newRouter(handle httprouter.Handle) *httprouter.Router {
 	router := httprouter.New()
 	router.HandleMethodNotAllowed = false
 	router.RedirectTrailingSlash = false
@@ -175,7 +175,7 @@
 		router.Handle(method, "/services/:service/*rest", handle)
 	}
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.refuse(w, r, request.Request{}, &request.NotRun{Reason: request.ReasonUnknown, Message: "no such path: " + r.URL.Path})
+		s.writeError(w, r, request.Request{}, &request.NotRun{Reason: request.ReasonUnknown, Message: "no such path: " + r.URL.Path})
 	})
 	return router
 }
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -17,23 +17,23 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// attemptAway hands the request over. Whatever becomes of it, it is handed
+// attemptRemote hands the request over. Whatever becomes of it, it is handed
 // over once at most: a later attempt stays here.
-func (s *Server) attemptAway(x *exchange, p *payload, done *progress, region, reason string) (again bool, err error) {
-	done.away = true
-	host, ok := s.entryIn(x, region)
+func (s *Server) attemptRemote(x *exchange, p *payload, state *attemptState, region, reason string) (mayRetry bool, err error) {
+	state.handedOver = true
+	host, ok := s.pickEntryHost(x, region)
 	if !ok {
 		return true, &request.NotRun{Reason: request.ReasonNoEngine, Message: "no entry host of region " + quote(region) + " can be reached"}
 	}
 	s.Log.Info("handed over", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("region", region), zap.String("host", host.Name), zap.String("reason", reason))
 	header := relay.Forwardable(x.r.Header)
-	sent := x.req.WithVisit(s.Host.Name)
-	sent.SetHandover(header, time.Now(), x.config.Revision())
-	if p.flow != nil {
+	forwarded := x.req.WithVisit(s.Host.Name)
+	forwarded.SetHandover(header, time.Now(), x.config.Revision())
+	if p.unbuffered != nil {
 		// The peer permits before it asks for the first byte of the body.
 		header.Set("Expect", "100-continue")
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	resp, err := s.Away.Send(x.r.Context(), relay.Call{
 		Method:  x.r.Method,
 		URL:     "http://" + host.Reach(host.Handover) + x.r.URL.RequestURI(),
@@ -45,54 +45,54 @@
 		Fresh:   !x.req.Repeatable,
 	})
 	if err == nil {
-		err = peerRefusal(resp)
+		err = peerError(resp)
 	}
 	if err != nil {
-		return s.awayFailed(x, done, host, err)
+		return s.recordHandoverFailure(x, state, host, err)
 	}
-	d := s.deliver(x, p, resp, "", began, 0)
+	d := s.deliver(x, p, resp, "", sentAt, 0)
 	if d.err == nil {
 		s.Metrics.Attempt(x.req.Service, "away")
 		return false, nil
 	}
-	again, err = s.awayFailed(x, done, host, d.err)
+	mayRetry, err = s.recordHandoverFailure(x, state, host, d.err)
 	if d.started {
-		s.failStarted(x, resp, d.err)
+		s.abortAnswer(x, resp, d.err)
 	}
-	return again, err
+	return mayRetry, err
 }
 
-func (s *Server) awayFailed(x *exchange, done *progress, host declare.Host, err error) (bool, error) {
+func (s *Server) recordHandoverFailure(x *exchange, state *attemptState, host declare.Host, err error) (bool, error) {
 	var failure *relay.Failure
 	notRun := errors.As(err, &failure) && failure.NotRun
-	var refusal *request.NotRun
-	notRun = notRun || errors.As(err, &refusal)
+	var rejection *request.NotRun
+	notRun = notRun || errors.As(err, &rejection)
 	if !notRun {
-		done.sent = true
+		state.mayHaveRun = true
 	}
 	s.Metrics.Attempt(x.req.Service, "away_failed")
 	s.Log.Warn("hand-over failed", zap.String("request", x.req.ID), zap.String("host", host.Name), zap.Bool("not_run", notRun), telemetry.Cause(err))
 	return notRun || x.req.Repeatable, err
 }
 
-// peerRefusal turns a peer's refusal back into one of ours.
-func peerRefusal(resp *http.Response) error {
+// peerError turns a peer's refusal back into one of ours.
+func peerError(resp *http.Response) error {
 	outcome := resp.Header.Get(request.HeaderOutcome)
 	if outcome == "" {
 		return nil
 	}
 	resp.Body.Close()
 	if outcome == request.NotRunValue {
-		wait, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
+		retryAfter, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 		if err != nil {
-			wait = time.Second
+			retryAfter = time.Second
 		}
-		return &request.NotRun{Reason: reasonOf(resp.StatusCode), Message: "the other region's entry host refused it", RetryAfter: wait}
+		return &request.NotRun{Reason: reasonOfStatus(resp.StatusCode), Message: "the other region's entry host refused it", RetryAfter: retryAfter}
 	}
 	return &request.OutcomeUnknown{Message: "the other region's entry host could not tell"}
 }
 
-func reasonOf(status int) request.Reason {
+func reasonOfStatus(status int) request.Reason {
 	switch status {
 	case http.StatusTooManyRequests:
 		return request.ReasonOverload
@@ -107,8 +107,8 @@
 	}
 }
 
-// entryIn draws an entry host of a region.
-func (s *Server) entryIn(x *exchange, region string) (declare.Host, bool) {
+// pickEntryHost draws an entry host of a region.
+func (s *Server) pickEntryHost(x *exchange, region string) (declare.Host, bool) {
 	var hosts []declare.Host
 	for _, host := range s.Peers.Entries() {
 		if x.config.RegionOf(host.DataCentre) == region {
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -14,41 +14,41 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// hear tells the fleet what an answer's head says of its engine. Refusals and failures say it as
+// applySignals tells the fleet what an answer's head says of its engine. Refusals and failures say it as
 // well.
-func (s *Server) hear(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
-	s.hearPushback(x, ticket, resp)
-	s.hearLimit(x, ticket, resp.Header)
+func (s *Server) applySignals(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
+	s.applyPushback(x, ticket, resp)
+	s.applyLimit(x, ticket, resp.Header)
 }
 
-// hearPushback takes what the engine asks of this host. Only a refusal of the engine's own asks
+// applyPushback takes what the engine asks of this host. Only a refusal of the engine's own asks
 // for rest: a plain service's 429 and 503 are words to its caller.
-func (s *Server) hearPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
-	refused := resp.Header.Get(relay.HeaderNotRun) == "true"
-	word := pushback.Read(refused, resp.Header, time.Now())
-	leaving := resp.Header.Get(relay.HeaderLeaving) == "true"
-	ticket.ApplyPushback(word, leaving)
-	if !refused {
+func (s *Server) applyPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
+	rejected := resp.Header.Get(relay.HeaderNotRun) == "true"
+	signal := pushback.Read(rejected, resp.Header, time.Now())
+	draining := resp.Header.Get(relay.HeaderLeaving) == "true"
+	ticket.ApplyPushback(signal, draining)
+	if !rejected {
 		ticket.Accepted()
 	}
-	if _, asks := word.(pushback.Rest); asks {
+	if _, isBackoff := signal.(pushback.Rest); isBackoff {
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
 	}
-	if leaving {
+	if draining {
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 	}
-	if _, nothing := word.(pushback.Nothing); !nothing || leaving {
-		s.Log.Info("engine pushes back", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", word), zap.Bool("leaving", leaving))
+	if _, noSignal := signal.(pushback.Nothing); !noSignal || draining {
+		s.Log.Info("engine pushes back", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", signal), zap.Bool("leaving", draining))
 	}
 }
 
-// hearLimit tells the fleet what an answer says of how many requests its engine takes.
-func (s *Server) hearLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
-	word := ratelimit.Parse(header.Values(relay.HeaderLimit))
-	ticket.ApplyLimit(word)
-	if _, unlimited := word.(ratelimit.Unlimited); unlimited {
+// applyLimit tells the fleet what an answer says of how many requests its engine takes.
+func (s *Server) applyLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
+	signal := ratelimit.Parse(header.Values(relay.HeaderLimit))
+	ticket.ApplyLimit(signal)
+	if _, unlimited := signal.(ratelimit.Unlimited); unlimited {
 		return
 	}
 	s.Metrics.Limited(ticket.Engine, "answered")
-	s.Log.Info("engine named a limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", word))
+	s.Log.Info("engine named a limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", signal))
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -21,33 +21,33 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// maxKeyed is the longest body of a call with a key that is held in memory, so
+// maxBufferedKeyed is the longest body of a call with a key that is held in memory, so
 // that all of it tells two calls apart. A longer one is told apart by its
 // length and its Content-Digest header (RFC 9530).
-const maxKeyed = 1 << 20
+const maxBufferedKeyed = 1 << 20
 
 // servePlain serves one call to a plain service.
 func (s *Server) servePlain(x *exchange) {
-	x.req = x.req.WithRepeatable(safe(x.r.Method))
+	x.req = x.req.WithRepeatable(isSafe(x.r.Method))
 	p := &payload{length: x.r.ContentLength}
 	if mayHaveBody(x.r) {
-		p.flow = &bodyEnd{ReadCloser: x.r.Body}
-		x.r.Body = p.flow
+		p.unbuffered = &trackedBody{ReadCloser: x.r.Body}
+		x.r.Body = p.unbuffered
 	}
 	var err error
-	if x.req.Key != "" && !x.req.Repeatable && !x.fixed {
+	if x.req.Key != "" && !x.req.Repeatable && !x.handedOver {
 		// The host that hands a call over has asked the key's home already.
-		err = s.keyed(x, p)
+		err = s.serveKeyed(x, p)
 	} else {
-		err = s.attempts(x, p)
+		err = s.serveWithRetries(x, p)
 	}
 	if err != nil {
-		s.refuse(x.w, x.r, x.req, request.AsRefusal(err))
+		s.writeError(x.w, x.r, x.req, request.AsRefusal(err))
 	}
 }
 
-// safe tells whether a method may be repeated (RFC 9110, 9.2.1).
-func safe(method string) bool {
+// isSafe tells whether a method may be repeated (RFC 9110, 9.2.1).
+func isSafe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -56,10 +56,10 @@
 	}
 }
 
-// keyed runs a call with an idempotency key: only once its intent is recorded
+// serveKeyed runs a call with an idempotency key: only once its intent is recorded
 // at the key's home, and then exactly one attempt that may reach an engine.
-func (s *Server) keyed(x *exchange, p *payload) error {
-	digest, err := s.digest(x, p)
+func (s *Server) serveKeyed(x *exchange, p *payload) error {
+	digest, err := s.requestDigest(x, p)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	s.Log.Info("key looked up", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("verdict", verdictName(verdict)))
 	switch v := verdict.(type) {
 	case once.Run:
-		return s.runKeyed(x, p, call)
+		return s.runOnce(x, p, call)
 	case once.Recorded:
 		s.replay(x, v.Answer)
 		return nil
@@ -106,14 +106,14 @@
 	}
 }
 
-// finishTime bounds the recording of an answer after the call has ended.
-const finishTime = 5 * time.Second
+// recordTimeout bounds the recording of an answer after the call has ended.
+const recordTimeout = 5 * time.Second
 
-// runKeyed makes the call and records what became of it. The record is made
+// runOnce makes the call and records what became of it. The record is made
 // even where the caller has gone, and before an abort.
-func (s *Server) runKeyed(x *exchange, p *payload, call once.Call) (err error) {
-	p.record = &recorder{save: func(r *recorder) {
-		s.record(x, p, call, true, nil)
+func (s *Server) runOnce(x *exchange, p *payload, call once.Call) (err error) {
+	p.recorder = &recorder{save: func(r *recorder) {
+		s.recordOutcome(x, p, call, true, nil)
 		r.saved = true
 	}}
 	x.r = x.r.WithContext(context.WithoutCancel(x.r.Context()))
@@ -121,40 +121,40 @@
 	defer cancel()
 	// The call goes on when its caller goes: the answer is for the repeat.
 	x.r = x.r.WithContext(ctx)
-	ended := false
+	completed := false
 	defer func() {
 		// A panic is the abort of an answer that broke: its outcome is lost.
-		if !p.record.saved {
-			s.record(x, p, call, ended, err)
+		if !p.recorder.saved {
+			s.recordOutcome(x, p, call, completed, err)
 		}
 	}()
-	err = s.attempts(x, p)
-	ended = true
+	err = s.serveWithRetries(x, p)
+	completed = true
 	return err
 }
 
-func (s *Server) record(x *exchange, p *payload, call once.Call, ended bool, err error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), finishTime)
+func (s *Server) recordOutcome(x *exchange, p *payload, call once.Call, completed bool, err error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), recordTimeout)
 	defer cancel()
-	var refusal *request.NotRun
-	var end error
+	var rejection *request.NotRun
+	var recordErr error
 	switch {
-	case p.record.whole:
-		end = s.Keys.Finish(ctx, call, s.keptAnswer(x, p))
-	case ended && errors.As(err, &refusal):
-		end = s.Keys.Release(ctx, call)
+	case p.recorder.complete:
+		recordErr = s.Keys.Finish(ctx, call, s.storableAnswer(x, p))
+	case completed && errors.As(err, &rejection):
+		recordErr = s.Keys.Release(ctx, call)
 	default:
-		end = s.Keys.Lose(ctx, call)
+		recordErr = s.Keys.Lose(ctx, call)
 	}
-	if end != nil {
-		s.Log.Warn("key not finished", zap.String("request", x.req.ID), telemetry.Cause(end))
+	if recordErr != nil {
+		s.Log.Warn("key not finished", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
 	}
 }
 
-// keptAnswer gives what the key's home may keep of an answer: its body only
+// storableAnswer gives what the key's home may keep of an answer: its body only
 // where the selectors allow the request in that region.
-func (s *Server) keptAnswer(x *exchange, p *payload) once.Answer {
-	answer := p.record.answer()
+func (s *Server) storableAnswer(x *exchange, p *payload) once.Answer {
+	answer := p.recorder.answer()
 	if !s.regionPermitted(x, x.req.Home) {
 		answer.Body, answer.Whole = nil, false
 	}
@@ -162,42 +162,42 @@
 }
 
 // replay answers with the recorded answer of the earlier call.
-func (s *Server) replay(x *exchange, a once.Answer) {
-	for name, values := range a.Header {
+func (s *Server) replay(x *exchange, answer once.Answer) {
+	for name, values := range answer.Header {
 		x.w.Header()[name] = values
 	}
 	x.w.Header().Set("Idempotency-Replayed", "true")
-	if !a.Whole {
+	if !answer.Whole {
 		x.w.Header().Del("Content-Length")
 		x.w.Header().Set("Linenscale-Body", "not-kept")
 	}
-	x.w.WriteHeader(a.Status)
-	_, _ = x.w.Write(a.Body)
+	x.w.WriteHeader(answer.Status)
+	_, _ = x.w.Write(answer.Body)
 	s.Metrics.Request(x.req.Service, "replayed")
 }
 
-// digest tells two requests with one key apart.
-func (s *Server) digest(x *exchange, p *payload) (uint64, error) {
+// requestDigest tells two requests with one key apart.
+func (s *Server) requestDigest(x *exchange, p *payload) (uint64, error) {
 	hash := xxhash.New()
 	for _, part := range []string{x.r.Method, x.r.URL.RequestURI(), x.r.Header.Get("Content-Type")} {
 		_, _ = hash.WriteString(part)
 		_, _ = hash.WriteString("\x00")
 	}
-	if p.flow == nil {
+	if p.unbuffered == nil {
 		return hash.Sum64(), nil
 	}
-	if p.length > maxKeyed || p.length < 0 {
+	if p.length > maxBufferedKeyed || p.length < 0 {
 		_, _ = hash.WriteString(x.r.Header.Get("Content-Length") + "\x00" + x.r.Header.Get("Content-Digest"))
 		return hash.Sum64(), nil
 	}
-	data, err := io.ReadAll(io.LimitReader(p.flow, maxKeyed))
+	data, err := io.ReadAll(io.LimitReader(p.unbuffered, maxBufferedKeyed))
 	if err != nil || int64(len(data)) != p.length {
 		return 0, request.BadRequestf("the body ended early: %d of %d bytes", len(data), p.length)
 	}
 	_, _ = hash.Write(data)
 	// One more read sees the end, so that the connection can be kept.
-	_, _ = p.flow.Read(make([]byte, 1))
-	p.whole, p.flow = data, nil
+	_, _ = p.unbuffered.Read(make([]byte, 1))
+	p.buffered, p.unbuffered = data, nil
 	return hash.Sum64(), nil
 }
 
@@ -206,59 +206,59 @@
 	status int
 	header http.Header
 	body   bytes.Buffer
-	over   bool // the body is too long to keep
-	whole  bool // the engine's answer has come to its end
+	tooLong   bool // the body is too long to keep
+	complete  bool // the engine's answer has come to its end
 	saved  bool // and has been recorded
 	save   func(*recorder)
 }
 
-func (r *recorder) start(resp *http.Response) {
+func (r *recorder) recordHead(resp *http.Response) {
 	r.status = resp.StatusCode
 	r.header = relay.Forwardable(resp.Header)
 	r.header.Del("Set-Cookie")
 }
 
-// look implements relay.Look: everything may pass.
-func (r *recorder) look(chunk []byte) (keep int, end bool) {
-	r.see(chunk)
+// observe implements relay.Look: everything may pass.
+func (r *recorder) observe(chunk []byte) (keep int, end bool) {
+	r.appendBody(chunk)
 	return len(chunk), false
 }
 
-func (r *recorder) see(data []byte) {
-	if r.over || r.body.Len()+len(data) > once.MaxBody {
-		r.over = true
+func (r *recorder) appendBody(data []byte) {
+	if r.tooLong || r.body.Len()+len(data) > once.MaxBody {
+		r.tooLong = true
 		r.body.Reset()
 		return
 	}
 	r.body.Write(data)
 }
 
-// readHead reads as much of the answer as may be kept. Where that is all of it,
+// readPrefix reads as much of the answer as may be kept. Where that is all of it,
 // the record is made before the caller gets the first byte, so that one who
 // has an answer never finds his key in progress.
-func (r *recorder) readHead(body io.Reader) (head []byte, whole bool, err error) {
-	head, err = io.ReadAll(io.LimitReader(body, once.MaxBody+1))
+func (r *recorder) readPrefix(body io.Reader) (prefix []byte, complete bool, err error) {
+	prefix, err = io.ReadAll(io.LimitReader(body, once.MaxBody+1))
 	if err != nil {
 		return nil, false, errors.Annotate(err, "answer")
 	}
-	r.see(head)
-	if len(head) <= once.MaxBody {
-		r.whole = true
+	r.appendBody(prefix)
+	if len(prefix) <= once.MaxBody {
+		r.complete = true
 		r.save(r)
 	}
-	return head, r.whole, nil
+	return prefix, r.complete, nil
 }
 
 // finish notes the end of the answer. Where only the caller has gone, the rest
 // of the answer is read for the record.
 func (r *recorder) finish(resp *http.Response, err error) {
-	if r.whole {
+	if r.complete {
 		return
 	}
 	if isCallerError(err) {
-		_, err = io.Copy(writerFunc(r.see), resp.Body)
+		_, err = io.Copy(writerFunc(r.appendBody), resp.Body)
 	}
-	r.whole = err == nil
+	r.complete = err == nil
 }
 
 // writerFunc makes a function an io.Writer.
@@ -271,5 +271,5 @@
 }
 
 func (r *recorder) answer() once.Answer {
-	return once.Answer{Status: r.status, Header: r.header, Body: r.body.Bytes(), Whole: !r.over}
+	return once.Answer{Status: r.status, Header: r.header, Body: r.body.Bytes(), Whole: !r.tooLong}
 }
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -25,37 +25,37 @@
 	guard   permit.Guard
 	config  declare.Config
 	service declare.Service
-	began   time.Time
-	fixed   bool // handed over: the region is this one
+	receivedAt   time.Time
+	handedOver   bool // handed over: the region is this one
 }
 
 func (s *Server) serveCaller(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	now := time.Now()
 	req, err := request.Identify(params.ByName("service"), params.ByName("rest"), r.Method, r.Header, now, s.Limits.RequestTime)
 	if err != nil {
-		s.refuse(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
+		s.writeError(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
 		return
 	}
-	s.serve(&exchange{w: w, r: r, req: req, began: now})
+	s.serve(&exchange{w: w, r: r, req: req, receivedAt: now})
 }
 
-func (s *Server) servePeer(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+func (s *Server) serveHandover(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	now := time.Now()
 	w.Header().Set(relay.HeaderAttempt, r.Header.Get(relay.HeaderAttempt))
-	visited, remaining, err := request.TakeHandover(r.Header)
+	visited, timeout, err := request.TakeHandover(r.Header)
 	if err != nil {
-		s.refuse(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
+		s.writeError(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
 		return
 	}
-	req, err := request.Identify(params.ByName("service"), params.ByName("rest"), r.Method, r.Header, now, remaining)
+	req, err := request.Identify(params.ByName("service"), params.ByName("rest"), r.Method, r.Header, now, timeout)
 	if err != nil {
-		s.refuse(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
+		s.writeError(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
 		return
 	}
 	for _, host := range visited {
 		req = req.WithVisit(host)
 	}
-	s.serve(&exchange{w: w, r: r, req: req, began: now, fixed: true})
+	s.serve(&exchange{w: w, r: r, req: req, receivedAt: now, handedOver: true})
 }
 
 // serve runs the filters. Every way out writes one final answer or aborts the
@@ -64,12 +64,12 @@
 	defer s.Metrics.Begin(x.req.Service)()
 	if s.inFlight.Add(1) > int64(s.Limits.InFlight) {
 		s.inFlight.Add(-1)
-		s.refuse(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonOverload, Message: "this host has too many requests in flight", RetryAfter: time.Second})
+		s.writeError(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonOverload, Message: "this host has too many requests in flight", RetryAfter: time.Second})
 		return
 	}
 	defer s.inFlight.Add(-1)
 	if err := s.permit(x); err != nil {
-		s.refuse(x.w, x.r, x.req, request.AsRefusal(err))
+		s.writeError(x.w, x.r, x.req, request.AsRefusal(err))
 		return
 	}
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.req.Deadline)
@@ -102,18 +102,18 @@
 		return request.BadRequestf("header %s names %q, which is not a region", request.HeaderHome, x.req.Home)
 	}
 	if service.Deadline > 0 {
-		x.req = x.req.WithDeadline(x.began.Add(service.Deadline))
+		x.req = x.req.WithDeadline(x.receivedAt.Add(service.Deadline))
 	}
 	if ok, why := guard.Region(x.req, s.place); !ok {
-		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: why, Location: s.permittedElsewhere(x)}
+		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: why, Location: s.redirectLocation(x)}
 	}
 	return nil
 }
 
-// permittedElsewhere gives a URL on an entry host that may take the request,
+// redirectLocation gives a URL on an entry host that may take the request,
 // or "" where none is known or the request has been handed over already.
-func (s *Server) permittedElsewhere(x *exchange) string {
-	if x.fixed {
+func (s *Server) redirectLocation(x *exchange) string {
+	if x.handedOver {
 		return ""
 	}
 	for _, host := range s.Peers.Entries() {
@@ -127,8 +127,8 @@
 
 func quote(s string) string { return `"` + strings.ReplaceAll(s, `"`, `'`) + `"` }
 
-// logRefusal writes the line of a decision that ends a request.
-func (s *Server) logRefusal(req request.Request, refusal request.Refusal) {
+// logError writes the line of a decision that ends a request.
+func (s *Server) logError(req request.Request, refusal request.Refusal) {
 	fields := []zap.Field{
 		zap.String("request", req.ID),
 		zap.String("service", req.Service),
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -29,7 +29,7 @@
 	Param   any    `json:"param"`
 }
 
-func bodyOf(refusal request.Refusal) errorBody {
+func errorBodyOf(refusal request.Refusal) errorBody {
 	switch r := refusal.(type) {
 	case *request.NotRun:
 		kind := "server_error"
@@ -42,11 +42,11 @@
 	}
 }
 
-// refuse writes the final answer of a request that no engine answers. A body
+// writeError writes the final answer of a request that no engine answers. A body
 // that has not been read stays unread.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, req request.Request, refusal request.Refusal) {
-	s.logRefusal(req, refusal)
-	data, err := json.Marshal(bodyOf(refusal))
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, req request.Request, refusal request.Refusal) {
+	s.logError(req, refusal)
+	data, err := json.Marshal(errorBodyOf(refusal))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -57,10 +57,10 @@
 		header.Set(relay.HeaderAttempt, attempt)
 	}
 	if n, ok := refusal.(*request.NotRun); ok {
-		setNotRun(header, n)
+		setNotRunHeaders(header, n)
 	}
-	if mayHaveBody(r) && !sawEnd(r) {
-		s.refuseUnread(w, request.Status(refusal), header, data)
+	if mayHaveBody(r) && !bodyFullyRead(r) {
+		s.writeErrorAndClose(w, request.Status(refusal), header, data)
 		return
 	}
 	for name, values := range header {
@@ -70,7 +70,7 @@
 	_, _ = w.Write(data)
 }
 
-func setNotRun(header http.Header, n *request.NotRun) {
+func setNotRunHeaders(header http.Header, n *request.NotRun) {
 	header.Set(request.HeaderOutcome, request.NotRunValue)
 	if n.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(n.RetryAfter.Seconds()))))
@@ -82,35 +82,35 @@
 
 func mayHaveBody(r *http.Request) bool { return r.Body != nil && r.Body != http.NoBody }
 
-// bodyEnd marks a body that has been read to its end.
-type bodyEnd struct {
+// trackedBody marks a body that has been read to its end.
+type trackedBody struct {
 	io.ReadCloser
-	ended bool
-	read  int64
+	atEnd bool
+	bytesRead  int64
 }
 
-func (b *bodyEnd) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.read += int64(n)
+	b.bytesRead += int64(n)
 	if err == io.EOF {
-		b.ended = true
+		b.atEnd = true
 	}
 	return n, err
 }
 
-func sawEnd(r *http.Request) bool {
-	b, ok := r.Body.(*bodyEnd)
-	return ok && b.ended
+func bodyFullyRead(r *http.Request) bool {
+	b, ok := r.Body.(*trackedBody)
+	return ok && b.atEnd
 }
 
 // lingerTime is how long a refused caller has to read the refusal before the
 // connection is reset by what it still sends.
 const lingerTime = 300 * time.Millisecond
 
-// refuseUnread answers on the bare connection and closes it. net/http would
+// writeErrorAndClose answers on the bare connection and closes it. net/http would
 // read up to 256 KiB of the body first, and a host that a selector forbids
 // must not take in one byte.
-func (s *Server) refuseUnread(w http.ResponseWriter, status int, header http.Header, data []byte) {
+func (s *Server) writeErrorAndClose(w http.ResponseWriter, status int, header http.Header, data []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -132,6 +132,6 @@
 	time.Sleep(lingerTime)
 }
 
-// abort ends a connection whose answer can't be completed, so that the caller
+// abortConnection ends a connection whose answer can't be completed, so that the caller
 // sees it fail.
-func abort() { panic(http.ErrAbortHandler) }
+func abortConnection() { panic(http.ErrAbortHandler) }
