--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -29,12 +29,12 @@
 
 // payload is the body of a request and what is known of it.
 type payload struct {
-	buffered   []byte   // held in memory, so that it can be sent again
-	unbuffered    *trackedBody // or passed on as it comes, once
-	length  int64    // -1 if unknown
-	stream  bool     // the caller asked for an event stream
-	prefill time.Duration
-	recorder  *recorder // keeps the answer of a call with a key; nil for none
+	buffered   []byte       // held in memory, so that it can be sent again
+	unbuffered *trackedBody // or passed on as it comes, once
+	length     int64        // -1 if unknown
+	stream     bool         // the caller asked for an event stream
+	prefill    time.Duration
+	recorder   *recorder // keeps the answer of a call with a key; nil for none
 	// fingerprint is the same for each repeat of the request; 0 for a body that is passed
 	// on as it comes, of which nothing is known before an engine has it.
 	fingerprint quarantine.Fingerprint
@@ -58,11 +58,11 @@
 
 // attemptState is what the attempts so far have shown.
 type attemptState struct {
-	tried   []string
-	mayHaveRun    bool // some attempt may have reached an engine
+	tried      []string
+	mayHaveRun bool // some attempt may have reached an engine
 	lastErr    error
-	handedOver    bool // a hand-over failed: stay here
-	attempt int
+	handedOver bool // a hand-over failed: stay here
+	attempt    int
 }
 
 // serveWithRetries sends the request until it is answered or given up. A nil error
@@ -279,9 +279,9 @@
 
 // delivery is how the passing on of an answer ended.
 type delivery struct {
-	err     error
-	started bool          // the caller has had the status and some bytes
-	timeToFirstByte   time.Duration // from the sending of the attempt to the first byte
+	err             error
+	started         bool          // the caller has had the status and some bytes
+	timeToFirstByte time.Duration // from the sending of the attempt to the first byte
 }
 
 // deliver passes an answer on. A failure that has not started leaves the
@@ -318,8 +318,8 @@
 // that breaks before it can still be tried elsewhere.
 type deferredWriter struct {
 	http.ResponseWriter
-	writeHeader   func()
-	started bool
+	writeHeader func()
+	started     bool
 }
 
 // Write implements io.Writer.
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -36,7 +36,7 @@
 // chain, and maxPrefixBlocks bounds the chain.
 const (
 	prefixBlockSize = 1024
-	maxPrefixBlocks   = 32
+	maxPrefixBlocks = 32
 )
 
 // prefillPerByte is the time that an engine takes to read one byte of a cold
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -25,9 +25,9 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// Entries is the answer to GET /v1/entries. Hosts come in the order in which
+// EntryList is the answer to GET /v1/entries. Hosts come in the order in which
 // to try them.
-type Entries struct {
+type EntryList struct {
 	Entries []Entry `json:"entries"`
 	// TTL is how long the list may be used, in milliseconds.
 	TTL int64 `json:"ttl_ms"`
@@ -53,7 +53,7 @@
 	if req.Home == "" {
 		req.Home = s.place.Region
 	}
-	list := Entries{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
+	list := EntryList{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
 	for _, host := range shuffleWithinDataCentres(s.Peers.Entries(), s.Random) {
 		place := permit.Place{Region: config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
 		if ok, _ := guard.Region(req, place); req.Service != "" && !ok {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,8 +56,8 @@
 	Entries() []declare.Host
 }
 
-// Keys is the home of calls that may run at most once.
-type Keys interface {
+// IdempotencyStore is the home of calls that may run at most once.
+type IdempotencyStore interface {
 	// Begin records the intent to make a call, or tells what became of an
 	// earlier one. After an error the call must not be made.
 	Begin(ctx context.Context, call once.Call) (once.Verdict, error)
@@ -75,7 +75,7 @@
 	Limits    settings.Limits
 	Authority Authority
 	Peers     Peers
-	Keys      Keys
+	Keys      IdempotencyStore
 	Fleet     *fleet.Fleet
 	Engines   *relay.Client // connections to engines and to hosts of this region
 	Away      *relay.Client // connections to hosts of other regions
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -203,13 +203,13 @@
 
 // recorder keeps an answer as it passes.
 type recorder struct {
-	status int
-	header http.Header
-	body   bytes.Buffer
-	tooLong   bool // the body is too long to keep
-	complete  bool // the engine's answer has come to its end
-	saved  bool // and has been recorded
-	save   func(*recorder)
+	status   int
+	header   http.Header
+	body     bytes.Buffer
+	tooLong  bool // the body is too long to keep
+	complete bool // the engine's answer has come to its end
+	saved    bool // and has been recorded
+	save     func(*recorder)
 }
 
 func (r *recorder) recordHead(resp *http.Response) {
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -19,14 +19,14 @@
 
 // exchange is one request on its way through the filters.
 type exchange struct {
-	w       http.ResponseWriter
-	r       *http.Request
-	req     request.Request
-	guard   permit.Guard
-	config  declare.Config
-	service declare.Service
-	receivedAt   time.Time
-	handedOver   bool // handed over: the region is this one
+	w          http.ResponseWriter
+	r          *http.Request
+	req        request.Request
+	guard      permit.Guard
+	config     declare.Config
+	service    declare.Service
+	receivedAt time.Time
+	handedOver bool // handed over: the region is this one
 }
 
 func (s *Server) serveCaller(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -85,8 +85,8 @@
 // trackedBody marks a body that has been read to its end.
 type trackedBody struct {
 	io.ReadCloser
-	atEnd bool
-	bytesRead  int64
+	atEnd     bool
+	bytesRead int64
 }
 
 func (b *trackedBody) Read(p []byte) (int, error) {
--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -48,7 +48,7 @@
 // errNoHome says that the leader of a region's keys was not reached.
 var errNoHome = errors.New("the home of the key can't be reached")
 
-// Begin implements gateway.Keys. A Begin that may have arrived is sent again
+// Begin implements gateway.IdempotencyStore. A Begin that may have arrived is sent again
 // with the same attempt, which the home takes for the same one.
 func (c *Client) Begin(ctx context.Context, call once.Call) (once.Verdict, error) {
 	bound, cancel := context.WithTimeout(ctx, beginTime)
@@ -63,19 +63,19 @@
 	return nil, &request.NotRun{Reason: request.ReasonNoHome, Message: err.Error(), RetryAfter: time.Second}
 }
 
-// Finish implements gateway.Keys.
+// Finish implements gateway.IdempotencyStore.
 func (c *Client) Finish(ctx context.Context, call once.Call, answer once.Answer) error {
 	_, err := c.do(ctx, call, once.Command{Op: once.OpFinish, Answer: &answer})
 	return err
 }
 
-// Release implements gateway.Keys.
+// Release implements gateway.IdempotencyStore.
 func (c *Client) Release(ctx context.Context, call once.Call) error {
 	_, err := c.do(ctx, call, once.Command{Op: once.OpRelease})
 	return err
 }
 
-// Lose implements gateway.Keys.
+// Lose implements gateway.IdempotencyStore.
 func (c *Client) Lose(ctx context.Context, call once.Call) error {
 	_, err := c.do(ctx, call, once.Command{Op: once.OpLose})
 	return err
