--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -12,9 +12,10 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// crashInterval is the length of the intervals by which crashes of a declared engine are told
-// apart. Declared engines don't report when they were started, so all crashes detected within
-// one interval count as one. Several hosts detect each crash, within a second or two.
+// crashInterval is the length of the intervals by which crashes of a declared engine are
+// told apart. Declared engines don't report when they were started, so all crashes
+// detected within one interval count as one. Several hosts detect each crash, within a
+// second or two.
 const crashInterval = 10 * time.Second
 
 // incarnation identifies the incarnation of an engine that crashes now.
--- a/fleet/crashes_test.go
+++ b/fleet/crashes_test.go
@@ -19,7 +19,8 @@
 	return req
 }
 
-// crashEngine sends the crashing request, and crashes and restarts the engine that f chose.
+// crashEngine sends the crashing request, and crashes and restarts the engine that f
+// chose.
 func crashEngine(t *testing.T, f *fleet.Fleet, c *clock) {
 	t.Helper()
 	ticket, err := f.Acquire(context.Background(), c.crashingRequest())
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -115,8 +115,8 @@
 	must.Eq(t, request.ReasonNoEngine, refusal.Reason)
 }
 
-// One engine is stopping while the host of the other is reclaimed: running requests finish,
-// and new requests are rejected as not run.
+// One engine is stopping while the host of the other is reclaimed: running requests
+// finish, and new requests are rejected as not run.
 func TestReclaimDuringDrain(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8), engine("b", 8))
 	running := []*fleet.Ticket{acquire(t, f, c), acquire(t, f, c), acquire(t, f, c)}
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -71,8 +71,8 @@
 	must.Between(t, 14, sent, 28+5, must.Sprint("requests sent in 14 seconds"))
 }
 
-// The only engine announces a limit. Requests over the limit must be rejected at once with a
-// Retry-After, not queued.
+// The only engine announces a limit. Requests over the limit must be rejected at once
+// with a Retry-After, not queued.
 func TestRequestIsRejectedAtOnceWhenAllEnginesAreOverLimit(t *testing.T) {
 	c := &clock{time.Unix(1_700_000_000, 0)}
 	for _, f := range newFleetsOfRegion(t, c, engine("needy", 8)) {
--- a/fleet/own.go
+++ b/fleet/own.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// historySize is the number of samples in a loadHistory, and sampleSpacing the minimum time
-// between two of them. Together they cover a longer period than the delay of load reports.
+// historySize is the number of samples in a loadHistory, and sampleSpacing the minimum
+// time between two of them. Together they cover a longer period than the delay of load
+// reports.
 const (
 	historySize   = 64
 	sampleSpacing = 50 * time.Millisecond
 )
 
-// loadHistory records how many requests this host had in flight on an engine. A load report
-// is delayed; to find the load that other hosts cause, the number at the time of the report
-// is subtracted from it. The zero value is the history of a host that has sent none.
+// loadHistory records how many requests this host had in flight on an engine. A load
+// report is delayed; to find the load that other hosts cause, the number at the time of
+// the report is subtracted from it. The zero value is the history of a host that has sent
+// none.
 type loadHistory struct {
 	samples [historySize]loadSample
 	next    int // index of the next sample
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -16,14 +16,15 @@
 )
 
 // engineKey identifies an engine on all hosts. It can't include the incarnation, because
-// declared engines don't report when they were started. So the backoff or limit announced by
-// one incarnation remains effective for the next until it expires or the next answer comes.
+// declared engines don't report when they were started. So the backoff or limit announced
+// by one incarnation remains effective for the next until it expires or the next answer
+// comes.
 func engineKey(service, engine string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + engine)
 }
 
-// markExclusions updates, for each engine of the pool, whether its backoff, draining or rate
-// limit excludes it for this host now. f.mu must be held.
+// markExclusions updates, for each engine of the pool, whether its backoff, draining or
+// rate limit excludes it for this host now. f.mu must be held.
 func (f *Fleet) markExclusions(p *pool, now time.Time) {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
@@ -33,9 +34,9 @@
 	}
 }
 
-// availableIn returns the time until the first healthy engine's backoff and rate limit allow
-// this host another request. It returns 0 if one allows it now, or if the time is unknown for
-// all of them. f.mu must be held.
+// availableIn returns the time until the first healthy engine's backoff and rate limit
+// allow this host another request. It returns 0 if one allows it now, or if the time is
+// unknown for all of them. f.mu must be held.
 func (f *Fleet) availableIn(p *pool, now time.Time) time.Duration {
 	earliest := time.Duration(math.MaxInt64)
 	for i := range p.view.Engines {
@@ -85,8 +86,8 @@
 }
 
 // ApplyPushback applies the backoff that the engine asks for in the header of its answer,
-// and whether the engine announces that it is draining. It also updates the pool at once, so
-// that no queued request is sent to the engine.
+// and whether the engine announces that it is draining. It also updates the pool at once,
+// so that no queued request is sent to the engine.
 func (t *Ticket) ApplyPushback(signal pushback.Word, draining bool) {
 	f := t.fleet
 	f.mu.Lock()
--- a/fleet/pushback_test.go
+++ b/fleet/pushback_test.go
@@ -47,8 +47,9 @@
 	acquire(t, f, c)
 }
 
-// Requests wait for a slot of an engine that then asks for a backoff. One that can't meet its
-// deadline after the backoff must be rejected at the next tick; the other keeps waiting.
+// Requests wait for a slot of an engine that then asks for a backoff. One that can't meet
+// its deadline after the backoff must be rejected at the next tick; the other keeps
+// waiting.
 func TestWaiterIsRejectedWhenBackoffOutlastsItsDeadline(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	ticket := acquire(t, f, c)
@@ -65,8 +66,9 @@
 	must.Nil(t, longDeadline.Ticket)
 }
 
-// An engine announces that it is draining. The answer to a probe that was sent before must
-// not revoke that. The answer to a later probe does, as it comes from the next incarnation.
+// An engine announces that it is draining. The answer to a probe that was sent before
+// must not revoke that. The answer to a later probe does, as it comes from the next
+// incarnation.
 func TestEngineDrainsUntilItsNextIncarnation(t *testing.T) {
 	f, c := newFleet(t, engine("e", 8))
 	probed := c.now
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -1,5 +1,5 @@
-// This file defines the attempts of one request: where each goes, when there
-// is another, and how an answer is delivered.
+// This file defines the attempts to serve one request: the choice of region and engine,
+// retries, and the delivery of the answer.
 
 package gateway
 
@@ -27,16 +27,16 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// payload is the body of a request and what is known of it.
+// payload is the body of a request, with what the gateway derived from it.
 type payload struct {
-	buffered   []byte       // held in memory, so that it can be sent again
-	unbuffered *trackedBody // or passed on as it comes, once
+	buffered   []byte       // the whole body, if it is held in memory and can be sent again
+	unbuffered *trackedBody // otherwise, the body as the caller sends it, which can be sent once
 	length     int64        // -1 if unknown
 	stream     bool         // the caller asked for an event stream
 	prefill    time.Duration
-	recorder   *recorder // keeps the answer of a call with a key; nil for none
-	// fingerprint is the same for each repeat of the request; 0 for a body that is passed
-	// on as it comes, of which nothing is known before an engine has it.
+	recorder   *recorder // records the answer to a call with an idempotency key; nil for none
+	// fingerprint is equal for all repeats of the request. It is 0 for an unbuffered body,
+	// which has not been read when an engine is chosen.
 	fingerprint quarantine.Fingerprint
 }
 
@@ -50,24 +50,27 @@
 	return bytes.NewReader(p.buffered)
 }
 
-// consumed tells whether the body can't be sent again.
+// consumed reports whether part of an unbuffered body has been read, so that the request
+// can't be sent again.
 func (p *payload) consumed() bool { return p.unbuffered != nil && p.unbuffered.bytesRead > 0 }
 
-// minEngineTime is the least time that an engine needs for anything useful.
+// minEngineTime is the minimum time that an engine needs to serve any request. A request
+// with less time left is not sent.
 const minEngineTime = 20 * time.Millisecond
 
-// attemptState is what the attempts so far have shown.
+// attemptState is the state that the attempts of one request share.
 type attemptState struct {
 	tried      []string
 	mayHaveRun bool // some attempt may have reached an engine
 	lastErr    error
-	handedOver bool // a hand-over failed: stay here
+	handedOver bool // the hand-over has been tried; further attempts stay in this region
 	attempt    int
 }
 
-// serveWithRetries sends the request until it is answered or given up. A nil error
-// means that an answer has been written; a failure after its first byte aborts
-// the connection and doesn't return.
+// serveWithRetries makes attempts until the request is answered, or until no further
+// attempt is allowed. A nil error means that the answer has been written. If an answer
+// fails after its first byte, the connection is aborted by a panic with
+// http.ErrAbortHandler.
 func (s *Server) serveWithRetries(x *exchange, p *payload) error {
 	var state attemptState
 	if p.unbuffered == nil {
@@ -86,11 +89,13 @@
 	return s.finalError(x, &state)
 }
 
-// minRetryAfter is when to come back, at the soonest, after engines refused or could not be reached.
+// minRetryAfter is the minimum Retry-After if all engines rejected the request or were
+// unreachable.
 const minRetryAfter = time.Second
 
-// finalError turns the last failure into the final answer. How long one engine wants nothing is no
-// matter of the caller's, whom others may serve sooner.
+// finalError converts the error of the last attempt into the one that the caller gets. Its
+// Retry-After is the time until some engine of the service is available, not the backoff
+// that one engine asked for, since other engines may serve the request sooner.
 func (s *Server) finalError(x *exchange, state *attemptState) error {
 	if state.mayHaveRun {
 		return &request.OutcomeUnknown{Message: state.lastErr.Error()}
@@ -106,8 +111,8 @@
 	return &request.OutcomeUnknown{Message: state.lastErr.Error()}
 }
 
-// attempt makes one attempt, in another region or in this one. It tells
-// whether another attempt is allowed.
+// attempt makes one attempt, in another region or in this one. mayRetry reports whether
+// another attempt is allowed.
 func (s *Server) attempt(x *exchange, p *payload, state *attemptState) (mayRetry bool, err error) {
 	if !x.handedOver && !state.handedOver {
 		choice, digests := s.chooseRegion(x, p)
@@ -118,7 +123,8 @@
 	return s.attemptLocal(x, p, state)
 }
 
-// chooseRegion prefers the member's home region.
+// chooseRegion chooses a region for the request by the service's policy, which prefers the
+// request's home region. It also returns the digests that the choice refers to.
 func (s *Server) chooseRegion(x *exchange, p *payload) (route.RegionChoice, []route.Digest) {
 	digests := s.Peers.Regions(x.req.Service)
 	home := -1
@@ -197,8 +203,9 @@
 	return mayRetry, err
 }
 
-// recheckPermit is the last look before the first byte: the request may have waited
-// in the queue, or the process may have been stopped, since the permit.
+// recheckPermit checks the permit again immediately before the request is sent. The rules
+// may have changed, or the lease may have expired, while the request waited in the queue
+// or the process was suspended.
 func (s *Server) recheckPermit(x *exchange, ticket *fleet.Ticket) error {
 	guard, config, err := s.Authority.Serving()
 	if err != nil {
@@ -227,7 +234,7 @@
 		zap.Duration("score", ticket.Choice.Score), zap.Duration("waited", ticket.Waited), zap.Int("attempt", attempt))
 }
 
-// headerPriority tells an engine how urgent a request is, 0 first.
+// headerPriority tells an engine the priority of a request; 0 is the most urgent.
 const headerPriority = "Engine-Priority"
 
 func (s *Server) engineCall(x *exchange, p *payload, ticket *fleet.Ticket) relay.Call {
@@ -250,8 +257,8 @@
 	}
 }
 
-// recordAttemptFailure notes a failure for the engine and decides whether the
-// request may be sent again.
+// recordAttemptFailure records a failed attempt and reports whether the request may be
+// sent again.
 func (s *Server) recordAttemptFailure(x *exchange, p *payload, state *attemptState, ticket *fleet.Ticket, err error) (bool, error) {
 	var failure *relay.Failure
 	isFailure := errors.As(err, &failure)
@@ -277,15 +284,16 @@
 	return notRun || x.req.Repeatable, err
 }
 
-// delivery is how the passing on of an answer ended.
+// delivery is the result of delivering an answer to the caller.
 type delivery struct {
 	err             error
-	started         bool          // the caller has had the status and some bytes
-	timeToFirstByte time.Duration // from the sending of the attempt to the first byte
+	started         bool          // the status, and possibly a part of the body, has been written
+	timeToFirstByte time.Duration // from the start of the attempt
 }
 
-// deliver passes an answer on. A failure that has not started leaves the
-// caller untouched; after one that has, the owner must call abortAnswer.
+// deliver writes an answer to the caller. If it fails before the first byte, nothing has
+// been written. If it fails later (delivery.started), the caller of deliver must call
+// abortAnswer.
 func (s *Server) deliver(x *exchange, p *payload, resp *http.Response, base string, sentAt time.Time, queued time.Duration) delivery {
 	var d delivery
 	writer := &deferredWriter{ResponseWriter: x.w, writeHeader: func() {
@@ -314,8 +322,8 @@
 	return errors.As(err, &callerErr)
 }
 
-// deferredWriter writes the status only with the first byte, so that an answer
-// that breaks before it can still be tried elsewhere.
+// deferredWriter delays the status until the first byte of the body. If an answer fails
+// before, the request can still be sent to another engine.
 type deferredWriter struct {
 	http.ResponseWriter
 	writeHeader func()
@@ -338,8 +346,8 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (l *deferredWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
 
-// deliverBuffered passes on an unstreamed model answer once all of it is here
-// and is one JSON document.
+// deliverBuffered delivers a model answer that is not an event stream. It reads the whole
+// answer and checks that it is a JSON document before it writes anything.
 func (s *Server) deliverBuffered(writer *deferredWriter, resp *http.Response) error {
 	data, err := relay.ReadWhole(resp, s.Limits.BodyBytes)
 	if err != nil {
@@ -354,8 +362,8 @@
 	return errors.Trace(err)
 }
 
-// deliverUnbuffered passes on a plain service's answer as it comes. Its framing
-// shows whether it is whole.
+// deliverUnbuffered copies the answer of a plain service to the caller as it arrives. An
+// incomplete answer is detected by its HTTP framing.
 func (s *Server) deliverUnbuffered(writer *deferredWriter, p *payload, resp *http.Response) error {
 	defer resp.Body.Close()
 	var observe relay.Look
@@ -376,16 +384,16 @@
 		p.recorder.finish(resp, err)
 	}
 	if err == nil {
-		writer.ensureStarted() // an empty answer has no first byte
+		writer.ensureStarted() // an empty answer has no first byte that would write the status
 	}
 	return err
 }
 
-// abortAnswer ends an answer that broke after its first byte: by an error
-// event where the interface has one, and always by aborting the connection.
+// abortAnswer ends an answer that failed after its first byte. It writes an error event
+// into an event stream, and in all cases aborts the connection.
 func (s *Server) abortAnswer(x *exchange, resp *http.Response, cause error) {
 	s.Metrics.Request(x.req.Service, "broken")
-	s.Log.Warn("answer broken", zap.String("request", x.req.ID), zap.String("service", x.req.Service), telemetry.Cause(cause))
+	s.Log.Warn("answer failed after its first byte, aborting connection", zap.String("request", x.req.ID), zap.String("service", x.req.Service), telemetry.Cause(cause))
 	if isStream(resp) {
 		data, err := json.Marshal(errorBodyOf(&request.OutcomeUnknown{Message: "the answer broke off"}))
 		if err == nil {
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -1,4 +1,4 @@
-// This file defines how the body of a model request is read and understood.
+// This file defines the OpenAI interface of model services.
 
 package gateway
 
@@ -16,8 +16,8 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// modelBody is what the gateway needs of an OpenAI request; the rest is passed
-// on as it came.
+// modelBody contains the fields of an OpenAI request that the gateway uses. The body is
+// forwarded unchanged.
 type modelBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -25,22 +25,22 @@
 	Prompt   json.RawMessage `json:"prompt"`
 }
 
-// Paths of the OpenAI interface that are served.
+// Paths of the OpenAI interface that the gateway serves.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
 	pathModels      = "/v1/models"
 )
 
-// prefixBlockSize is the number of bytes of a prompt in one block of its prefix
-// chain, and maxPrefixBlocks bounds the chain.
+// prefixBlockSize is the size of a prompt's prefix blocks in bytes, and maxPrefixBlocks
+// the maximum length of a prefix chain.
 const (
 	prefixBlockSize = 1024
 	maxPrefixBlocks = 32
 )
 
-// prefillPerByte is the time that an engine takes to read one byte of a cold
-// prompt, for the estimates of routing.
+// prefillPerByte is the estimated time that an engine takes to read one byte of an
+// uncached prompt. It is used to choose regions and engines.
 const prefillPerByte = 2 * time.Microsecond
 
 func (s *Server) readModelBody(x *exchange) ([]byte, modelBody, error) {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// PrefixChain hashes the growing prefixes of a prompt, block by block. A
-// prompt shorter than one block has no chain.
+// PrefixChain returns the hashes of the prefixes of a prompt that end at the end of each
+// prefix block. It returns nil for a prompt shorter than one block.
 func PrefixChain(prompt []byte) []uint64 {
 	n := min(len(prompt)/prefixBlockSize, maxPrefixBlocks)
 	if n == 0 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// isStream tells whether an answer is an event stream.
+// isStream reports whether an answer is an event stream.
 func isStream(resp *http.Response) bool {
 	contentType := resp.Header.Get("Content-Type")
 	return len(contentType) >= len(eventStream) && contentType[:len(eventStream)] == eventStream
@@ -158,7 +158,8 @@
 
 const eventStream = "text/event-stream"
 
-// copyAnswerHeaders copies the headers of an answer for the caller.
+// copyAnswerHeaders copies the headers of an answer for the caller. It leaves out those
+// of the protocols between hosts and engines, so that an engine can't forge an outcome.
 func copyAnswerHeaders(to http.Header, resp *http.Response) {
 	for name, values := range relay.Forwardable(resp.Header) {
 		switch name {
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -1,4 +1,4 @@
-// This file defines GET /v1/entries, which tells callers which hosts to use.
+// This file defines GET /v1/entries, which lists the entry hosts that a caller may use.
 
 package gateway
 
@@ -14,10 +14,10 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// entriesTTL is how long callers may use a list.
+// entriesTTL is the time for which callers may use a list.
 const entriesTTL = 5 * time.Second
 
-// Entry is one host that a caller may use.
+// Entry is an entry host that a caller may use.
 type Entry struct {
 	Host       string `json:"host"`
 	URL        string `json:"url"`
@@ -25,19 +25,18 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// EntryList is the answer to GET /v1/entries. Hosts come in the order in which
-// to try them.
+// EntryList is the answer to GET /v1/entries. Callers should try the hosts in the given
+// order.
 type EntryList struct {
 	Entries []Entry `json:"entries"`
-	// TTL is how long the list may be used, in milliseconds.
+	// TTL is the time for which the list may be used, in milliseconds.
 	TTL int64 `json:"ttl_ms"`
-	// Revision is that of the configuration the list was made under.
+	// Revision is the revision of the configuration from which the list was made.
 	Revision uint64 `json:"revision"`
 }
 
-// serveEntries answers GET /v1/entries?service=…&home=…. Hosts that stand
-// equally near come in a random order, which spreads callers without any
-// count that hosts would share.
+// serveEntries answers GET /v1/entries?service=…&home=…. Hosts in the same data centre are
+// listed in random order. This spreads callers over them without shared counters.
 func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	guard, config, err := s.Authority.Serving()
 	if err != nil {
@@ -66,8 +65,9 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// shuffleWithinDataCentres shuffles hosts within each run of the same data centre. The
-// input is ordered from near to far.
+// shuffleWithinDataCentres shuffles the hosts of each data centre among themselves. Hosts
+// of one data centre must be adjacent; the order of data centres, from near to far, is
+// kept.
 func shuffleWithinDataCentres(hosts []declare.Host, random func() uint64) []declare.Host {
 	shuffled := append([]declare.Host(nil), hosts...)
 	for start := 0; start < len(shuffled); {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,19 +1,20 @@
-// Package gateway serves callers and other entry hosts over HTTP.
+// Package gateway serves HTTP requests of callers, and of other entry hosts that hand
+// requests over.
 //
-// A request passes through filters in a fixed order, each of which may end it
-// with a refusal:
+// A request passes through a fixed sequence of filters, each of which may end it with an
+// error:
 //
-//	receive   the listener's limits, in package net/http
+//	receive   limits of the listener, in package net/http
 //	identify  request.Identify, from the path and headers
-//	permit    permit.Guard, under the configuration's lease
-//	region    route.ChooseRegion, skipped for a request handed over
+//	permit    permit.Guard, under the lease of the configuration
+//	region    route.ChooseRegion; skipped for a request that was handed over
 //	engine    fleet.Fleet, with its queue
 //	send      relay.Client
-//	answer    whole, or visibly failed
+//	answer    delivered completely, or with a visible failure
 //
-// The body is not touched before permit has passed. The same filters run on
-// the listener for entry hosts, where the hand-over headers are read; there
-// the region is fixed to this one, so that no request can circle.
+// The body is not read before the permit filter has passed. The listener for entry hosts
+// runs the same filters, and also reads the hand-over headers. It serves requests in this
+// region only, so that a request can't be handed over in a loop.
 package gateway
 
 import (
@@ -39,37 +40,38 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Authority says under which rules this host may serve now.
+// Authority provides the permit rules under which this host may serve requests.
 type Authority interface {
-	// Serving gives the rules in force and the configuration they come from.
-	// Without a lease the error is a *request.NotRun.
+	// Serving returns the effective rules and the configuration that they come from.
+	// If this host has no lease, the error is a *request.NotRun.
 	Serving() (permit.Guard, declare.Config, error)
 }
 
-// Peers tells of the other entry hosts and of other regions.
+// Peers provides the state of other entry hosts and of all regions.
 type Peers interface {
-	// Regions gives a digest of each region for a service; that of this
-	// host's own region is among them.
+	// Regions returns a digest of the service's engines for each region, including
+	// this host's own.
 	Regions(service string) []route.Digest
-	// Entries gives the entry hosts that take requests now: this data
-	// centre's first, then this region's, then others.
+	// Entries returns the entry hosts that accept requests now. Those of this data
+	// centre come first, then those of this region, then the others.
 	Entries() []declare.Host
 }
 
-// IdempotencyStore is the home of calls that may run at most once.
+// IdempotencyStore records calls with idempotency keys, at the home region of each key, so
+// that each call runs at most once.
 type IdempotencyStore interface {
-	// Begin records the intent to make a call, or tells what became of an
-	// earlier one. After an error the call must not be made.
+	// Begin records the intent to make a call, or returns the state of an earlier call
+	// with the same key. If it returns an error, the call must not be made.
 	Begin(ctx context.Context, call once.Call) (once.Verdict, error)
-	// Finish records a call's answer.
+	// Finish records the answer to a call.
 	Finish(ctx context.Context, call once.Call, answer once.Answer) error
-	// Release forgets an intent of which nothing was sent.
+	// Release deletes the intent of a call that was not sent.
 	Release(ctx context.Context, call once.Call) error
-	// Lose records that a call's outcome will never be known.
+	// Lose records that the outcome of a call will never be known.
 	Lose(ctx context.Context, call once.Call) error
 }
 
-// Deps are what a Server needs.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Host      settings.Host
 	Limits    settings.Limits
@@ -77,14 +79,14 @@
 	Peers     Peers
 	Keys      IdempotencyStore
 	Fleet     *fleet.Fleet
-	Engines   *relay.Client // connections to engines and to hosts of this region
-	Away      *relay.Client // connections to hosts of other regions
+	Engines   *relay.Client // for engines of this region
+	Away      *relay.Client // for entry hosts of other regions
 	Log       *zap.Logger
 	Metrics   *telemetry.Metrics
 	Random    func() uint64
 }
 
-// Server serves callers and entry hosts. New makes one.
+// Server serves callers and other entry hosts. New creates one.
 type Server struct {
 	Deps
 	place    permit.Place
@@ -92,7 +94,7 @@
 	stopping atomic.Bool
 }
 
-// New makes a server; Run starts it.
+// New returns a server. Run starts it.
 func New(deps Deps) *Server {
 	return &Server{
 		Deps:  deps,
@@ -100,8 +102,8 @@
 	}
 }
 
-// Run serves both listeners until ctx ends, then finishes what is in flight
-// within Limits.StopTime.
+// Run serves both listeners until ctx is cancelled. Then it waits up to Limits.StopTime
+// for requests in flight before it closes their connections.
 func (s *Server) Run(ctx context.Context, callers, handover net.Listener) error {
 	servers := []*http.Server{
 		s.newHTTPServer(s.CallersHandler()),
@@ -124,7 +126,7 @@
 	return group.Wait()
 }
 
-// stop refuses what is new and waits for what is in flight.
+// stop rejects new requests and waits for those in flight.
 func (s *Server) stop(servers []*http.Server) error {
 	s.stopping.Store(true)
 	s.Log.Info("stopping", zap.Int64("in_flight", s.inFlight.Load()), zap.Duration("at_most", s.Limits.StopTime))
@@ -132,7 +134,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Shutdown(stopCtx); err != nil {
-			s.Log.Warn("requests cut off", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
+			s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
 			server.Close()
 		}
 	}
@@ -151,7 +153,7 @@
 
 const idleTimeout = 2 * time.Minute
 
-// CallersHandler serves callers.
+// CallersHandler returns the handler for the listener of callers.
 func (s *Server) CallersHandler() http.Handler {
 	router := s.newRouter(s.serveCaller)
 	router.GET("/v1/entries", s.serveEntries)
@@ -160,7 +162,7 @@
 	return router
 }
 
-// HandoverHandler serves other entry hosts.
+// HandoverHandler returns the handler for the listener of other entry hosts.
 func (s *Server) HandoverHandler() http.Handler { return s.newRouter(s.serveHandover) }
 
 func (s *Server) newRouter(handle httprouter.Handle) *httprouter.Router {
@@ -180,7 +182,7 @@
 	return router
 }
 
-// serveReady tells whether this host takes requests: it has a lease and isn't
+// serveReady reports whether this host accepts requests: it has a lease and is not
 // stopping.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if _, _, err := s.Authority.Serving(); err != nil {
@@ -194,8 +196,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// InFlight counts the requests that have not ended.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Stopping tells whether the server takes no more requests.
+// Stopping reports whether the server is stopping and rejects new requests.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -1,5 +1,4 @@
-// This file defines the hand-over of a request to an entry host of another
-// region.
+// This file defines the hand-over of a request to an entry host of another region.
 
 package gateway
 
@@ -17,20 +16,21 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// attemptRemote hands the request over. Whatever becomes of it, it is handed
-// over once at most: a later attempt stays here.
+// attemptRemote hands the request over to an entry host of another region. A request is
+// handed over at most once, even if the hand-over fails. Later attempts stay in this
+// region.
 func (s *Server) attemptRemote(x *exchange, p *payload, state *attemptState, region, reason string) (mayRetry bool, err error) {
 	state.handedOver = true
 	host, ok := s.pickEntryHost(x, region)
 	if !ok {
 		return true, &request.NotRun{Reason: request.ReasonNoEngine, Message: "no entry host of region " + quote(region) + " can be reached"}
 	}
-	s.Log.Info("handed over", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("region", region), zap.String("host", host.Name), zap.String("reason", reason))
+	s.Log.Info("handing over request", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("region", region), zap.String("host", host.Name), zap.String("reason", reason))
 	header := relay.Forwardable(x.r.Header)
 	forwarded := x.req.WithVisit(s.Host.Name)
 	forwarded.SetHandover(header, time.Now(), x.config.Revision())
 	if p.unbuffered != nil {
-		// The peer permits before it asks for the first byte of the body.
+		// The peer checks its permit before it asks for the body.
 		header.Set("Expect", "100-continue")
 	}
 	sentAt := time.Now()
@@ -75,7 +75,8 @@
 	return notRun || x.req.Repeatable, err
 }
 
-// peerError turns a peer's refusal back into one of ours.
+// peerError converts an error answer of a peer into an error, or returns nil if the answer
+// is not the gateway's error.
 func peerError(resp *http.Response) error {
 	outcome := resp.Header.Get(request.HeaderOutcome)
 	if outcome == "" {
@@ -107,7 +108,7 @@
 	}
 }
 
-// pickEntryHost draws an entry host of a region.
+// pickEntryHost returns a random entry host of a region.
 func (s *Server) pickEntryHost(x *exchange, region string) (declare.Host, bool) {
 	var hosts []declare.Host
 	for _, host := range s.Peers.Entries() {
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -1,4 +1,5 @@
-// This file defines what an entry host makes of what an engine's answer says of the engine.
+// This file defines how the backoff, draining and rate limits that engines announce in
+// their answers are passed to the fleet.
 
 package gateway
 
@@ -14,15 +15,16 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// applySignals tells the fleet what an answer's head says of its engine. Refusals and failures say it as
-// well.
+// applySignals passes the signals in the header of an engine's answer to the fleet.
+// Answers that reject the request or report a failure carry them as well.
 func (s *Server) applySignals(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
 	s.applyPushback(x, ticket, resp)
 	s.applyLimit(x, ticket, resp.Header)
 }
 
-// applyPushback takes what the engine asks of this host. Only a refusal of the engine's own asks
-// for rest: a plain service's 429 and 503 are words to its caller.
+// applyPushback applies backoff and draining. A Retry-After asks this host for backoff
+// only if the engine itself rejected the request. With a plain service's own 429 or 503
+// answer, it is addressed to the caller.
 func (s *Server) applyPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
 	rejected := resp.Header.Get(relay.HeaderNotRun) == "true"
 	signal := pushback.Read(rejected, resp.Header, time.Now())
@@ -38,11 +40,11 @@
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 	}
 	if _, noSignal := signal.(pushback.Nothing); !noSignal || draining {
-		s.Log.Info("engine pushes back", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", signal), zap.Bool("leaving", draining))
+		s.Log.Info("received pushback from engine", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", signal), zap.Bool("leaving", draining))
 	}
 }
 
-// applyLimit tells the fleet what an answer says of how many requests its engine takes.
+// applyLimit applies the engine's rate limit, if its answer announces one.
 func (s *Server) applyLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
 	signal := ratelimit.Parse(header.Values(relay.HeaderLimit))
 	ticket.ApplyLimit(signal)
@@ -50,5 +52,5 @@
 		return
 	}
 	s.Metrics.Limited(ticket.Engine, "answered")
-	s.Log.Info("engine named a limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", signal))
+	s.Log.Info("engine announced a rate limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", signal))
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -1,5 +1,5 @@
-// This file defines how calls to plain services are served, and how those that
-// may not be repeated run at most once.
+// This file defines how calls to plain services are served, and how calls with an
+// idempotency key run at most once.
 
 package gateway
 
@@ -21,9 +21,9 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// maxBufferedKeyed is the longest body of a call with a key that is held in memory, so
-// that all of it tells two calls apart. A longer one is told apart by its
-// length and its Content-Digest header (RFC 9530).
+// maxBufferedKeyed is the maximum body size of a call with an idempotency key that is
+// held in memory, where the digest of the call covers the whole body. For a longer body,
+// the digest covers its length and its Content-Digest header (RFC 9530) instead.
 const maxBufferedKeyed = 1 << 20
 
 // servePlain serves one call to a plain service.
@@ -36,7 +36,7 @@
 	}
 	var err error
 	if x.req.Key != "" && !x.req.Repeatable && !x.handedOver {
-		// The host that hands a call over has asked the key's home already.
+		// For a call that was handed over, the first host has recorded the intent.
 		err = s.serveKeyed(x, p)
 	} else {
 		err = s.serveWithRetries(x, p)
@@ -46,7 +46,8 @@
 	}
 }
 
-// isSafe tells whether a method may be repeated (RFC 9110, 9.2.1).
+// isSafe reports whether a method is safe, so that a call may be repeated (RFC 9110,
+// 9.2.1).
 func isSafe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -56,8 +57,8 @@
 	}
 }
 
-// serveKeyed runs a call with an idempotency key: only once its intent is recorded
-// at the key's home, and then exactly one attempt that may reach an engine.
+// serveKeyed serves a call with an idempotency key. The call is sent only after its intent
+// has been recorded at the key's home, and at most one attempt may reach an engine.
 func (s *Server) serveKeyed(x *exchange, p *payload) error {
 	digest, err := s.requestDigest(x, p)
 	if err != nil {
@@ -71,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	s.Log.Info("key looked up", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("verdict", verdictName(verdict)))
+	s.Log.Info("looked up idempotency key", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("verdict", verdictName(verdict)))
 	switch v := verdict.(type) {
 	case once.Run:
 		return s.runOnce(x, p, call)
@@ -106,11 +107,11 @@
 	}
 }
 
-// recordTimeout bounds the recording of an answer after the call has ended.
+// recordTimeout bounds the time to record the outcome after the call has ended.
 const recordTimeout = 5 * time.Second
 
-// runOnce makes the call and records what became of it. The record is made
-// even where the caller has gone, and before an abort.
+// runOnce makes the call and records its outcome, even if the caller disconnects or the
+// answer is aborted.
 func (s *Server) runOnce(x *exchange, p *payload, call once.Call) (err error) {
 	p.recorder = &recorder{save: func(r *recorder) {
 		s.recordOutcome(x, p, call, true, nil)
@@ -119,11 +120,12 @@
 	x.r = x.r.WithContext(context.WithoutCancel(x.r.Context()))
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.req.Deadline)
 	defer cancel()
-	// The call goes on when its caller goes: the answer is for the repeat.
+	// The call continues if its caller disconnects, so that a repeat gets the answer.
 	x.r = x.r.WithContext(ctx)
 	completed := false
 	defer func() {
-		// A panic is the abort of an answer that broke: its outcome is lost.
+		// After a panic, which aborts a broken answer, completed is false and the
+		// outcome is recorded as lost.
 		if !p.recorder.saved {
 			s.recordOutcome(x, p, call, completed, err)
 		}
@@ -147,12 +149,12 @@
 		recordErr = s.Keys.Lose(ctx, call)
 	}
 	if recordErr != nil {
-		s.Log.Warn("key not finished", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
+		s.Log.Warn("failed to record outcome of call with idempotency key", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
 	}
 }
 
-// storableAnswer gives what the key's home may keep of an answer: its body only
-// where the selectors allow the request in that region.
+// storableAnswer returns the part of an answer that may be stored at the key's home. The
+// body is included only if the selectors permit the request in that region.
 func (s *Server) storableAnswer(x *exchange, p *payload) once.Answer {
 	answer := p.recorder.answer()
 	if !s.regionPermitted(x, x.req.Home) {
@@ -176,7 +178,8 @@
 	s.Metrics.Request(x.req.Service, "replayed")
 }
 
-// requestDigest tells two requests with one key apart.
+// requestDigest returns a digest that differs between different requests with the same
+// key. It reads a short body into memory.
 func (s *Server) requestDigest(x *exchange, p *payload) (uint64, error) {
 	hash := xxhash.New()
 	for _, part := range []string{x.r.Method, x.r.URL.RequestURI(), x.r.Header.Get("Content-Type")} {
@@ -195,20 +198,20 @@
 		return 0, request.BadRequestf("the body ended early: %d of %d bytes", len(data), p.length)
 	}
 	_, _ = hash.Write(data)
-	// One more read sees the end, so that the connection can be kept.
+	// Another read sees the end of the body, so that net/http can reuse the connection.
 	_, _ = p.unbuffered.Read(make([]byte, 1))
 	p.buffered, p.unbuffered = data, nil
 	return hash.Sum64(), nil
 }
 
-// recorder keeps an answer as it passes.
+// recorder records an answer while it is delivered.
 type recorder struct {
 	status   int
 	header   http.Header
 	body     bytes.Buffer
-	tooLong  bool // the body is too long to keep
-	complete bool // the engine's answer has come to its end
-	saved    bool // and has been recorded
+	tooLong  bool // the body exceeds once.MaxBody and is not recorded
+	complete bool // the engine's answer is complete
+	saved    bool // save has recorded the answer at the key's home
 	save     func(*recorder)
 }
 
@@ -218,7 +221,7 @@
 	r.header.Del("Set-Cookie")
 }
 
-// observe implements relay.Look: everything may pass.
+// observe is a relay.Look that records each chunk and lets all of it pass.
 func (r *recorder) observe(chunk []byte) (keep int, end bool) {
 	r.appendBody(chunk)
 	return len(chunk), false
@@ -233,9 +236,9 @@
 	r.body.Write(data)
 }
 
-// readPrefix reads as much of the answer as may be kept. Where that is all of it,
-// the record is made before the caller gets the first byte, so that one who
-// has an answer never finds his key in progress.
+// readPrefix reads as much of the answer as can be recorded. If that is the whole answer,
+// it is recorded before the caller gets the first byte. So a caller that has its answer
+// never finds its key still in progress.
 func (r *recorder) readPrefix(body io.Reader) (prefix []byte, complete bool, err error) {
 	prefix, err = io.ReadAll(io.LimitReader(body, once.MaxBody+1))
 	if err != nil {
@@ -249,8 +252,8 @@
 	return prefix, r.complete, nil
 }
 
-// finish notes the end of the answer. Where only the caller has gone, the rest
-// of the answer is read for the record.
+// finish records the end of the answer. If only the caller failed, it reads the rest of
+// the answer for the record.
 func (r *recorder) finish(resp *http.Response, err error) {
 	if r.complete {
 		return
@@ -261,7 +264,7 @@
 	r.complete = err == nil
 }
 
-// writerFunc makes a function an io.Writer.
+// writerFunc adapts a function to io.Writer.
 type writerFunc func([]byte)
 
 // Write implements io.Writer.
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -17,7 +17,7 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// exchange is one request on its way through the filters.
+// exchange is the state of one request in the filters.
 type exchange struct {
 	w          http.ResponseWriter
 	r          *http.Request
@@ -26,7 +26,7 @@
 	config     declare.Config
 	service    declare.Service
 	receivedAt time.Time
-	handedOver bool // handed over: the region is this one
+	handedOver bool // by another entry host; the request must be served in this region
 }
 
 func (s *Server) serveCaller(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
@@ -58,7 +58,7 @@
 	s.serve(&exchange{w: w, r: r, req: req, receivedAt: now, handedOver: true})
 }
 
-// serve runs the filters. Every way out writes one final answer or aborts the
+// serve runs the filters. It always either writes a complete answer or aborts the
 // connection.
 func (s *Server) serve(x *exchange) {
 	defer s.Metrics.Begin(x.req.Service)()
@@ -83,7 +83,7 @@
 	s.servePlain(x)
 }
 
-// permit decides, without touching the body, whether this host may have it.
+// permit checks whether this host may serve the request. It does not read the body.
 func (s *Server) permit(x *exchange) error {
 	if s.stopping.Load() {
 		return &request.NotRun{Reason: request.ReasonStopping, Message: "this host is stopping", RetryAfter: time.Second}
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// redirectLocation gives a URL on an entry host that may take the request,
-// or "" where none is known or the request has been handed over already.
+// redirectLocation returns the request's URL on an entry host that may serve it. It
+// returns "" if no such host is known, or if the request was already handed over.
 func (s *Server) redirectLocation(x *exchange) string {
 	if x.handedOver {
 		return ""
@@ -127,7 +127,7 @@
 
 func quote(s string) string { return `"` + strings.ReplaceAll(s, `"`, `'`) + `"` }
 
-// logError writes the line of a decision that ends a request.
+// logError logs and counts the error that ends a request.
 func (s *Server) logError(req request.Request, refusal request.Refusal) {
 	fields := []zap.Field{
 		zap.String("request", req.ID),
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -1,5 +1,5 @@
-// This file defines how refusals are written, in the form that each
-// interface's clients expect, and without reading an unread body.
+// This file defines how errors are written in the form that clients of each interface
+// expect, without reading an unread body.
 
 package gateway
 
@@ -16,8 +16,8 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// errorBody is the error form of the OpenAI interface; plain services' callers
-// get the same JSON.
+// errorBody is the error format of the OpenAI interface. Callers of plain services get the
+// same JSON.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// writeError writes the final answer of a request that no engine answers. A body
-// that has not been read stays unread.
+// writeError writes the error as the final answer to a request. It does not read an unread
+// body.
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, req request.Request, refusal request.Refusal) {
 	s.logError(req, refusal)
 	data, err := json.Marshal(errorBodyOf(refusal))
@@ -82,7 +82,7 @@
 
 func mayHaveBody(r *http.Request) bool { return r.Body != nil && r.Body != http.NoBody }
 
-// trackedBody marks a body that has been read to its end.
+// trackedBody records whether a request body has been read to its end.
 type trackedBody struct {
 	io.ReadCloser
 	atEnd     bool
@@ -103,13 +103,14 @@
 	return ok && b.atEnd
 }
 
-// lingerTime is how long a refused caller has to read the refusal before the
-// connection is reset by what it still sends.
+// lingerTime is the time for which a connection with an unread body stays open after an
+// error was written, so that the caller can read the error before the connection is
+// reset.
 const lingerTime = 300 * time.Millisecond
 
-// writeErrorAndClose answers on the bare connection and closes it. net/http would
-// read up to 256 KiB of the body first, and a host that a selector forbids
-// must not take in one byte.
+// writeErrorAndClose writes an error to the hijacked connection and closes it. Otherwise,
+// net/http would read up to 256 KiB of the body first, but a host that the selectors
+// forbid must not receive any byte of it.
 func (s *Server) writeErrorAndClose(w http.ResponseWriter, status int, header http.Header, data []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -128,10 +129,11 @@
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
-	// Waiting without reading lets the refusal arrive before the reset.
+	// Close only after a delay: closing a connection with unread data resets it, which
+	// could discard the error before the caller reads it.
 	time.Sleep(lingerTime)
 }
 
-// abortConnection ends a connection whose answer can't be completed, so that the caller
-// sees it fail.
+// abortConnection closes the connection of an answer that can't be completed, so that the
+// caller sees it fail.
 func abortConnection() { panic(http.ErrAbortHandler) }
