--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -25,66 +25,66 @@
 )
 
 const (
-	chatPath = "/services/assistant/v1/chat/completions"
-	anywhere = "region in (a, b)"
-	tokens   = 6
+	chatPath    = "/services/assistant/v1/chat/completions"
+	bothRegions = "region in (a, b)"
+	tokenCount  = 6
 )
 
 func chatBody(stream bool) string {
-	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, modelName, stream, tokens)
+	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, modelName, stream, tokenCount)
 }
 
-// one gives an entry host of region a before a single model engine and a
-// single plain service.
-func one(t *testing.T) (*entry, *standin.Engine, *standin.Plain) {
+// newHostWithEngines returns an entry host of region a with one model engine and one plain
+// service.
+func newHostWithEngines(t *testing.T) (*testHost, *standin.Engine, *standin.Plain) {
 	t.Helper()
 	engine := standin.NewEngine(standin.EngineOptions{Name: "e1"})
 	plain := standin.NewPlain("p1", 0)
-	all := objects(anywhere, engineAt("e1", modelService, "da", serve(t, engine)), engineAt("p1", plainService, "da", serve(t, plain)))
-	return newEntry(t, "a", all), engine, plain
+	all := declarations(bothRegions, newEngine("e1", modelService, "da", serveLoopback(t, engine)), newEngine("p1", plainService, "da", serveLoopback(t, plain)))
+	return newTestHost(t, "a", all), engine, plain
 }
 
-// two gives an entry host before two model engines.
-func two(t *testing.T) (*entry, *standin.Engine, *standin.Engine) {
+// newHostWithTwoModelEngines returns an entry host of region a with two model engines.
+func newHostWithTwoModelEngines(t *testing.T) (*testHost, *standin.Engine, *standin.Engine) {
 	t.Helper()
 	a, b := standin.NewEngine(standin.EngineOptions{Name: "e1"}), standin.NewEngine(standin.EngineOptions{Name: "e2"})
-	all := objects(anywhere, engineAt("e1", modelService, "da", serve(t, a)), engineAt("e2", modelService, "da", serve(t, b)))
-	return newEntry(t, "a", all), a, b
+	all := declarations(bothRegions, newEngine("e1", modelService, "da", serveLoopback(t, a)), newEngine("e2", modelService, "da", serveLoopback(t, b)))
+	return newTestHost(t, "a", all), a, b
 }
 
-// whole tells whether an answer holds every token once, in order, and ends as
-// it should.
-func whole(a answer, stream bool) bool {
+// isComplete reports whether an answer contains each token exactly once and in order, and
+// ends properly.
+func isComplete(a answer, stream bool) bool {
 	if a.err != nil || a.status != http.StatusOK {
 		return false
 	}
 	if stream && (strings.Count(a.body, "[DONE]") != 1 || !strings.HasSuffix(a.body, "data: [DONE]\n\n")) {
 		return false
 	}
-	at := 0
-	for i := range tokens {
-		next := strings.Index(a.body[at:], fmt.Sprintf(" t%d", i))
-		if next < 0 || strings.Count(a.body, fmt.Sprintf(" t%d", i)) != 1 {
+	offset := 0
+	for i := range tokenCount {
+		found := strings.Index(a.body[offset:], fmt.Sprintf(" t%d", i))
+		if found < 0 || strings.Count(a.body, fmt.Sprintf(" t%d", i)) != 1 {
 			return false
 		}
-		at += next
+		offset += found
 	}
 	return true
 }
 
-func TestAnswers(t *testing.T) {
-	e, _, plain := one(t)
-	must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
-	must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(true)), true))
-	a := e.call(t, http.MethodPut, "/services/portal/drill/7", strings.Repeat("x", 3<<20), "Order", "o7")
+func TestModelAndPlainServicesAnswer(t *testing.T) {
+	host, _, plain := newHostWithEngines(t)
+	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(true)), true))
+	a := host.call(t, http.MethodPut, "/services/portal/drill/7", strings.Repeat("x", 3<<20), "Order", "o7")
 	must.Eq(t, http.StatusOK, a.status)
 	must.Eq(t, 3<<20, plain.Bytes())
 	must.Eq(t, 1, plain.Ran("o7"))
 }
 
 func TestOpenAIClient(t *testing.T) {
-	e, _, _ := one(t)
-	client := openai.NewClient(option.WithBaseURL(e.callers+"/services/assistant/v1/"), option.WithAPIKey("none"), option.WithHeader(request.HeaderHome, "a"), option.WithMaxRetries(0))
+	host, _, _ := newHostWithEngines(t)
+	client := openai.NewClient(option.WithBaseURL(host.callersURL+"/services/assistant/v1/"), option.WithAPIKey("none"), option.WithHeader(request.HeaderHome, "a"), option.WithMaxRetries(0))
 	params := openai.ChatCompletionNewParams{Model: modelName, Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")}}
 	got, err := client.Chat.Completions.New(context.Background(), params)
 	must.NoError(t, err)
@@ -101,14 +101,14 @@
 	must.Eq(t, modelName, models.Data[0].ID)
 	params.Model = "other"
 	_, err = client.Chat.Completions.New(context.Background(), params)
-	var refused *openai.Error
-	must.True(t, errors.As(err, &refused))
-	must.Eq(t, http.StatusBadRequest, refused.StatusCode)
-	must.StrContains(t, refused.Message, `has no model "other"`)
+	var apiErr *openai.Error
+	must.True(t, errors.As(err, &apiErr))
+	must.Eq(t, http.StatusBadRequest, apiErr.StatusCode)
+	must.StrContains(t, apiErr.Message, `has no model "other"`)
 }
 
-// TestBrokenAnswersAreVisible lets an engine break every answer in each way.
-// The caller must get the whole answer or see that it failed.
+// An engine breaks its answers in each possible way. The caller must get the complete
+// answer or see that it failed.
 func TestBrokenAnswersAreVisible(t *testing.T) {
 	faults := []standin.Fault{
 		standin.FaultCut, standin.FaultDie, standin.FaultEnd, standin.FaultStall, standin.FaultRefuse, standin.FaultError,
@@ -117,55 +117,55 @@
 	for _, fault := range faults {
 		for _, stream := range []bool{false, true} {
 			if stream && fault == standin.FaultGarbage {
-				continue // what an event says isn't looked at
+				continue // the content of events is not checked
 			}
 			t.Run(fmt.Sprintf("%s/stream=%t", fault, stream), func(t *testing.T) {
 				t.Parallel()
-				e, engine, _ := one(t)
+				host, engine, _ := newHostWithEngines(t)
 				engine.SetFault(fault, -1)
-				a := e.call(t, http.MethodPost, chatPath, chatBody(stream), request.HeaderDeadline, "1s")
-				complete := whole(a, stream)
+				a := host.call(t, http.MethodPost, chatPath, chatBody(stream), request.HeaderDeadline, "1s")
+				complete := isComplete(a, stream)
 				resumable := stream && (fault == standin.FaultCut || fault == standin.FaultTwice)
 				must.Eq(t, resumable, complete, must.Sprintf("%+v", a))
 				if !complete {
-					must.True(t, a.err != nil || a.status >= 400, must.Sprintf("a clean end: %+v", a))
+					must.True(t, a.err != nil || a.status >= 400, must.Sprintf("incomplete answer ended without an error: %+v", a))
 				}
 			})
 		}
 	}
 }
 
-func TestStreamIsResumedFromTheLastByte(t *testing.T) {
-	e, engine, _ := one(t)
+func TestStreamResumesAfterLastByte(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
 	engine.SetFault(standin.FaultCut, 1)
-	must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(true)), true))
-	must.Eq(t, 1, engine.Stats().Started, must.Sprint("the engine must not run it again"))
+	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(true)), true))
+	must.Eq(t, 1, engine.Stats().Started, must.Sprint("the engine must run the request only once"))
 }
 
-func TestRefusedByOneEngineRunsOnAnother(t *testing.T) {
+func TestRequestRejectedByOneEngineRunsOnAnother(t *testing.T) {
 	first := standin.NewEngine(standin.EngineOptions{Name: "e1"})
 	second := standin.NewEngine(standin.EngineOptions{Name: "e2"})
 	first.SetFault(standin.FaultRefuse, -1)
-	e := newEntry(t, "a", objects(anywhere, engineAt("e1", modelService, "da", serve(t, first)), engineAt("e2", modelService, "da", serve(t, second))))
+	host := newTestHost(t, "a", declarations(bothRegions, newEngine("e1", modelService, "da", serveLoopback(t, first)), newEngine("e2", modelService, "da", serveLoopback(t, second))))
 	for range 5 {
-		must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
 	must.Eq(t, 5, second.Stats().Finished)
 }
 
-// TestForbiddenHostReadsNoByteOfTheBody sends a request to a host that the
-// selectors forbid, and counts what the host reads from the connection.
-func TestForbiddenHostReadsNoByteOfTheBody(t *testing.T) {
-	e := newEntry(t, "a", objects("region=b"))
-	other := newEntry(t, "b", objects("region=b"))
-	for _, known := range []bool{false, true} {
+// A host that the selectors forbid must not read any byte of the body. The test counts the
+// bytes that the host reads from the connection.
+func TestForbiddenHostReadsNoBody(t *testing.T) {
+	host := newTestHost(t, "a", declarations("region=b"))
+	other := newTestHost(t, "b", declarations("region=b"))
+	for _, peerKnown := range []bool{false, true} {
 		status := "403 Forbidden"
-		if known {
-			e.entries = []declare.Host{other.object()}
+		if peerKnown {
+			host.peers = []declare.Host{other.declaration()}
 			status = "307 Temporary Redirect"
 		}
-		e.reads.Store(0)
-		conn, err := net.Dial("tcp", strings.TrimPrefix(e.callers, "http://"))
+		host.callerBytes.Store(0)
+		conn, err := net.Dial("tcp", strings.TrimPrefix(host.callersURL, "http://"))
 		must.NoError(t, err)
 		head := "POST " + chatPath + " HTTP/1.1\r\nHost: x\r\nLinenscale-Home: a\r\nContent-Length: 100000\r\n\r\n"
 		_, err = io.WriteString(conn, head)
@@ -175,33 +175,33 @@
 		must.Eq(t, status, resp.Status)
 		must.Eq(t, request.NotRunValue, resp.Header.Get(request.HeaderOutcome))
 		must.True(t, resp.Close)
-		if known {
-			must.Eq(t, other.callers+chatPath, resp.Header.Get("Location"))
+		if peerKnown {
+			must.Eq(t, other.callersURL+chatPath, resp.Header.Get("Location"))
 		}
 		_, _ = io.WriteString(conn, strings.Repeat("secret", 10_000))
 		time.Sleep(50 * time.Millisecond)
-		must.Eq(t, int64(len(head)), e.reads.Load(), must.Sprint("bytes read by the forbidden host"))
+		must.Eq(t, int64(len(head)), host.callerBytes.Load(), must.Sprint("bytes read by the forbidden host"))
 		conn.Close()
 	}
 }
 
-func TestContradictoryPermitsPassARequestOnce(t *testing.T) {
-	// a permits both regions and would hand over to b; b permits only a, and
-	// has a's engines too, so that it would hand back if it could.
-	a := newEntry(t, "a", objects(anywhere))
-	b := newEntry(t, "b", objects("region=a"))
-	a.entries, b.entries = []declare.Host{b.object()}, []declare.Host{a.object()}
-	b.regions = []route.Digest{{Region: "a", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
-	a.regions = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
+func TestConflictingPermitsHandOverOnce(t *testing.T) {
+	// a permits both regions and hands the request over to b. b permits only a, so it
+	// would hand the request back if it could.
+	a := newTestHost(t, "a", declarations(bothRegions))
+	b := newTestHost(t, "b", declarations("region=a"))
+	a.peers, b.peers = []declare.Host{b.declaration()}, []declare.Host{a.declaration()}
+	b.remoteDigests = []route.Digest{{Region: "a", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
+	a.remoteDigests = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
 	got := a.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderHome, "b")
 	must.Eq(t, request.NotRunValue, got.header.Get(request.HeaderOutcome))
-	must.Eq(t, 1, b.arrived.Load())
-	must.Eq(t, 0, a.arrived.Load())
+	must.Eq(t, 1, b.handovers.Load())
+	must.Eq(t, 0, a.handovers.Load())
 }
 
-func TestHandedOverTwiceIsRefused(t *testing.T) {
-	e, engine, _ := one(t)
-	req, err := http.NewRequest(http.MethodPost, "http://"+e.handover+chatPath, strings.NewReader(chatBody(false)))
+func TestSecondHandoverIsRejected(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
+	req, err := http.NewRequest(http.MethodPost, "http://"+host.handoverAddress+chatPath, strings.NewReader(chatBody(false)))
 	must.NoError(t, err)
 	req.Header.Set(request.HeaderHome, "a")
 	req.Header.Set("Linenscale-Handover-Path", "x,y")
@@ -213,48 +213,48 @@
 	must.Eq(t, 0, engine.Stats().Started)
 }
 
-func TestHandoverGoesHomeAndComesBackWhole(t *testing.T) {
+func TestHandoverToHomeRegionDeliversWholeAnswer(t *testing.T) {
 	engine := standin.NewEngine(standin.EngineOptions{Name: "eb"})
 	plain := standin.NewPlain("pb", 0)
-	all := objects(anywhere, engineAt("eb", modelService, "db", serve(t, engine)), engineAt("pb", plainService, "db", serve(t, plain)))
-	a, b := newEntry(t, "a", all), newEntry(t, "b", all)
-	a.entries = []declare.Host{b.object()}
-	a.regions = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
-	must.True(t, whole(a.call(t, http.MethodPost, chatPath, chatBody(true), request.HeaderHome, "b"), true))
-	must.True(t, whole(a.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderHome, "b"), false))
-	up := a.call(t, http.MethodPut, "/services/portal/x", strings.Repeat("y", 1<<20), request.HeaderHome, "b", "Order", "up")
-	must.Eq(t, http.StatusOK, up.status)
+	all := declarations(bothRegions, newEngine("eb", modelService, "db", serveLoopback(t, engine)), newEngine("pb", plainService, "db", serveLoopback(t, plain)))
+	a, b := newTestHost(t, "a", all), newTestHost(t, "b", all)
+	a.peers = []declare.Host{b.declaration()}
+	a.remoteDigests = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
+	must.True(t, isComplete(a.call(t, http.MethodPost, chatPath, chatBody(true), request.HeaderHome, "b"), true))
+	must.True(t, isComplete(a.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderHome, "b"), false))
+	upload := a.call(t, http.MethodPut, "/services/portal/x", strings.Repeat("y", 1<<20), request.HeaderHome, "b", "Order", "up")
+	must.Eq(t, http.StatusOK, upload.status)
 	must.Eq(t, 1<<20, plain.Bytes())
 	engine.SetFault(standin.FaultDie, -1)
 	broken := a.call(t, http.MethodPost, chatPath, chatBody(true), request.HeaderHome, "b")
 	must.True(t, broken.err != nil || broken.status >= 400, must.Sprintf("%+v", broken))
 }
 
-func TestLateAnswerReachesNobody(t *testing.T) {
-	e, engine, _ := one(t)
+func TestLateAnswerIsDiscarded(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
 	engine.SetFault(standin.FaultLate, 1)
-	late := e.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderDeadline, "100ms")
+	late := host.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderDeadline, "100ms")
 	must.GreaterEq(t, 400, late.status)
-	must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 }
 
-func TestSecondAnswerReachesNobody(t *testing.T) {
-	e, _, plain := one(t)
+func TestSecondAnswerIsDiscarded(t *testing.T) {
+	host, _, plain := newHostWithEngines(t)
 	for i := range 20 {
 		plain.SetFault(standin.FaultTwice, 1)
-		first := e.call(t, http.MethodGet, fmt.Sprintf("/services/portal/first-%d", i), "")
+		first := host.call(t, http.MethodGet, fmt.Sprintf("/services/portal/first-%d", i), "")
 		must.StrContains(t, first.body, fmt.Sprintf("first-%d", i))
-		second := e.call(t, http.MethodGet, fmt.Sprintf("/services/portal/second-%d", i), "")
+		second := host.call(t, http.MethodGet, fmt.Sprintf("/services/portal/second-%d", i), "")
 		must.StrContains(t, second.body, fmt.Sprintf("second-%d", i))
 	}
 }
 
-func TestCancelledCallerCancelsTheEngine(t *testing.T) {
-	e, engine, _ := one(t)
+func TestCallerCancellationReachesEngine(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
 	engine.SetFault(standin.FaultStall, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.callers+chatPath, strings.NewReader(chatBody(true)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, host.callersURL+chatPath, strings.NewReader(chatBody(true)))
 	must.NoError(t, err)
 	req.Header.Set(request.HeaderHome, "a")
 	resp, err := http.DefaultClient.Do(req)
@@ -264,38 +264,38 @@
 	}
 	must.Error(t, err)
 	for range 100 {
-		if engine.Stats().Cancelled == 1 && e.fleet.InFlight("e1") == 0 {
+		if engine.Stats().Cancelled == 1 && host.fleet.InFlight("e1") == 0 {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("not cancelled: %+v, in flight %d", engine.Stats(), e.fleet.InFlight("e1"))
+	t.Fatalf("not cancelled: %+v, in flight %d", engine.Stats(), host.fleet.InFlight("e1"))
 }
 
 func TestUnrepeatableCallIsSentOnce(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultDie, standin.FaultCut, standin.FaultStall} {
-		e, _, plain := one(t)
+		host, _, plain := newHostWithEngines(t)
 		plain.SetFault(fault, -1)
-		a := e.call(t, http.MethodPost, "/services/portal/orders", "order", "Order", "o1", request.HeaderDeadline, "500ms")
+		a := host.call(t, http.MethodPost, "/services/portal/orders", "order", "Order", "o1", request.HeaderDeadline, "500ms")
 		must.True(t, a.err != nil || a.header.Get(request.HeaderOutcome) == request.OutcomeUnknownValue, must.Sprintf("%s: %+v", fault, a))
 		must.Eq(t, 1, plain.Ran("o1"), must.Sprint(fault))
 	}
 }
 
-func TestUnreachableEngineIsNotRun(t *testing.T) {
+func TestCallToUnreachableEngineIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	listener.Close()
-	e := newEntry(t, "a", objects(anywhere, engineAt("p1", plainService, "da", listener.Addr().String())))
-	a := e.call(t, http.MethodPost, "/services/portal/orders", "order")
+	host := newTestHost(t, "a", declarations(bothRegions, newEngine("p1", plainService, "da", listener.Addr().String())))
+	a := host.call(t, http.MethodPost, "/services/portal/orders", "order")
 	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
 	must.NotEq(t, "", a.header.Get("Retry-After"))
 }
 
 func TestKeyedCallRunsOnce(t *testing.T) {
-	e, _, plain := one(t)
+	host, _, plain := newHostWithEngines(t)
 	order := func(body string) answer {
-		return e.call(t, http.MethodPost, "/services/portal/orders", body, request.HeaderIdempotency, "k1", "Order", "o1")
+		return host.call(t, http.MethodPost, "/services/portal/orders", body, request.HeaderIdempotency, "k1", "Order", "o1")
 	}
 	first := order("two boards")
 	must.Eq(t, http.StatusOK, first.status)
@@ -305,43 +305,43 @@
 	other := order("three boards")
 	must.Eq(t, http.StatusConflict, other.status)
 	must.Eq(t, 1, plain.Ran("o1"))
-	stranger := e.call(t, http.MethodPost, "/services/portal/orders", "two boards", request.HeaderIdempotency, "k1", request.HeaderAccount, "other", "Order", "o2")
-	must.Eq(t, "", stranger.header.Get("Idempotency-Replayed"), must.Sprint("the key belongs to an account"))
+	otherAccount := host.call(t, http.MethodPost, "/services/portal/orders", "two boards", request.HeaderIdempotency, "k1", request.HeaderAccount, "other", "Order", "o2")
+	must.Eq(t, "", otherAccount.header.Get("Idempotency-Replayed"), must.Sprint("a key is valid for one account only"))
 }
 
-func TestKeyedCallWhoseAnswerBrokeStaysUnknown(t *testing.T) {
-	e, _, plain := one(t)
+func TestKeyedCallWithBrokenAnswerStaysUnknown(t *testing.T) {
+	host, _, plain := newHostWithEngines(t)
 	plain.SetFault(standin.FaultDie, 1)
 	order := func() answer {
-		return e.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
+		return host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
 	}
 	must.Eq(t, request.OutcomeUnknownValue, order().header.Get(request.HeaderOutcome))
 	must.Eq(t, request.OutcomeUnknownValue, order().header.Get(request.HeaderOutcome))
 	must.Eq(t, 1, plain.Ran("o1"))
 }
 
-func TestKeyedCallWithoutItsHomeIsNotRun(t *testing.T) {
-	e, _, plain := one(t)
-	e.keys.down.Store(true)
-	a := e.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
+func TestKeyedCallIsNotRunWithoutItsHomeRegion(t *testing.T) {
+	host, _, plain := newHostWithEngines(t)
+	host.keys.unavailable.Store(true)
+	a := host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
 	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
 	must.Eq(t, 0, plain.Ran("o1"))
-	e.keys.down.Store(false)
-	must.Eq(t, http.StatusOK, e.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1").status)
+	host.keys.unavailable.Store(false)
+	must.Eq(t, http.StatusOK, host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1").status)
 }
 
-func TestWithoutALeaseNothingRuns(t *testing.T) {
-	e, engine, _ := one(t)
-	e.noLease.Store(true)
-	a := e.call(t, http.MethodPost, chatPath, chatBody(false))
+func TestNoRequestRunsWithoutLease(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
+	host.noLease.Store(true)
+	a := host.call(t, http.MethodPost, chatPath, chatBody(false))
 	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	must.Eq(t, 0, engine.Stats().Started)
-	must.Eq(t, http.StatusServiceUnavailable, e.call(t, http.MethodGet, "/readyz", "").status)
+	must.Eq(t, http.StatusServiceUnavailable, host.call(t, http.MethodGet, "/readyz", "").status)
 }
 
-func TestBadInput(t *testing.T) {
-	e, engine, plain := one(t)
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	host, engine, plain := newHostWithEngines(t)
 	cases := []struct {
 		name, path, body string
 		headers          []string
@@ -363,7 +363,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a := e.call(t, http.MethodPost, c.path, c.body, c.headers...)
+			a := host.call(t, http.MethodPost, c.path, c.body, c.headers...)
 			must.Eq(t, c.status, a.status, must.Sprintf("%+v", a))
 		})
 	}
@@ -371,9 +371,9 @@
 	must.Eq(t, 0, plain.Bytes())
 }
 
-func TestBodyThatEndsEarlyRunsNothing(t *testing.T) {
-	e, engine, _ := one(t)
-	conn, err := net.Dial("tcp", strings.TrimPrefix(e.callers, "http://"))
+func TestTruncatedBodyIsNotRun(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
+	conn, err := net.Dial("tcp", strings.TrimPrefix(host.callersURL, "http://"))
 	must.NoError(t, err)
 	_, err = io.WriteString(conn, "POST "+chatPath+" HTTP/1.1\r\nHost: x\r\nLinenscale-Home: a\r\nContent-Length: 1000\r\n\r\n{\"model\":")
 	must.NoError(t, err)
@@ -384,9 +384,9 @@
 	must.Eq(t, 0, engine.Stats().Started)
 }
 
-// TestAnswerWithoutALengthIsNotPassedOn lets a service end its answer by
-// closing the connection, which looks the same as a cut.
-func TestAnswerWithoutALengthIsNotPassedOn(t *testing.T) {
+// A service ends its answer by closing the connection, which can't be told apart from a
+// connection that broke before the end of the answer.
+func TestAnswerWithoutLengthIsNotDelivered(t *testing.T) {
 	service := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
@@ -394,27 +394,27 @@
 			conn.Close()
 		}
 	})
-	e := newEntry(t, "a", objects(anywhere, engineAt("p1", plainService, "da", serve(t, service))))
-	a := e.call(t, http.MethodGet, "/services/portal/x", "")
+	host := newTestHost(t, "a", declarations(bothRegions, newEngine("p1", plainService, "da", serveLoopback(t, service))))
+	a := host.call(t, http.MethodGet, "/services/portal/x", "")
 	must.Eq(t, http.StatusBadGateway, a.status)
 	must.StrNotContains(t, a.body, "half an answer")
 }
 
-func TestEnginesAnswersCannotForgeOutcomes(t *testing.T) {
+func TestEngineCannotForgeOutcome(t *testing.T) {
 	service := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(request.HeaderOutcome, request.NotRunValue)
 		w.Header().Set(relay.HeaderAttempt, "x")
 		_, _ = io.WriteString(w, "done")
 	})
-	e := newEntry(t, "a", objects(anywhere, engineAt("p1", plainService, "da", serve(t, service))))
-	a := e.call(t, http.MethodPost, "/services/portal/x", "")
+	host := newTestHost(t, "a", declarations(bothRegions, newEngine("p1", plainService, "da", serveLoopback(t, service))))
+	a := host.call(t, http.MethodPost, "/services/portal/x", "")
 	must.Eq(t, http.StatusOK, a.status)
 	must.Eq(t, "", a.header.Get(request.HeaderOutcome))
 }
 
-// TestSlowCallerIsLetGo lets a caller ask for a long answer and read nothing of
-// it. Others must be served meanwhile, and the engine's slot given back.
-func TestSlowCallerIsLetGo(t *testing.T) {
+// A caller requests a long answer but reads none of it. Other callers must be served in
+// the meantime, and the engine's slot must be released.
+func TestSlowCallerIsDisconnected(t *testing.T) {
 	service := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/long" {
 			return
@@ -426,32 +426,32 @@
 			}
 		}
 	})
-	e := newEntry(t, "a", objects(anywhere, engineAt("p1", plainService, "da", serve(t, service))))
-	conn, err := net.Dial("tcp", strings.TrimPrefix(e.callers, "http://"))
+	host := newTestHost(t, "a", declarations(bothRegions, newEngine("p1", plainService, "da", serveLoopback(t, service))))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(host.callersURL, "http://"))
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET /services/portal/long HTTP/1.1\r\nHost: x\r\nLinenscale-Home: a\r\n\r\n")
 	must.NoError(t, err)
-	must.Eq(t, http.StatusOK, e.call(t, http.MethodGet, "/services/portal/short", "").status)
+	must.Eq(t, http.StatusOK, host.call(t, http.MethodGet, "/services/portal/short", "").status)
 	for range 200 {
-		if e.fleet.InFlight("p1") == 0 && e.server.InFlight() == 0 {
+		if host.fleet.InFlight("p1") == 0 && host.server.InFlight() == 0 {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatal("the slow caller still holds its slot")
+	t.Fatal("the slow caller's slot has not been released")
 }
 
-// TestKeyedCallThatIsHandedOverAsksItsHomeOnce lets a call with a key arrive away
-// from its home region: the host that took it in has recorded the intent, so the
-// one that it is handed to must not take that for an earlier call.
-func TestKeyedCallThatIsHandedOverAsksItsHomeOnce(t *testing.T) {
+// A call with an idempotency key is handed over to its home region after the first host
+// has recorded its intent. The second host must not mistake that intent for an earlier
+// call.
+func TestHandedOverKeyedCallRecordsIntentOnce(t *testing.T) {
 	plain := standin.NewPlain("pb", 0)
-	all := objects(anywhere, engineAt("pb", plainService, "db", serve(t, plain)))
-	a, b := newEntry(t, "a", all), newEntry(t, "b", all)
-	b.keys.table = a.keys.table // one home
-	a.entries = []declare.Host{b.object()}
-	a.regions = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
+	all := declarations(bothRegions, newEngine("pb", plainService, "db", serveLoopback(t, plain)))
+	a, b := newTestHost(t, "a", all), newTestHost(t, "b", all)
+	b.keys.table = a.keys.table // both hosts use the same home region
+	a.peers = []declare.Host{b.declaration()}
+	a.remoteDigests = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
 	order := func() answer {
 		return a.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderHome, "b", request.HeaderIdempotency, "k", "Order", "o1")
 	}
@@ -459,52 +459,52 @@
 	must.Eq(t, http.StatusOK, first.status, must.Sprintf("%+v", first))
 	must.Eq(t, first.body, order().body)
 	must.Eq(t, 1, plain.Ran("o1"))
-	must.Eq(t, 1, b.arrived.Load())
+	must.Eq(t, 1, b.handovers.Load())
 }
 
-// TestAnEngineThatNamesALimitIsSpared has the only engine name a limit in its answers. A host
-// that has no share of it, since it isn't declared in this region, sends it nothing more, and
-// tells callers when to come back.
-func TestAnEngineThatNamesALimitIsSpared(t *testing.T) {
-	e, engine, _ := one(t)
+// The only engine announces a rate limit. A host without a share of the limit, since it
+// is not declared in this region, must send no more requests and reject them with a
+// Retry-After.
+func TestEngineRateLimitIsRespected(t *testing.T) {
+	host, engine, _ := newHostWithEngines(t)
 	engine.SetLimit("0.25")
-	must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
-	a := e.call(t, http.MethodPost, chatPath, chatBody(false))
+	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+	a := host.call(t, http.MethodPost, chatPath, chatBody(false))
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	must.NotEq(t, "", a.header.Get("Retry-After"))
 	must.Eq(t, 1, engine.Stats().Started)
 }
 
-// TestAnEngineThatAsksForRestGetsIt has one of two engines turn all away and ask for a rest: it
-// went on getting each request first that it would have got, since a refusal for load left no mark.
-// It gets one now, and the other serves; where that asks for rest as well, callers are refused at
-// once, with the time until the first rest is over.
-func TestAnEngineThatAsksForRestGetsIt(t *testing.T) {
-	e, rests, other := two(t)
-	rests.SetRest("60")
+// One of two engines rejects requests and asks for backoff, while the other one serves
+// them. Without the backoff, the first engine would remain the preferred one and get each
+// request first. If both ask for backoff, requests are rejected at once, with the time
+// until the first backoff ends as Retry-After.
+func TestEngineInBackoffGetsNoRequests(t *testing.T) {
+	host, first, second := newHostWithTwoModelEngines(t)
+	first.SetRest("60")
 	for range 20 {
-		must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
-	must.LessEq(t, 1, rests.Stats().Refused)
-	other.SetRest("30.5")
-	must.Eq(t, http.StatusServiceUnavailable, e.call(t, http.MethodPost, chatPath, chatBody(false)).status)
-	last := e.call(t, http.MethodPost, chatPath, chatBody(false))
+	must.LessEq(t, 1, first.Stats().Refused)
+	second.SetRest("30.5")
+	must.Eq(t, http.StatusServiceUnavailable, host.call(t, http.MethodPost, chatPath, chatBody(false)).status)
+	last := host.call(t, http.MethodPost, chatPath, chatBody(false))
 	must.Eq(t, http.StatusServiceUnavailable, last.status)
-	wait, err := strconv.Atoi(last.header.Get("Retry-After"))
+	retryAfter, err := strconv.Atoi(last.header.Get("Retry-After"))
 	must.NoError(t, err)
-	must.Between(t, 25, wait, 31)
-	must.LessEq(t, 2, rests.Stats().Refused+other.Stats().Refused)
+	must.Between(t, 25, retryAfter, 31)
+	must.LessEq(t, 2, first.Stats().Refused+second.Stats().Refused)
 }
 
-// TestAnEngineThatSaysThatItLeavesGetsNothingMore has one of two engines say so in its answers.
-func TestAnEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
-	e, leaves, _ := two(t)
-	for leaves.Stats().Started == 0 {
-		must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+// One of two engines announces in its answers that it is draining.
+func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
+	host, draining, _ := newHostWithTwoModelEngines(t)
+	for draining.Stats().Started == 0 {
+		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
-	leaves.SetLeaving(true)
+	draining.SetLeaving(true)
 	for range 20 {
-		must.True(t, whole(e.call(t, http.MethodPost, chatPath, chatBody(false)), false))
+		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
-	must.LessEq(t, 2, leaves.Stats().Started)
+	must.LessEq(t, 2, draining.Stats().Started)
 }
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -27,79 +27,79 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// entry is one entry host with a fixed configuration of its own.
-type entry struct {
-	host     settings.Host
-	config   declare.Config
-	guard    permit.Guard
-	noLease  atomic.Bool
-	fleet    *fleet.Fleet
-	server   *gateway.Server
-	callers  string // URL
-	handover string
-	entries  []declare.Host
-	regions  []route.Digest
-	reads    atomic.Int64 // bytes read from callers
-	arrived  atomic.Int64 // hand-overs that came in
-	keys     *tableKeys
+// testHost is an entry host with a fixed configuration.
+type testHost struct {
+	host            settings.Host
+	config          declare.Config
+	guard           permit.Guard
+	noLease         atomic.Bool
+	fleet           *fleet.Fleet
+	server          *gateway.Server
+	callersURL      string
+	handoverAddress string
+	peers           []declare.Host
+	remoteDigests   []route.Digest
+	callerBytes     atomic.Int64 // bytes read from callers
+	handovers       atomic.Int64 // requests that other hosts handed over to this one
+	keys            *fakeIdempotencyStore
 }
 
 var (
-	_ gateway.Authority = (*entry)(nil)
-	_ gateway.Peers     = (*entry)(nil)
+	_ gateway.Authority = (*testHost)(nil)
+	_ gateway.Peers     = (*testHost)(nil)
 )
 
-func (e *entry) Serving() (permit.Guard, declare.Config, error) {
-	if e.noLease.Load() {
+func (h *testHost) Serving() (permit.Guard, declare.Config, error) {
+	if h.noLease.Load() {
 		return permit.Guard{}, declare.Config{}, &request.NotRun{Reason: request.ReasonNoLease, Message: "no lease"}
 	}
-	return e.guard, e.config, nil
+	return h.guard, h.config, nil
 }
 
-func (e *entry) Entries() []declare.Host { return e.entries }
+func (h *testHost) Entries() []declare.Host { return h.peers }
 
-func (e *entry) Regions(string) []route.Digest {
-	own := route.Digest{Region: e.host.Region, Slots: 8, At: time.Now()}
-	return append([]route.Digest{own}, e.regions...)
+func (h *testHost) Regions(string) []route.Digest {
+	own := route.Digest{Region: h.host.Region, Slots: 8, At: time.Now()}
+	return append([]route.Digest{own}, h.remoteDigests...)
 }
 
-// tableKeys is a home of keys without replication.
-type tableKeys struct {
-	mu    sync.Mutex
-	table *once.Table
-	down  atomic.Bool
+// fakeIdempotencyStore is an IdempotencyStore in memory.
+type fakeIdempotencyStore struct {
+	mu          sync.Mutex
+	table       *once.Table
+	unavailable atomic.Bool
 }
 
-func (k *tableKeys) do(call once.Call, c once.Command) (once.Verdict, error) {
-	if k.down.Load() {
+func (k *fakeIdempotencyStore) apply(call once.Call, command once.Command) (once.Verdict, error) {
+	if k.unavailable.Load() {
 		return nil, &request.NotRun{Reason: request.ReasonNoHome, Message: "the home can't be reached"}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c.Key, c.Digest, c.Attempt, c.At, c.Until = call.Key, call.Digest, call.Attempt, time.Now(), call.Until
-	return k.table.Apply(c), nil
+	command.Key, command.Digest, command.Attempt, command.At, command.Until = call.Key, call.Digest, call.Attempt, time.Now(), call.Until
+	return k.table.Apply(command), nil
 }
 
-func (k *tableKeys) Begin(_ context.Context, call once.Call) (once.Verdict, error) {
-	return k.do(call, once.Command{Op: once.OpBegin})
+func (k *fakeIdempotencyStore) Begin(_ context.Context, call once.Call) (once.Verdict, error) {
+	return k.apply(call, once.Command{Op: once.OpBegin})
 }
 
-func (k *tableKeys) Finish(_ context.Context, call once.Call, answer once.Answer) error {
-	_, err := k.do(call, once.Command{Op: once.OpFinish, Answer: &answer})
+func (k *fakeIdempotencyStore) Finish(_ context.Context, call once.Call, answer once.Answer) error {
+	_, err := k.apply(call, once.Command{Op: once.OpFinish, Answer: &answer})
 	return err
 }
 
-func (k *tableKeys) Release(_ context.Context, call once.Call) error {
-	_, err := k.do(call, once.Command{Op: once.OpRelease})
+func (k *fakeIdempotencyStore) Release(_ context.Context, call once.Call) error {
+	_, err := k.apply(call, once.Command{Op: once.OpRelease})
 	return err
 }
 
-func (k *tableKeys) Lose(_ context.Context, call once.Call) error {
-	_, err := k.do(call, once.Command{Op: once.OpLose})
+func (k *fakeIdempotencyStore) Lose(_ context.Context, call once.Call) error {
+	_, err := k.apply(call, once.Command{Op: once.OpLose})
 	return err
 }
 
-// countingListener counts the bytes that the server reads.
+// countingListener counts the bytes that the server reads from its connections.
 type countingListener struct {
 	net.Listener
 	count *atomic.Int64
@@ -121,8 +121,8 @@
 	return n, err
 }
 
-// serve serves a handler on loopback and gives its address.
-func serve(t *testing.T, handler http.Handler) string {
+// serveLoopback serves a handler on the loopback interface and returns its address.
+func serveLoopback(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	server.Config.ErrorLog = zap.NewStdLog(zap.NewNop())
@@ -139,9 +139,9 @@
 	modelName    = "m1"
 )
 
-// objects gives a configuration of regions a and b with engines in both; allow
-// is the selector of both services.
-func objects(allow string, engines ...declare.Engine) []declare.Object {
+// declarations returns a configuration with the regions a and b and the given engines.
+// Both services have the given selector.
+func declarations(selector string, engines ...declare.Engine) []declare.Object {
 	all := []declare.Object{
 		declare.Region{Name: "a"},
 		declare.Region{Name: "b"},
@@ -149,8 +149,8 @@
 		declare.DataCentre{Name: "db", Region: "b"},
 		declare.Service{Name: modelService, Type: declare.ServiceModel, Models: []string{modelName}, Policy: declare.Policy{FirstToken: time.Second}},
 		declare.Service{Name: plainService, Type: declare.ServicePlain},
-		declare.Selector{Name: "s1", Service: modelService, Allow: allow},
-		declare.Selector{Name: "s2", Service: plainService, Allow: allow},
+		declare.Selector{Name: "s1", Service: modelService, Allow: selector},
+		declare.Selector{Name: "s2", Service: plainService, Allow: selector},
 	}
 	for _, e := range engines {
 		all = append(all, e)
@@ -158,26 +158,26 @@
 	return all
 }
 
-func engineAt(name, service, dc, address string) declare.Engine {
+func newEngine(name, service, dc, address string) declare.Engine {
 	return declare.Engine{Name: name, Service: service, DataCentre: dc, Address: address, Slots: 8}
 }
 
-// newEntry starts an entry host of region a or b.
-func newEntry(t *testing.T, region string, all []declare.Object) *entry {
+// newTestHost starts an entry host in region a or b.
+func newTestHost(t *testing.T, region string, objects []declare.Object) *testHost {
 	t.Helper()
-	e := &entry{host: settings.Host{Name: "host-" + region, Region: region, DataCentre: "d" + region}, keys: &tableKeys{table: once.NewTable(100)}}
+	host := &testHost{host: settings.Host{Name: "host-" + region, Region: region, DataCentre: "d" + region}, keys: &fakeIdempotencyStore{table: once.NewTable(100)}}
 	change := declare.Change{}
-	for _, o := range all {
+	for _, o := range objects {
 		change.Puts = append(change.Puts, declare.Envelope{Object: o})
 	}
 	var err error
-	e.config, err = declare.Config{}.With(change)
+	host.config, err = declare.Config{}.With(change)
 	must.NoError(t, err)
-	rules, err := permit.New(e.config)
+	rules, err := permit.New(host.config)
 	must.NoError(t, err)
-	e.guard = permit.Guard{Current: rules}
-	e.fleet = fleet.New("host-"+region, region, time.Now, route.PrefixBounded{}, 1)
-	e.fleet.Apply(e.config, nil)
+	host.guard = permit.Guard{Current: rules}
+	host.fleet = fleet.New("host-"+region, region, time.Now, route.PrefixBounded{}, 1)
+	host.fleet.Apply(host.config, nil)
 	metrics, err := telemetry.NewMetrics()
 	must.NoError(t, err)
 	limits := settings.DefaultLimits
@@ -186,20 +186,20 @@
 	client := relay.New(&net.Dialer{Timeout: time.Second}, relay.Options{AnswerTime: limits.RequestTime})
 	t.Cleanup(client.Close)
 	var random atomic.Uint64
-	e.server = gateway.New(gateway.Deps{
-		Host: e.host, Limits: limits, Authority: e, Peers: e, Keys: e.keys, Fleet: e.fleet, Engines: client, Away: client,
+	host.server = gateway.New(gateway.Deps{
+		Host: host.host, Limits: limits, Authority: host, Peers: host, Keys: host.keys, Fleet: host.fleet, Engines: client, Away: client,
 		Log: zap.NewNop(), Metrics: metrics, Random: func() uint64 { return random.Add(0x9e3779b97f4a7c15) },
 	})
-	e.listen(t)
-	return e
+	host.startListeners(t)
+	return host
 }
 
-func (e *entry) listen(t *testing.T) {
+func (h *testHost) startListeners(t *testing.T) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := httptest.NewUnstartedServer(e.server.CallersHandler())
-	server.Listener = countingListener{listener, &e.reads}
+	server := httptest.NewUnstartedServer(h.server.CallersHandler())
+	server.Listener = countingListener{listener, &h.callerBytes}
 	server.Config.MaxHeaderBytes = settings.DefaultLimits.HeaderBytes
 	server.Config.ErrorLog = zap.NewStdLog(zap.NewNop())
 	server.Start()
@@ -207,33 +207,33 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	e.callers = server.URL
-	inner := e.server.HandoverHandler()
-	e.handover = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.arrived.Add(1)
+	h.callersURL = server.URL
+	inner := h.server.HandoverHandler()
+	h.handoverAddress = serveLoopback(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		h.handovers.Add(1)
 		inner.ServeHTTP(w, r)
 	}))
 }
 
-// object gives the declaration of an entry host, as its peers know it.
-func (e *entry) object() declare.Host {
-	return declare.Host{Name: e.host.Name, DataCentre: e.host.DataCentre, Callers: strings.TrimPrefix(e.callers, "http://"), Handover: e.handover}
+// declaration returns the declaration of the host in the configuration of its peers.
+func (h *testHost) declaration() declare.Host {
+	return declare.Host{Name: h.host.Name, DataCentre: h.host.DataCentre, Callers: strings.TrimPrefix(h.callersURL, "http://"), Handover: h.handoverAddress}
 }
 
-// answer is what a caller saw.
+// answer is the answer that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // in reading the body: the answer broke
+	err    error // while reading the body, if the answer broke
 }
 
-// call sends one request; options are header names and values in turn.
-func (e *entry) call(t *testing.T, method, path, body string, options ...string) answer {
+// call sends one request. options are alternating header names and values.
+func (h *testHost) call(t *testing.T, method, path, body string, options ...string) answer {
 	t.Helper()
-	req, err := http.NewRequest(method, e.callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, h.callersURL+path, strings.NewReader(body))
 	must.NoError(t, err)
-	req.Header.Set(request.HeaderHome, e.host.Region)
+	req.Header.Set(request.HeaderHome, h.host.Region)
 	for i := 0; i+1 < len(options); i += 2 {
 		req.Header.Set(options[i], options[i+1])
 	}
