--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -90,7 +90,7 @@
 type Report struct {
 	Running int       `json:"running"`
 	Waiting int       `json:"waiting"`
-	At      time.Time `json:"at"` // time of the measurement, by the engine's clock
+	At      time.Time `json:"at"` // time of the measurement
 }
 
 // SetReport applies a load report of an engine. A report older than the latest one is
