--- a/lease/lease.go
+++ b/lease/lease.go
@@ -29,24 +29,24 @@
 type Holder struct {
 	host, dataCentre string
 	incarnation      string
-	length           time.Duration
+	duration           time.Duration
 	established      bool
 	view             control.View
-	until            time.Time
-	wall             time.Time          // until, by the wall clock
-	byLeader         time.Time          // when the last renewal by a leader was asked for
-	grants           map[string]grantee // the last renewal of each peer
+	expiresAt            time.Time
+	wallExpiresAt             time.Time          // until, by the wall clock
+	lastLeaderRenewal         time.Time          // when the last renewal by a leader was asked for
+	peerLeases           map[string]peerLease // the last renewal of each peer
 }
 
-// grantee is a peer that this host has renewed.
-type grantee struct {
+// peerLease is a peer that this host has renewed.
+type peerLease struct {
 	incarnation string
-	at          time.Time
+	grantedAt          time.Time
 }
 
 // New makes the holder of a host that has just started.
 func New(host, dataCentre, incarnation string, length time.Duration) *Holder {
-	return &Holder{host: host, dataCentre: dataCentre, incarnation: incarnation, length: length, grants: make(map[string]grantee)}
+	return &Holder{host: host, dataCentre: dataCentre, incarnation: incarnation, duration: length, peerLeases: make(map[string]peerLease)}
 }
 
 // View gives the view that the host serves under.
@@ -56,14 +56,14 @@
 func (h *Holder) Established() bool { return h.established }
 
 // Until gives when the lease ends.
-func (h *Holder) Until() time.Time { return h.until }
+func (h *Holder) Until() time.Time { return h.expiresAt }
 
 // ByLeader gives when the last renewal by a leader was asked for.
-func (h *Holder) ByLeader() time.Time { return h.byLeader }
+func (h *Holder) ByLeader() time.Time { return h.lastLeaderRenewal }
 
 // Serving tells whether the host may serve now.
 func (h *Holder) Serving(now time.Time) bool {
-	return now.Before(h.until) && now.Round(0).Before(h.wall)
+	return now.Before(h.expiresAt) && now.Round(0).Before(h.wallExpiresAt)
 }
 
 // SetView takes over a newer view; an older one is left alone. From then on
@@ -81,22 +81,22 @@
 	return control.HostReport{
 		Host: h.host, DataCentre: h.dataCentre, Incarnation: h.incarnation,
 		Established: h.established, Seq: h.view.Seq,
-		Granted: h.running(now),
+		Granted: h.runningPeerLeases(now),
 	}
 }
 
-// running lists the leases given to peers that may still run.
-func (h *Holder) running(now time.Time) []control.Granted {
-	var out []control.Granted
-	for host, g := range h.grants {
-		left := g.at.Add(h.length).Sub(now)
+// runningPeerLeases lists the leases given to peers that may still run.
+func (h *Holder) runningPeerLeases(now time.Time) []control.Granted {
+	var grants []control.Granted
+	for host, g := range h.peerLeases {
+		left := g.grantedAt.Add(h.duration).Sub(now)
 		if left <= 0 {
-			delete(h.grants, host)
+			delete(h.peerLeases, host)
 			continue
 		}
-		out = append(out, control.Granted{Host: host, Incarnation: g.incarnation, Left: left})
+		grants = append(grants, control.Granted{Host: host, Incarnation: g.incarnation, Left: left})
 	}
-	return out
+	return grants
 }
 
 // RenewedByLeader takes a renewal that was asked for at sent, under the view
@@ -106,14 +106,14 @@
 		return // can't be: it would be a renewal for another incarnation
 	}
 	h.established = true
-	h.byLeader = sent
-	h.renew(sent)
+	h.lastLeaderRenewal = sent
+	h.extend(sent)
 }
 
-func (h *Holder) renew(sent time.Time) {
-	if until := sent.Add(h.length); until.After(h.until) {
-		h.until = until
-		h.wall = sent.Round(0).Add(h.length)
+func (h *Holder) extend(sent time.Time) {
+	if until := sent.Add(h.duration); until.After(h.expiresAt) {
+		h.expiresAt = until
+		h.wallExpiresAt = sent.Round(0).Add(h.duration)
 	}
 }
 
@@ -136,10 +136,10 @@
 
 // Answer decides a peer's request. Nobody is renewed under a view that is
 // older than this host's own.
-func (h *Holder) Answer(now time.Time, ask Ask) Grant {
-	granted := h.established && ask.Seq >= h.view.Seq
+func (h *Holder) Answer(now time.Time, request Ask) Grant {
+	granted := h.established && request.Seq >= h.view.Seq
 	if granted {
-		h.grants[ask.Host] = grantee{ask.Incarnation, now}
+		h.peerLeases[request.Host] = peerLease{request.Incarnation, now}
 	}
 	return Grant{h.host, granted, h.view.Seq}
 }
@@ -160,17 +160,17 @@
 			granted[g.Host] = true
 		}
 	}
-	if !h.majority(granted, control.HostsOf(h.view.Config, h.dataCentre)) {
+	if !h.isMajority(granted, control.HostsOf(h.view.Config, h.dataCentre)) {
 		return false
 	}
-	if p := h.view.Pending; p != nil && !h.majority(granted, control.HostsOf(p.Config, h.dataCentre)) {
+	if p := h.view.Pending; p != nil && !h.isMajority(granted, control.HostsOf(p.Config, h.dataCentre)) {
 		return false
 	}
-	h.renew(sent)
+	h.extend(sent)
 	return true
 }
 
-func (h *Holder) majority(granted map[string]bool, hosts []string) bool {
+func (h *Holder) isMajority(granted map[string]bool, hosts []string) bool {
 	count := 0
 	for _, host := range hosts {
 		if granted[host] {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -152,7 +152,7 @@
 // goroutine, the other methods from the replica's only.
 type Machine struct {
 	state   atomic.Pointer[State]
-	changed func(State)
+	onChange func(State)
 }
 
 var _ replica.Machine = (*Machine)(nil)
@@ -160,7 +160,7 @@
 // New makes a machine that holds nothing. changed is called with each new
 // state, in the replica's goroutine, and must not block.
 func New(changed func(State)) *Machine {
-	m := &Machine{changed: changed}
+	m := &Machine{onChange: changed}
 	m.state.Store(&State{})
 	return m
 }
@@ -168,9 +168,9 @@
 // State gives the newest state that has been applied here.
 func (m *Machine) State() State { return *m.state.Load() }
 
-func (m *Machine) set(s State) {
+func (m *Machine) replaceState(s State) {
 	m.state.Store(&s)
-	m.changed(s)
+	m.onChange(s)
 }
 
 // Apply implements replica.Machine; the result is a Result, or an error for a
@@ -180,23 +180,23 @@
 	if err := Unpack(data, &e); err != nil {
 		return errors.Annotatef(err, "command %d", index)
 	}
-	old := m.State()
-	next, stale := old, false
+	current := m.State()
+	next, stale := current, false
 	switch {
-	case e.PutCatalog != nil && e.PutCatalog.Catalog.Version > old.Catalog.Version:
+	case e.PutCatalog != nil && e.PutCatalog.Catalog.Version > current.Catalog.Version:
 		next.Catalog, next.Source, next.Index = e.PutCatalog.Catalog, e.PutCatalog.Source, index
 	case e.SetEvacuation != nil:
-		next, stale = old.ordered(*e.SetEvacuation, index)
+		next, stale = current.applyEvacuation(*e.SetEvacuation, index)
 	}
 	m.state.Store(&next)
 	if next.Index == index {
-		m.changed(next)
+		m.onChange(next)
 	}
 	return Result{Changed: next.Index == index, Version: next.Catalog.Version, Index: next.Index, Stale: stale}
 }
 
-// ordered gives the state after an order.
-func (s State) ordered(c SetEvacuation, index uint64) (next State, stale bool) {
+// applyEvacuation gives the state after an order.
+func (s State) applyEvacuation(c SetEvacuation, index uint64) (next State, stale bool) {
 	if c.isStale(s) {
 		return s, true
 	}
@@ -217,6 +217,6 @@
 	if err := Unpack(data, &s); err != nil {
 		return errors.Annotate(err, "snapshot of the ledger")
 	}
-	m.set(s)
+	m.replaceState(s)
 	return nil
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 func newMachine() *ledger.Machine { return ledger.New(func(ledger.State) {}) }
 
-func apply(t *testing.T, m *ledger.Machine, index uint64, c ledger.Command) ledger.Result {
+func mustApply(t *testing.T, m *ledger.Machine, index uint64, c ledger.Command) ledger.Result {
 	t.Helper()
 	data, err := ledger.Encode(c)
 	must.NoError(t, err)
@@ -26,40 +26,40 @@
 	return result
 }
 
-func put(version int64, source string) ledger.PutCatalog {
+func newPutCatalog(version int64, source string) ledger.PutCatalog {
 	return ledger.PutCatalog{Catalog: catalog.Catalog{Version: version}, Source: []byte(source)}
 }
 
-func TestTheHighestVersionHolds(t *testing.T) {
+func TestHighestCatalogVersionWins(t *testing.T) {
 	m := newMachine()
-	must.True(t, apply(t, m, 1, put(5, "five")).Changed)
-	for _, resent := range []ledger.PutCatalog{put(5, "five"), put(5, "another five"), put(4, "four")} {
-		result := apply(t, m, 2, resent)
+	must.True(t, mustApply(t, m, 1, newPutCatalog(5, "five")).Changed)
+	for _, resent := range []ledger.PutCatalog{newPutCatalog(5, "five"), newPutCatalog(5, "another five"), newPutCatalog(4, "four")} {
+		result := mustApply(t, m, 2, resent)
 		must.False(t, result.Changed)
 		must.Eq(t, 5, result.Version)
 	}
 	must.Eq(t, "five", string(m.State().Source))
 	must.Eq(t, 1, m.State().Index, must.Sprint("what changes nothing has no index"))
-	must.True(t, apply(t, m, 3, put(9, "nine")).Changed)
+	must.True(t, mustApply(t, m, 3, newPutCatalog(9, "nine")).Changed)
 	must.Eq(t, "nine", string(m.State().Source))
 }
 
-func TestEvacuationsAreASet(t *testing.T) {
+func TestEvacuationIsIdempotent(t *testing.T) {
 	m := newMachine()
-	must.True(t, apply(t, m, 1, ledger.SetEvacuation{DataCentre: "b", On: true}).Changed)
-	must.False(t, apply(t, m, 2, ledger.SetEvacuation{DataCentre: "b", On: true}).Changed)
-	must.True(t, apply(t, m, 3, ledger.SetEvacuation{DataCentre: "a", On: true}).Changed)
+	must.True(t, mustApply(t, m, 1, ledger.SetEvacuation{DataCentre: "b", On: true}).Changed)
+	must.False(t, mustApply(t, m, 2, ledger.SetEvacuation{DataCentre: "b", On: true}).Changed)
+	must.True(t, mustApply(t, m, 3, ledger.SetEvacuation{DataCentre: "a", On: true}).Changed)
 	must.Eq(t, []string{"a", "b"}, m.State().Evacuated)
-	must.True(t, apply(t, m, 4, ledger.SetEvacuation{DataCentre: "b", On: false}).Changed)
-	must.False(t, apply(t, m, 5, ledger.SetEvacuation{DataCentre: "b", On: false}).Changed)
+	must.True(t, mustApply(t, m, 4, ledger.SetEvacuation{DataCentre: "b", On: false}).Changed)
+	must.False(t, mustApply(t, m, 5, ledger.SetEvacuation{DataCentre: "b", On: false}).Changed)
 	must.True(t, m.State().IsEvacuated("a"))
 	must.False(t, m.State().IsEvacuated("b"))
 }
 
-func TestSnapshotHoldsEverything(t *testing.T) {
+func TestSnapshotRestoresWholeState(t *testing.T) {
 	m := newMachine()
-	apply(t, m, 1, put(5, "five"))
-	apply(t, m, 2, ledger.SetEvacuation{DataCentre: "a", On: true})
+	mustApply(t, m, 1, newPutCatalog(5, "five"))
+	mustApply(t, m, 2, ledger.SetEvacuation{DataCentre: "a", On: true})
 	data, err := m.Snapshot()
 	must.NoError(t, err)
 	again := newMachine()
@@ -67,7 +67,7 @@
 	must.Eq(t, m.State(), again.State())
 }
 
-func TestACommandThatCantBeReadIsAnError(t *testing.T) {
+func TestUnreadableCommandReturnsError(t *testing.T) {
 	_, isError := newMachine().Apply(1, []byte("no command")).(error)
 	must.True(t, isError)
 }
@@ -79,7 +79,7 @@
 		version int64
 	}
 	output struct {
-		known   bool // false: no answer came
+		answered   bool // false: no answer came
 		version int64
 	}
 )
@@ -88,11 +88,11 @@
 var model = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		held, i, o := state.(int64), in.(input), out.(output)
+		version, i, o := state.(int64), in.(input), out.(output)
 		if !i.put {
-			return !o.known || o.version == held, held
+			return !o.answered || o.version == version, version
 		}
-		return true, max(held, i.version)
+		return true, max(version, i.version)
 	},
 }
 
@@ -111,12 +111,12 @@
 			if c.Random.Float64() < 0.1 {
 				c.Disturb()
 			}
-			h.operate()
+			h.putAndRead()
 			c.Run(time.Duration(c.Random.IntN(400)) * time.Millisecond)
 		}
 		c.Mend()
 		c.Run(10 * time.Second)
-		h.operate()
+		h.putAndRead()
 		c.Run(5 * time.Second)
 		must.True(t, porcupine.CheckOperations(model, h.ops), must.Sprintf("seed %d", seed))
 		must.Greater(t, 20, len(h.ops), must.Sprintf("seed %d: too few operations were answered", seed))
@@ -132,20 +132,20 @@
 	ops     []porcupine.Operation
 }
 
-// operate puts a catalog at one replica and reads at another.
-func (h *history) operate() {
+// putAndRead puts a catalog at one replica and reads at another.
+func (h *history) putAndRead() {
 	c := h.cluster
 	h.version += 1 + c.Random.Int64N(3)
-	h.put(h.node(), h.version)
+	h.put(h.pickNode(), h.version)
 	if c.Random.Float64() < 0.3 { // an older one is sent again
-		h.put(h.node(), max(1, h.version-1))
+		h.put(h.pickNode(), max(1, h.version-1))
 	}
-	h.read(h.node())
+	h.read(h.pickNode())
 }
 
-// node gives the leader more often than another replica, which may take itself
+// pickNode gives the leader more often than another replica, which may take itself
 // for the leader.
-func (h *history) node() *simlog.Node {
+func (h *history) pickNode() *simlog.Node {
 	c := h.cluster
 	if leader := c.Leader(); leader != nil && c.Random.Float64() < 0.7 {
 		return leader
@@ -154,15 +154,15 @@
 }
 
 func (h *history) put(n *simlog.Node, version int64) {
-	data, err := ledger.Encode(put(version, ""))
+	data, err := ledger.Encode(newPutCatalog(version, ""))
 	if err != nil || !n.Up || n.Paused {
 		return
 	}
-	op := h.begin(input{put: true, version: version})
+	op := h.startOperation(input{put: true, version: version})
 	h.cluster.Propose(n, data, func(_ any, err error) {
 		switch {
 		case err == nil:
-			h.end(op, output{known: true})
+			h.finishOperation(op, output{answered: true})
 		case errors.Is(err, raft.ErrNotLeader):
 			// Nothing was proposed, or another entry took its place.
 		default: // it may be taken at any later time
@@ -176,20 +176,20 @@
 	if !n.Up || n.Paused {
 		return
 	}
-	op := h.begin(input{})
+	op := h.startOperation(input{})
 	h.cluster.Read(n, func(ok bool) {
 		if ok {
-			h.end(op, output{known: true, version: n.Machine.(*ledger.Machine).State().Catalog.Version})
+			h.finishOperation(op, output{answered: true, version: n.Machine.(*ledger.Machine).State().Catalog.Version})
 		}
 	})
 }
 
-func (h *history) begin(in input) porcupine.Operation {
+func (h *history) startOperation(in input) porcupine.Operation {
 	h.client++
 	return porcupine.Operation{ClientId: h.client, Input: in, Call: h.cluster.Now.UnixNano()}
 }
 
-func (h *history) end(op porcupine.Operation, out output) {
+func (h *history) finishOperation(op porcupine.Operation, out output) {
 	op.Output, op.Return = out, h.cluster.Now.UnixNano()
 	h.ops = append(h.ops, op)
 }
--- a/raft/doc.go
+++ b/raft/doc.go
@@ -1,22 +1,24 @@
-// Package raft decides the order of a replicated log.
+// Package raft implements the Raft consensus algorithm, which decides the order of the
+// entries of a replicated log.
 //
-// It is the Raft algorithm (Ongaro and Ousterhout, "In search of an
-// understandable consensus algorithm", 2014; Ongaro's dissertation for
-// membership, pre-vote and leases) as a pure state machine: a Node is told the
-// time and the messages that arrive, and answers with what must be made
-// durable, what must be sent after that, and what may be applied. It starts no
-// goroutine, touches no disk and no network, and uses only the random numbers
-// that it is given, so that a test replays any history from a seed.
+// It follows Ongaro and Ousterhout, "In search of an understandable consensus algorithm",
+// 2014, and Ongaro's dissertation for membership changes, pre-vote and leases. A Node is a
+// pure state machine: its inputs are the time and the messages that arrive, its output is a
+// Ready, which lists what to make durable, what to send after that, and what to apply. A
+// Node starts no goroutine, does no disk or network I/O and draws random numbers only from
+// the given source, so that a test can replay any history from a seed.
 //
 // Beyond the basic algorithm:
 //
-//   - Pre-vote: a voter that was cut off can't depose a leader on its return.
-//   - Check quorum: a leader that has heard from no majority for an election
-//     timeout steps down. A voter that has heard from a leader within that time
-//     grants no vote. Together they give the leader a lease, on which the
-//     configuration's leases rest. A voter that has just started waits one
-//     election timeout before it votes, for it has forgotten whom it heard.
-//   - Membership changes one voter at a time, by learners that have caught up.
-//     A new leader starts none before it has committed an entry of its term.
-//   - Read index: a read is confirmed by a round of messages to a majority.
+//   - Pre-vote: a voter that was partitioned can't depose the leader when it reconnects.
+//   - Check quorum: a leader that has received no reply from a majority for an election
+//     timeout steps down. A voter that has received a message from a leader within that
+//     time grants no vote. Together these two rules give the leader a lease, on which the
+//     leases of the configuration rest. A voter that has just started waits one election
+//     timeout before it grants a vote, since it has lost the time of its last contact with
+//     a leader.
+//   - Membership changes add or remove one voter at a time; a new voter is first a learner
+//     that catches up. A new leader starts no change before it has committed an entry of
+//     its own term.
+//   - Read index: a read is confirmed by one round of messages to a majority.
 package raft
--- a/raft/log.go
+++ b/raft/log.go
@@ -1,6 +1,6 @@
 package raft
 
-// entryLog is the log in memory: the entries after a snapshot.
+// entryLog is the log in memory: the latest snapshot and the entries after it.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry // entries[0].Index == snapshot.Index+1
@@ -13,8 +13,8 @@
 	return term
 }
 
-// term gives the term of an entry; false if the log doesn't hold it any more,
-// or not yet.
+// term returns the term of the entry at index. It returns false if the entry was compacted
+// away or is beyond the end of the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.snapshot.Index:
@@ -26,19 +26,19 @@
 	}
 }
 
-// slice gives at most count entries from index on.
-func (l *entryLog) slice(index uint64, count int) []Entry {
+// entriesFrom returns at most count entries, starting at index.
+func (l *entryLog) entriesFrom(index uint64, count int) []Entry {
 	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
 	}
 	from := int(index - l.snapshot.Index - 1)
 	to := min(len(l.entries), from+count)
-	// The capacity is cut, so that a later append can't write into a slice
-	// that a message still holds.
+	// Limit the capacity, so that a later append can't write into a slice that a message
+	// still refers to.
 	return l.entries[from:to:to]
 }
 
-// append adds entries, replacing all from the first's index on.
+// append truncates the log before the index of the first new entry, then appends entries.
 func (l *entryLog) append(entries ...Entry) {
 	if len(entries) == 0 {
 		return
@@ -47,7 +47,8 @@
 	l.entries = append(l.entries[:keep:keep], entries...)
 }
 
-// compact puts a snapshot in the place of the entries up to its index.
+// compact replaces the entries up to the snapshot's index by the snapshot. It ignores a
+// snapshot that isn't newer than the current one.
 func (l *entryLog) compact(s Snapshot) {
 	if s.Index <= l.snapshot.Index {
 		return
@@ -60,8 +61,8 @@
 	l.snapshot = s
 }
 
-// members gives the newest membership of the log and its index.
-func (l *entryLog) members() (Membership, uint64) {
+// latestMembership returns the last membership in the log, committed or not, and its index.
+func (l *entryLog) latestMembership() (Membership, uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if l.entries[i].Kind == EntryMembership {
 			return *l.entries[i].Members, l.entries[i].Index
--- a/raft/node.go
+++ b/raft/node.go
@@ -7,322 +7,331 @@
 	"time"
 )
 
-// Options shapes a Node.
+// Options configures a Node.
 type Options struct {
 	ID        ID
-	Election  time.Duration // least time without a leader before an election
-	Heartbeat time.Duration
-	// NoLease says that nobody relies on LeaseUntil, nor serves reads by it: a replica
-	// that has just started needn't wait until the lease of a leader that it has forgotten
-	// is over. After all were killed, a leader that could confirm reads was there after
-	// 2.1 s, and is after 0.8 s (five voters in three regions, 80 ms apart one way).
+	Election  time.Duration // minimum time without a message from a leader before an election
+	Heartbeat time.Duration // interval between a leader's heartbeats
+	// NoLease states that nothing relies on LeaseUntil. A replica that has just started then
+	// doesn't wait for the end of a lease that it may have granted before the start. If all
+	// replicas are killed at once, this brings back a leader that can confirm reads after
+	// 0.8 s instead of 2.1 s (five voters in three regions, 80 ms one-way delay).
 	NoLease bool
 	Random  *rand.Rand
 }
 
-// DriftShare is by how much the rates of two hosts' clocks may differ. Every
-// wait that one host's promise to another rests on is longer by this share.
+// DriftShare is the largest tolerated relative difference between the rates of two hosts'
+// clocks. A host that relies on another host's timed promise adds this margin to its wait.
 const DriftShare = 0.1
 
-// maxAppend bounds the entries of one message.
-const maxAppend = 256
+// maxAppendEntries is the maximum number of entries in one Append message.
+const maxAppendEntries = 256
 
-// State is what a Node starts from: what was durable.
+// State is the durable state from which a Node starts.
 type State struct {
 	Hard     HardState
 	Snapshot Snapshot
 	Entries  []Entry
-	// Commit is the index up to which the log is known to be committed; it
-	// may be older than the truth.
+	// Commit is an index up to which the log is committed. It may be lower than the actual
+	// commit index.
 	Commit uint64
 }
 
-// progress is what a leader knows of another replica.
+// progress is a leader's view of another replica.
 type progress struct {
-	match, next uint64
-	acked       time.Time // when the newest round that it answered was sent
-	round       uint64    // the newest round that it answered
-	heard       time.Time
-	installing  time.Time // when a snapshot was sent, zero for none on its way
+	matchIndex     uint64    // last index known to be durable there
+	nextIndex      uint64    // first index of the next Append
+	ackedSentAt    time.Time // when the latest acknowledged round was sent
+	ackedRound     uint64    // the latest acknowledged round
+	lastHeard      time.Time // time of the last reply
+	snapshotSentAt time.Time // when a snapshot was sent; zero if none is in flight
 }
 
-// Node is one replica. New makes one; it is not safe for concurrent use.
+// Node is one replica's instance of the algorithm. It is not safe for concurrent use.
 type Node struct {
 	opts Options
 	now  time.Time
 
-	hard   HardState
-	role   Role
-	leader ID
-	log    entryLog
-	commit uint64
-
-	members      Membership
-	membersIndex uint64
-
-	electionAt time.Time // when to start an election
-	contact    time.Time // last word of a leader, or the start
-	beatAt     time.Time
-	votes      map[ID]bool
-	peers      map[ID]*progress
-	round      uint64
-	rounds     []sentRound // not yet answered by a quorum, oldest first
-	termStart  uint64      // index of the first entry of this leader's term
-	reads      []pendingRead
-
-	out      []Envelope
-	changed  bool // hard state
-	stable   uint64
-	applied  uint64
-	install  *Snapshot
-	readable []Read
-}
-
+	hard        HardState
+	role        Role
+	leader      ID
+	log         entryLog
+	commitIndex uint64
+
+	membership      Membership
+	membershipIndex uint64
+
+	electionDeadline  time.Time // when to start the next election
+	lastLeaderContact time.Time // last message from a leader, or the start of the replica
+	nextHeartbeat     time.Time
+	votes             map[ID]bool
+	peers             map[ID]*progress
+	lastRound         uint64
+	recentRounds      []sentRound // the last maxRecentRounds broadcasts, oldest first
+	termStartIndex    uint64      // index of the first entry of this leader's term
+	pendingReads      []pendingRead
+
+	outgoing         []Envelope
+	hardStateChanged bool // hard was changed since the last Ready
+	durableIndex     uint64
+	appliedIndex     uint64
+	pendingInstall   *Snapshot
+	finishedReads    []Read
+}
+
+// sentRound is one broadcast of a leader. An acknowledgement of the round extends the lease
+// from the time at which the round was sent.
 type sentRound struct {
-	round uint64
-	at    time.Time
+	round  uint64
+	sentAt time.Time
 }
 
+// pendingRead is a read that is confirmed once a quorum has acknowledged round.
 type pendingRead struct {
 	id    uint64
 	index uint64
 	round uint64
 }
 
-// Read is a read that may now be served, once Index has been applied. OK is
-// false where leadership was lost first.
+// Read is the result of Node.Read: the read may be served once Index has been applied. OK is
+// false if the replica is not the leader or lost the leadership before the confirmation.
 type Read struct {
 	ID    uint64
 	Index uint64
 	OK    bool
 }
 
-// New makes a replica from what was durable.
+// New returns a follower that starts from the durable state.
 func New(opts Options, state State, now time.Time) *Node {
-	n := &Node{opts: opts, now: now, hard: state.Hard, contact: now}
+	n := &Node{opts: opts, now: now, hard: state.Hard, lastLeaderContact: now}
 	n.log.snapshot = state.Snapshot
 	n.log.append(state.Entries...)
-	n.commit = max(state.Snapshot.Index, min(state.Commit, n.log.lastIndex()))
-	n.applied = state.Snapshot.Index
-	n.stable = n.log.lastIndex()
-	n.members, n.membersIndex = n.log.members()
-	n.resetElection()
+	n.commitIndex = max(state.Snapshot.Index, min(state.Commit, n.log.lastIndex()))
+	n.appliedIndex = state.Snapshot.Index
+	n.durableIndex = n.log.lastIndex()
+	n.membership, n.membershipIndex = n.log.latestMembership()
+	n.resetElectionDeadline()
 	if opts.NoLease {
-		n.contact = time.Time{}
-		n.electionAt = now.Add(n.firstElection())
+		n.lastLeaderContact = time.Time{}
+		n.electionDeadline = now.Add(n.firstElectionDelay())
 	}
 	return n
 }
 
-// firstElection gives when a replica that has just started stands, where it needn't wait
-// for a lease: at once, but for the time within which hosts that were killed together are
-// back, and in turn, two round trips between regions apart.
-func (n *Node) firstElection() time.Duration {
+// firstElectionDelay returns how long a replica that has just started and needn't wait for a
+// lease waits before its first election: long enough for hosts that were killed together to
+// be back, plus a slot by position among the voters. The slots are two round trips between
+// regions apart, so that one candidate wins before the next starts.
+func (n *Node) firstElectionDelay() time.Duration {
 	step := n.opts.Election / 10
-	at := max(0, slices.Index(n.members.Voters, n.opts.ID))
-	turn := (uint64(at) + n.hard.Term) % uint64(max(1, len(n.members.Voters)))
-	return step + 3*step*time.Duration(turn) + time.Duration(n.opts.Random.Int64N(int64(step)))
-}
-
-// resetElection draws when to start the next election. Who has asked for votes
-// already tries again sooner than one who has just lost a leader: an answer takes
-// one round trip, and after a cut has healed, or votes were split, the time
-// without a leader ends that much earlier. All others wait for their turn.
-func (n *Node) resetElection() {
-	least := n.opts.Election
-	spread := least
+	position := max(0, slices.Index(n.membership.Voters, n.opts.ID))
+	slot := (uint64(position) + n.hard.Term) % uint64(max(1, len(n.membership.Voters)))
+	return step + 3*step*time.Duration(slot) + time.Duration(n.opts.Random.Int64N(int64(step)))
+}
+
+// resetElectionDeadline sets a random time for the next election. A candidate retries sooner
+// than a follower that has just lost its leader: a reply takes only one round trip, and the
+// retry shortens the time without a leader after a split vote or a healed partition. Other
+// voters wait for a slot by position among the voters, which rotates with the term.
+func (n *Node) resetElectionDeadline() {
+	minDelay := n.opts.Election
+	jitter := minDelay
 	if n.role == PreCandidate || n.role == Candidate {
-		least /= 3
-		spread = least
-	} else if at := slices.Index(n.members.Voters, n.opts.ID); at >= 0 {
-		turn := least / time.Duration(len(n.members.Voters))
-		least += turn * time.Duration((uint64(at)+n.hard.Term)%uint64(len(n.members.Voters)))
-		spread = turn / 2
+		minDelay /= 3
+		jitter = minDelay
+	} else if position := slices.Index(n.membership.Voters, n.opts.ID); position >= 0 {
+		slot := minDelay / time.Duration(len(n.membership.Voters))
+		minDelay += slot * time.Duration((uint64(position)+n.hard.Term)%uint64(len(n.membership.Voters)))
+		jitter = slot / 2
 	}
-	n.electionAt = n.now.Add(least + time.Duration(n.opts.Random.Int64N(int64(spread))))
+	n.electionDeadline = n.now.Add(minDelay + time.Duration(n.opts.Random.Int64N(int64(jitter))))
 }
 
-// Tick tells the node the time.
+// Tick advances the node's clock to now, and starts an election, sends heartbeats or steps
+// down if that is due.
 func (n *Node) Tick(now time.Time) {
-	n.setNow(now)
+	n.advanceClock(now)
 	if n.role == Leader {
 		n.tickLeader()
 		return
 	}
-	if !n.now.Before(n.electionAt) && n.members.IsVoter(n.opts.ID) {
+	if !n.now.Before(n.electionDeadline) && n.membership.IsVoter(n.opts.ID) {
 		n.campaign(PreCandidate, false)
 	}
 }
 
-func (n *Node) setNow(now time.Time) {
+func (n *Node) advanceClock(now time.Time) {
 	if now.After(n.now) {
 		n.now = now
 	}
 }
 
 func (n *Node) tickLeader() {
-	if n.quorumHeard().Add(n.opts.Election).Before(n.now) {
-		n.become(Follower, n.hard.Term, None)
+	if n.quorumAckTime().Add(n.opts.Election).Before(n.now) {
+		n.changeRole(Follower, n.hard.Term, None)
 		return
 	}
-	if !n.now.Before(n.beatAt) {
+	if !n.now.Before(n.nextHeartbeat) {
 		n.broadcast()
 	}
 }
 
-// become changes role, and term if it is a new one.
-func (n *Node) become(role Role, term uint64, leader ID) {
+// changeRole changes the role and the known leader. A new term clears the vote. A leader's
+// pending reads fail.
+func (n *Node) changeRole(role Role, term uint64, leader ID) {
 	if term != n.hard.Term {
 		n.hard = HardState{Term: term}
-		n.changed = true
+		n.hardStateChanged = true
 	}
 	if n.role == Leader {
 		n.failReads()
 	}
 	n.role, n.leader = role, leader
 	n.votes = nil
-	n.resetElection()
+	n.resetElectionDeadline()
 }
 
 func (n *Node) campaign(role Role, transfer bool) {
-	n.become(role, n.hard.Term, None)
+	n.changeRole(role, n.hard.Term, None)
 	term := n.hard.Term + 1
-	var ask Message = PreVote{LastIndex: n.log.lastIndex(), LastTerm: n.log.lastTerm()}
+	var request Message = PreVote{LastIndex: n.log.lastIndex(), LastTerm: n.log.lastTerm()}
 	if role == Candidate {
 		n.hard = HardState{Term: term, Vote: n.opts.ID}
-		n.changed = true
-		ask = Vote{LastIndex: n.log.lastIndex(), LastTerm: n.log.lastTerm(), Transfer: transfer}
+		n.hardStateChanged = true
+		request = Vote{LastIndex: n.log.lastIndex(), LastTerm: n.log.lastTerm(), Transfer: transfer}
 	}
 	n.votes = map[ID]bool{n.opts.ID: true}
-	for _, peer := range n.members.Voters {
+	for _, peer := range n.membership.Voters {
 		if peer != n.opts.ID {
-			n.out = append(n.out, Envelope{n.opts.ID, peer, term, ask})
+			n.outgoing = append(n.outgoing, Envelope{n.opts.ID, peer, term, request})
 		}
 	}
-	n.tally(transfer)
+	n.countVotes(transfer)
 }
 
-// tally counts the votes of this campaign.
-func (n *Node) tally(transfer bool) {
+// countVotes moves on to the next stage of the campaign if a quorum has granted its vote.
+func (n *Node) countVotes(transfer bool) {
 	granted := 0
-	for _, voter := range n.members.Voters {
+	for _, voter := range n.membership.Voters {
 		if n.votes[voter] {
 			granted++
 		}
 	}
-	if granted < n.members.Quorum() {
+	if granted < n.membership.Quorum() {
 		return
 	}
 	if n.role == PreCandidate {
 		n.campaign(Candidate, transfer)
 		return
 	}
-	n.lead()
+	n.becomeLeader()
 }
 
-func (n *Node) lead() {
-	n.become(Leader, n.hard.Term, n.opts.ID)
+func (n *Node) becomeLeader() {
+	n.changeRole(Leader, n.hard.Term, n.opts.ID)
 	n.peers = make(map[ID]*progress)
-	n.rounds = nil
-	n.trackPeers()
+	n.recentRounds = nil
+	n.syncProgress()
 	for _, p := range n.peers {
-		p.acked, p.heard = n.now, n.now
+		p.ackedSentAt, p.lastHeard = n.now, n.now
 	}
 	n.log.append(Entry{Index: n.log.lastIndex() + 1, Term: n.hard.Term, Kind: EntryEmpty})
-	n.termStart = n.log.lastIndex()
-	n.maybeCommit()
+	n.termStartIndex = n.log.lastIndex()
+	n.advanceCommit()
 	n.broadcast()
 }
 
-// trackPeers keeps a progress for each other member.
-func (n *Node) trackPeers() {
+// syncProgress makes peers hold exactly one progress for each other member.
+func (n *Node) syncProgress() {
 	for id := range n.peers {
-		if !n.members.Has(id) {
+		if !n.membership.Has(id) {
 			delete(n.peers, id)
 		}
 	}
-	for _, id := range slices.Concat(n.members.Voters, n.members.Learners) {
+	for _, id := range slices.Concat(n.membership.Voters, n.membership.Learners) {
 		if id != n.opts.ID && n.peers[id] == nil {
-			n.peers[id] = &progress{next: n.log.lastIndex() + 1, heard: n.now}
+			n.peers[id] = &progress{nextIndex: n.log.lastIndex() + 1, lastHeard: n.now}
 		}
 	}
 }
 
-// broadcast starts a new round: one message to each peer.
+// broadcast starts a new round and sends one message to each peer.
 func (n *Node) broadcast() {
-	n.round++
-	n.rounds = append(n.rounds, sentRound{n.round, n.now})
-	if len(n.rounds) > maxRounds {
-		n.rounds = n.rounds[1:]
-	}
-	n.beatAt = n.now.Add(n.opts.Heartbeat)
-	// In the order of the members, so that equal inputs give equal messages.
-	for _, id := range slices.Concat(n.members.Voters, n.members.Learners) {
+	n.lastRound++
+	n.recentRounds = append(n.recentRounds, sentRound{n.lastRound, n.now})
+	if len(n.recentRounds) > maxRecentRounds {
+		n.recentRounds = n.recentRounds[1:]
+	}
+	n.nextHeartbeat = n.now.Add(n.opts.Heartbeat)
+	// Follow the order of the membership, not of the map, so that equal inputs produce equal
+	// messages.
+	for _, id := range slices.Concat(n.membership.Voters, n.membership.Learners) {
 		if p := n.peers[id]; p != nil {
-			n.send(id, p)
+			n.sendAppend(id, p)
 		}
 	}
 }
 
-// maxRounds bounds the rounds whose sending time is remembered.
-const maxRounds = 512
+// maxRecentRounds is the number of rounds whose sending time is stored.
+const maxRecentRounds = 512
 
-// installTime is how long a snapshot may be on its way before it is sent
-// again.
-const installTime = 10 * time.Second
+// snapshotRetryInterval is how long a leader waits for the reply to a snapshot before it
+// sends the snapshot again.
+const snapshotRetryInterval = 10 * time.Second
 
-func (n *Node) send(id ID, p *progress) {
-	prevTerm, ok := n.log.term(p.next - 1)
+func (n *Node) sendAppend(id ID, p *progress) {
+	prevTerm, ok := n.log.term(p.nextIndex - 1)
 	if !ok {
-		if n.now.Sub(p.installing) > installTime {
-			p.installing = n.now
-			n.out = append(n.out, Envelope{n.opts.ID, id, n.hard.Term, Install{Snapshot: n.log.snapshot, Round: n.round}})
+		if n.now.Sub(p.snapshotSentAt) > snapshotRetryInterval {
+			p.snapshotSentAt = n.now
+			n.outgoing = append(n.outgoing, Envelope{n.opts.ID, id, n.hard.Term, Install{Snapshot: n.log.snapshot, Round: n.lastRound}})
 			return
 		}
-		// Keep the lease alive while the snapshot travels.
-		n.out = append(n.out, Envelope{n.opts.ID, id, n.hard.Term, Append{PrevIndex: n.log.snapshot.Index, PrevTerm: n.log.snapshot.Term, Round: n.round}})
+		// Send heartbeats while the snapshot is in flight, to keep the lease.
+		n.outgoing = append(n.outgoing, Envelope{n.opts.ID, id, n.hard.Term, Append{PrevIndex: n.log.snapshot.Index, PrevTerm: n.log.snapshot.Term, Round: n.lastRound}})
 		return
 	}
-	entries := n.log.slice(p.next, maxAppend)
-	n.out = append(n.out, Envelope{n.opts.ID, id, n.hard.Term, Append{
-		PrevIndex: p.next - 1, PrevTerm: prevTerm, Entries: entries, Commit: n.commit, Round: n.round,
+	entries := n.log.entriesFrom(p.nextIndex, maxAppendEntries)
+	n.outgoing = append(n.outgoing, Envelope{n.opts.ID, id, n.hard.Term, Append{
+		PrevIndex: p.nextIndex - 1, PrevTerm: prevTerm, Entries: entries, Commit: n.commitIndex, Round: n.lastRound,
 	}})
-	p.next += uint64(len(entries))
+	p.nextIndex += uint64(len(entries))
 }
 
-// Propose appends a command; it gives the entry's place.
+// Propose appends a command to the log and returns the index and term of its entry. The
+// command is committed if an entry of this index and term is committed.
 func (n *Node) Propose(now time.Time, data []byte) (index, term uint64, err error) {
-	n.setNow(now)
+	n.advanceClock(now)
 	return n.propose(Entry{Kind: EntryCommand, Data: data})
 }
 
-// ProposeMembers appends a change of members, which takes effect at once. It
-// may add or take away one voter only.
+// ProposeMembers appends a membership change, which takes effect at once. It may add or
+// remove at most one voter.
 func (n *Node) ProposeMembers(now time.Time, members Membership) (index, term uint64, err error) {
-	n.setNow(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	if n.membersIndex > n.commit || n.commit < n.termStart || !oneApart(n.members.Voters, members.Voters) {
+	if n.membershipIndex > n.commitIndex || n.commitIndex < n.termStartIndex || !atMostOneChanged(n.membership.Voters, members.Voters) {
 		return 0, 0, ErrMembershipPending
 	}
 	return n.propose(Entry{Kind: EntryMembership, Members: &members})
 }
 
-// oneApart tells whether at most one voter was added or taken away.
-func oneApart(a, b []ID) bool {
-	apart := 0
+// atMostOneChanged reports whether a and b differ by at most one added or removed voter.
+func atMostOneChanged(a, b []ID) bool {
+	changes := 0
 	for _, id := range a {
 		if !slices.Contains(b, id) {
-			apart++
+			changes++
 		}
 	}
 	for _, id := range b {
 		if !slices.Contains(a, id) {
-			apart++
+			changes++
 		}
 	}
-	return apart <= 1
+	return changes <= 1
 }
 
 func (n *Node) propose(e Entry) (index, term uint64, err error) {
@@ -332,105 +341,109 @@
 	e.Index, e.Term = n.log.lastIndex()+1, n.hard.Term
 	n.log.append(e)
 	if e.Kind == EntryMembership {
-		n.setMembers(*e.Members, e.Index)
+		n.setMembership(*e.Members, e.Index)
 	}
-	n.maybeCommit()
+	n.advanceCommit()
 	n.broadcast()
 	return e.Index, e.Term, nil
 }
 
-func (n *Node) setMembers(members Membership, index uint64) {
-	n.members, n.membersIndex = members, index
+func (n *Node) setMembership(members Membership, index uint64) {
+	n.membership, n.membershipIndex = members, index
 	if n.role == Leader {
-		n.trackPeers()
+		n.syncProgress()
 	}
 }
 
-// Read asks for a linearizable read. Its outcome comes with a later Ready.
+// Read requests a linearizable read. A later Ready returns the result under the same id.
 func (n *Node) Read(now time.Time, id uint64) {
-	n.setNow(now)
+	n.advanceClock(now)
 	if n.role != Leader {
-		n.readable = append(n.readable, Read{ID: id})
+		n.finishedReads = append(n.finishedReads, Read{ID: id})
 		return
 	}
 	n.broadcast()
-	// Everything that was committed before stands below the first entry of the term.
-	n.reads = append(n.reads, pendingRead{id, max(n.commit, n.termStart), n.round})
+	// A new leader may not know the latest commit index, but all entries that were committed
+	// in earlier terms precede the first entry of its own term.
+	n.pendingReads = append(n.pendingReads, pendingRead{id, max(n.commitIndex, n.termStartIndex), n.lastRound})
 	n.confirmReads()
 }
 
 func (n *Node) failReads() {
-	for _, r := range n.reads {
-		n.readable = append(n.readable, Read{ID: r.id})
+	for _, r := range n.pendingReads {
+		n.finishedReads = append(n.finishedReads, Read{ID: r.id})
 	}
-	n.reads = nil
+	n.pendingReads = nil
 }
 
-// confirmReads lets the reads go whose round a quorum has answered.
+// confirmReads finishes the reads whose round a quorum has acknowledged.
 func (n *Node) confirmReads() {
-	round := n.quorumRound()
-	for len(n.reads) > 0 && n.reads[0].round <= round {
-		n.readable = append(n.readable, Read{n.reads[0].id, n.reads[0].index, true})
-		n.reads = n.reads[1:]
+	round := n.quorumAckedRound()
+	for len(n.pendingReads) > 0 && n.pendingReads[0].round <= round {
+		n.finishedReads = append(n.finishedReads, Read{n.pendingReads[0].id, n.pendingReads[0].index, true})
+		n.pendingReads = n.pendingReads[1:]
 	}
 }
 
-// Transfer asks a caught-up voter to take over the lead.
+// Transfer hands the leadership to another voter and steps down. It returns false, and
+// changes nothing, if this replica is not the leader or the voter's log is not up to date.
 func (n *Node) Transfer(now time.Time, to ID) bool {
-	n.setNow(now)
+	n.advanceClock(now)
 	p := n.peers[to]
-	if n.role != Leader || p == nil || !n.members.IsVoter(to) || p.match != n.log.lastIndex() {
+	if n.role != Leader || p == nil || !n.membership.IsVoter(to) || p.matchIndex != n.log.lastIndex() {
 		return false
 	}
-	n.out = append(n.out, Envelope{n.opts.ID, to, n.hard.Term, TimeoutNow{}})
-	// The lease ends here: the other may win at once.
-	n.become(Follower, n.hard.Term, None)
+	n.outgoing = append(n.outgoing, Envelope{n.opts.ID, to, n.hard.Term, TimeoutNow{}})
+	// Step down to end the lease now, since the other voter may win at once.
+	n.changeRole(Follower, n.hard.Term, None)
 	return true
 }
 
-// LeaseUntil gives the time until which no other replica can lead, or the zero
-// time where this one doesn't lead, or hasn't committed an entry of its term.
+// LeaseUntil returns the time until which no other replica can become leader. It returns the
+// zero time if this replica is not the leader or has not committed an entry of its term.
 func (n *Node) LeaseUntil() time.Time {
-	if n.role != Leader || n.commit < n.termStart {
+	if n.role != Leader || n.commitIndex < n.termStartIndex {
 		return time.Time{}
 	}
-	safe := time.Duration(float64(n.opts.Election) * (1 - DriftShare))
-	return n.quorumHeard().Add(safe)
+	safeDuration := time.Duration(float64(n.opts.Election) * (1 - DriftShare))
+	return n.quorumAckTime().Add(safeDuration)
 }
 
-// quorum gives the greatest value that a majority of the voters has reached: own
-// is this replica's, of gives another's, and missing stands in for a voter that
-// nothing is known of.
-func quorum[T any](n *Node, own, missing T, of func(*progress) T, compare func(a, b T) int) T {
-	values := make([]T, 0, len(n.members.Voters))
-	for _, id := range n.members.Voters {
+// quorumValue returns the greatest value that a majority of the voters has reached. own is
+// the value of this replica, valueOf returns that of another voter, and missing is the value
+// of a voter without progress.
+func quorumValue[T any](n *Node, own, missing T, valueOf func(*progress) T, compare func(a, b T) int) T {
+	values := make([]T, 0, len(n.membership.Voters))
+	for _, id := range n.membership.Voters {
 		switch p := n.peers[id]; {
 		case id == n.opts.ID:
 			values = append(values, own)
 		case p != nil:
-			values = append(values, of(p))
+			values = append(values, valueOf(p))
 		default:
 			values = append(values, missing)
 		}
 	}
 	slices.SortFunc(values, func(a, b T) int { return compare(b, a) })
-	return values[n.members.Quorum()-1]
+	return values[n.membership.Quorum()-1]
 }
 
-// quorumHeard gives the sending time of the newest round that a quorum, this
-// replica included, has answered.
-func (n *Node) quorumHeard() time.Time {
-	return quorum(n, n.now, time.Time{}, func(p *progress) time.Time { return p.acked }, time.Time.Compare)
+// quorumAckTime returns when the latest round was sent that a quorum, including this replica,
+// has acknowledged.
+func (n *Node) quorumAckTime() time.Time {
+	return quorumValue(n, n.now, time.Time{}, func(p *progress) time.Time { return p.ackedSentAt }, time.Time.Compare)
 }
 
-func (n *Node) quorumRound() uint64 {
-	return quorum(n, n.round, 0, func(p *progress) uint64 { return p.round }, cmp.Compare[uint64])
+func (n *Node) quorumAckedRound() uint64 {
+	return quorumValue(n, n.lastRound, 0, func(p *progress) uint64 { return p.ackedRound }, cmp.Compare[uint64])
 }
 
-// maybeCommit commits what a quorum holds, if it is of this leader's term.
-func (n *Node) maybeCommit() {
-	match := quorum(n, n.stable, 0, func(p *progress) uint64 { return p.match }, cmp.Compare[uint64])
-	if term, ok := n.log.term(match); ok && match > n.commit && term == n.hard.Term {
-		n.commit = match
+// advanceCommit moves the commit index to the last entry that a quorum has made durable, if
+// that entry is of the current term. Entries of earlier terms are only committed along with
+// it.
+func (n *Node) advanceCommit() {
+	match := quorumValue(n, n.durableIndex, 0, func(p *progress) uint64 { return p.matchIndex }, cmp.Compare[uint64])
+	if term, ok := n.log.term(match); ok && match > n.commitIndex && term == n.hard.Term {
+		n.commitIndex = match
 	}
 }
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -14,34 +14,34 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// list is a state machine that remembers its commands.
-type list struct{ all []string }
+// recordingMachine is a state machine that records the commands applied to it.
+type recordingMachine struct{ commands []string }
 
-func (l *list) Apply(_ uint64, data []byte) any {
-	l.all = append(l.all, string(data))
-	return len(l.all)
+func (m *recordingMachine) Apply(_ uint64, data []byte) any {
+	m.commands = append(m.commands, string(data))
+	return len(m.commands)
 }
-func (l *list) Snapshot() ([]byte, error) { return json.Marshal(l.all) }
-func (l *list) Restore(data []byte) error { return json.Unmarshal(data, &l.all) }
+func (m *recordingMachine) Snapshot() ([]byte, error) { return json.Marshal(m.commands) }
+func (m *recordingMachine) Restore(data []byte) error { return json.Unmarshal(data, &m.commands) }
 
 const (
 	election  = 1500 * time.Millisecond
 	heartbeat = 250 * time.Millisecond
 )
 
-func cluster(seed uint64, members, spares int) *simlog.Cluster {
+func newCluster(seed uint64, voterCount, spareCount int) *simlog.Cluster {
 	return simlog.New(simlog.Options{
-		Seed: seed, Voters: members, Spares: spares, Election: election, Heartbeat: heartbeat,
-		Delay: 40 * time.Millisecond, SnapshotEvery: 10, New: func() simlog.Machine { return &list{} },
+		Seed: seed, Voters: voterCount, Spares: spareCount, Election: election, Heartbeat: heartbeat,
+		Delay: 40 * time.Millisecond, SnapshotEvery: 10, New: func() simlog.Machine { return &recordingMachine{} },
 	})
 }
 
-func commit(t *testing.T, c *simlog.Cluster, text string) {
+func mustCommit(t *testing.T, c *simlog.Cluster, command string) {
 	t.Helper()
 	for range 50 {
 		done := false
 		if leader := c.Leader(); leader != nil {
-			c.Propose(leader, []byte(text), func(_ any, err error) { done = err == nil })
+			c.Propose(leader, []byte(command), func(_ any, err error) { done = err == nil })
 		}
 		for range 100 {
 			c.Step()
@@ -50,17 +50,17 @@
 			}
 		}
 	}
-	t.Fatalf("%q was not committed", text)
+	t.Fatalf("%q was not committed", command)
 }
 
-func node(id raft.ID, now time.Time, hard raft.HardState) *raft.Node {
+func newNode(id raft.ID, now time.Time, hard raft.HardState) *raft.Node {
 	members := raft.Membership{Voters: []raft.ID{"a#1", "b#1", "c#1"}}
 	return raft.New(raft.Options{ID: id, Election: election, Heartbeat: heartbeat, Random: rand.New(rand.NewPCG(1, 1))},
 		raft.State{Hard: hard, Snapshot: raft.Snapshot{Members: members}}, now)
 }
 
-// granted asks for a vote and tells whether it was given.
-func granted(n *raft.Node, now time.Time, from raft.ID, term uint64) bool {
+// requestVote sends a Vote message to replica a#1 and reports whether it granted the vote.
+func requestVote(n *raft.Node, now time.Time, from raft.ID, term uint64) bool {
 	n.Step(now, raft.Envelope{From: from, To: "a#1", Term: term, Message: raft.Vote{}})
 	r := n.Ready()
 	defer n.Done(r)
@@ -72,37 +72,43 @@
 	return false
 }
 
-func TestOneVoteInATerm(t *testing.T) {
+// TestVotesOncePerTerm guards against two leaders in one term: a voter that grants its vote to
+// two candidates, also if it restarts in between.
+func TestVotesOncePerTerm(t *testing.T) {
 	start := time.Unix(0, 0)
-	n := node("a#1", start, raft.HardState{})
-	later := start.Add(2 * election)
-	must.True(t, granted(n, later, "b#1", 5))
-	must.False(t, granted(n, later, "c#1", 5), must.Sprint("a second candidate of the same term"))
-	must.True(t, granted(n, later, "b#1", 5), must.Sprint("the same candidate asks again"))
+	n := newNode("a#1", start, raft.HardState{})
+	afterWait := start.Add(2 * election)
+	must.True(t, requestVote(n, afterWait, "b#1", 5))
+	must.False(t, requestVote(n, afterWait, "c#1", 5), must.Sprint("a second candidate of the same term"))
+	must.True(t, requestVote(n, afterWait, "b#1", 5), must.Sprint("the same candidate repeats its request"))
 
-	restarted := node("a#1", later, n.Hard())
-	must.False(t, granted(restarted, later.Add(2*election), "c#1", 5), must.Sprint("after a restart"))
+	restarted := newNode("a#1", afterWait, n.Hard())
+	must.False(t, requestVote(restarted, afterWait.Add(2*election), "c#1", 5), must.Sprint("after a restart"))
 }
 
-func TestNoVoteJustAfterTheStart(t *testing.T) {
+// TestNoVoteWithinElectionTimeoutOfStart guards against a second leader during a lease: a voter
+// that restarts has lost the time of its last contact with the leader.
+func TestNoVoteWithinElectionTimeoutOfStart(t *testing.T) {
 	start := time.Unix(0, 0)
-	n := node("a#1", start, raft.HardState{})
-	must.False(t, granted(n, start.Add(election/2), "b#1", 5), must.Sprint("it may have promised a leader to wait"))
+	n := newNode("a#1", start, raft.HardState{})
+	must.False(t, requestVote(n, start.Add(election/2), "b#1", 5), must.Sprint("the lease of a leader from before the start may still run"))
 }
 
-func TestMessageForALostIdentityIsIgnored(t *testing.T) {
+// TestIgnoresMessageForFormerIdentity sends a message to the ID that a replica had before it
+// lost its disk.
+func TestIgnoresMessageForFormerIdentity(t *testing.T) {
 	start := time.Unix(0, 0)
-	n := node("a#2", start, raft.HardState{})
+	n := newNode("a#2", start, raft.HardState{})
 	n.Step(start.Add(2*election), raft.Envelope{From: "b#1", To: "a#1", Term: 9, Message: raft.Vote{}})
 	must.True(t, n.Ready().Empty())
 	must.Eq(t, 0, n.Status().Term)
 }
 
-// TestOneLeaseAtATime checks at each step of random histories that no two
-// replicas hold the leader's lease.
-func TestOneLeaseAtATime(t *testing.T) {
+// TestAtMostOneLeaderLease runs random histories with partitioned and paused replicas, and
+// checks at each step that at most one replica holds a leader's lease.
+func TestAtMostOneLeaderLease(t *testing.T) {
 	for seed := range uint64(10) {
-		c := cluster(seed, 5, 0)
+		c := newCluster(seed, 5, 0)
 		for i := range 12_000 {
 			if i%150 == 0 {
 				n := c.Random.IntN(5)
@@ -127,38 +133,43 @@
 	}
 }
 
-func TestReturningVoterDeposesNobody(t *testing.T) {
-	c := cluster(3, 3, 0)
+// TestReconnectedVoterDoesNotDeposeLeader guards pre-vote: without it, a voter that was
+// partitioned returns with a higher term and deposes the leader.
+func TestReconnectedVoterDoesNotDeposeLeader(t *testing.T) {
+	c := newCluster(3, 3, 0)
 	c.Run(5 * time.Second)
 	leader := c.Leader()
-	other := (leader.Index + 1) % 3
-	c.Isolate(other, true, true)
+	follower := (leader.Index + 1) % 3
+	c.Isolate(follower, true, true)
 	c.Run(20 * time.Second)
 	term := leader.Raft.Status().Term
-	c.Isolate(other, false, false)
+	c.Isolate(follower, false, false)
 	c.Run(5 * time.Second)
 	must.Eq(t, term, leader.Raft.Status().Term)
 	must.Eq(t, raft.Leader, leader.Raft.Status().Role)
 }
 
-func TestSilentCutOfTheLeader(t *testing.T) {
+// TestPartitionedLeaderIsReplaced partitions the leader, in half of the runs only in the
+// direction towards it. The others must elect a leader after the old lease has ended.
+func TestPartitionedLeaderIsReplaced(t *testing.T) {
 	for seed := range uint64(20) {
-		c := cluster(seed, 3, 0)
+		c := newCluster(seed, 3, 0)
 		c.Run(5 * time.Second)
-		old := c.Leader()
-		must.NotNil(t, old)
-		c.Isolate(old.Index, true, seed%2 == 0) // it hears nothing; half of the time it is still heard
-		began := c.Now
-		for c.Leader() == old || c.Leader() == nil || !c.Now.Before(c.Leader().Raft.LeaseUntil()) {
+		oldLeader := c.Leader()
+		must.NotNil(t, oldLeader)
+		c.Isolate(oldLeader.Index, true, seed%2 == 0) // it receives nothing; with odd seeds it can still send
+		partitionedAt := c.Now
+		for c.Leader() == oldLeader || c.Leader() == nil || !c.Now.Before(c.Leader().Raft.LeaseUntil()) {
 			c.Step()
-			must.Less(t, 15*time.Second, c.Now.Sub(began), must.Sprintf("seed %d: no leader", seed))
+			must.Less(t, 15*time.Second, c.Now.Sub(partitionedAt), must.Sprintf("seed %d: no leader", seed))
 		}
-		must.True(t, old.Raft.LeaseUntil().Before(c.Now), must.Sprint("the old lease must be over"))
+		must.True(t, oldLeader.Raft.LeaseUntil().Before(c.Now), must.Sprint("the old leader's lease must have ended"))
 	}
 }
 
-// repair replaces lost voters as the leader of the real system does.
-func repair(t *testing.T, c *simlog.Cluster, whole func(raft.Membership) bool) {
+// replaceLostVoters runs the leader's replacement of lost voters, as package voters decides
+// it, until the committed membership satisfies repaired.
+func replaceLostVoters(t *testing.T, c *simlog.Cluster, repaired func(raft.Membership) bool) {
 	t.Helper()
 	for range 2000 {
 		c.Run(100 * time.Millisecond)
@@ -167,7 +178,7 @@
 			continue
 		}
 		status := leader.Raft.Status()
-		if whole(status.Members) && status.Commit == status.Last {
+		if repaired(status.Members) && status.Commit == status.Last {
 			return
 		}
 		var spares []voters.Spare
@@ -176,67 +187,66 @@
 				spares = append(spares, voters.Spare{ID: n.ID})
 			}
 		}
-		if next, why := voters.Next(status, spares, voters.Policy{Wanted: 3, LostAfter: voters.DefaultLostAfter}, c.Now); why != "" {
+		if next, reason := voters.Next(status, spares, voters.Policy{Wanted: 3, LostAfter: voters.DefaultLostAfter}, c.Now); reason != "" {
 			_, _, _ = leader.Raft.ProposeMembers(c.Now, next)
 		}
 	}
-	t.Fatalf("not repaired: %+v", c.Leader())
+	t.Fatalf("the lost voters were not replaced: %+v", c.Leader())
 }
 
-// TestSecondLossRightAfterARepair loses one voter's disk, lets a spare take its
-// place, and loses a second voter at once. Everything committed must still be
-// there.
-func TestSecondLossRightAfterARepair(t *testing.T) {
+// TestSecondVoterLossAfterReplacement guards against data loss: one voter loses its disk and
+// is replaced by a spare, and right after that a second voter loses its disk.
+func TestSecondVoterLossAfterReplacement(t *testing.T) {
 	for seed := range uint64(10) {
-		c := cluster(seed, 3, 1)
+		c := newCluster(seed, 3, 1)
 		c.Run(5 * time.Second)
 		for i := range 30 {
-			commit(t, c, fmt.Sprintf("before %d", i))
+			mustCommit(t, c, fmt.Sprintf("before %d", i))
 		}
 		first := c.Nodes[(c.Leader().Index+1)%3]
-		lost := first.ID
+		lostID := first.ID
 		c.LoseDisk(first)
-		repair(t, c, func(m raft.Membership) bool { return !m.Has(lost) && len(m.Voters) == 3 })
-		commit(t, c, "after the repair")
+		replaceLostVoters(t, c, func(m raft.Membership) bool { return !m.Has(lostID) && len(m.Voters) == 3 })
+		mustCommit(t, c, "after the repair")
 		second := c.Leader()
 		c.LoseDisk(second)
 		c.Run(8 * time.Second)
 		must.NotNil(t, c.Leader(), must.Sprintf("seed %d: no leader after the second loss", seed))
-		commit(t, c, "after the second loss")
-		all := c.Leader().Machine.(*list).all
-		must.SliceLen(t, 32, all)
+		mustCommit(t, c, "after the second loss")
+		commands := c.Leader().Machine.(*recordingMachine).commands
+		must.SliceLen(t, 32, commands)
 	}
 }
 
-// TestLostDiskComesBackAsAnother shows why the identity must be new: under the
-// old one the voter would vote again in a term in which it has voted.
-func TestLostDiskComesBackAsAnother(t *testing.T) {
-	c := cluster(5, 3, 0)
+// TestVoterWithLostDiskRejoinsUnderNewID checks that a voter which lost its disk rejoins under
+// a new ID and recovers the log. Under its old ID it could vote twice in one term.
+func TestVoterWithLostDiskRejoinsUnderNewID(t *testing.T) {
+	c := newCluster(5, 3, 0)
 	c.Run(5 * time.Second)
 	for i := range 25 {
-		commit(t, c, fmt.Sprint(i))
+		mustCommit(t, c, fmt.Sprint(i))
 	}
 	n := c.Nodes[(c.Leader().Index+1)%3]
-	old := n.ID
+	oldID := n.ID
 	c.LoseDisk(n)
 	c.Start(n)
-	repair(t, c, func(m raft.Membership) bool { return m.IsVoter(n.ID) && !m.Has(old) })
+	replaceLostVoters(t, c, func(m raft.Membership) bool { return m.IsVoter(n.ID) && !m.Has(oldID) })
 	c.Run(2 * time.Second)
-	must.SliceLen(t, 25, n.Machine.(*list).all)
+	must.SliceLen(t, 25, n.Machine.(*recordingMachine).commands)
 }
 
-// TestVotesAreNotSplitAfterAllStartAtOnce kills every replica and starts them
-// together on hosts so busy that each gets the processor once in a tenth of a
-// second: none has a leader, and many become impatient in the same tenth. The one
-// whose turn it is must win before the next stands, in the first term.
-func TestVotesAreNotSplitAfterAllStartAtOnce(t *testing.T) {
+// TestNoSplitVoteAfterSimultaneousRestart kills and restarts all replicas on hosts so
+// overloaded that each gets CPU time only once per 100 ms, so that several election timeouts
+// expire within the same 100 ms. The slots by position must let one candidate win the first
+// term.
+func TestNoSplitVoteAfterSimultaneousRestart(t *testing.T) {
 	for seed := range uint64(200) {
 		c := simlog.New(simlog.Options{
 			Seed: seed, Voters: 5, Election: time.Second, Heartbeat: heartbeat, Delay: 60 * time.Millisecond,
-			SnapshotEvery: 10, New: func() simlog.Machine { return &list{} },
+			SnapshotEvery: 10, New: func() simlog.Machine { return &recordingMachine{} },
 		})
 		c.Run(5 * time.Second)
-		before := c.Leader().Raft.Status().Term
+		termBefore := c.Leader().Raft.Status().Term
 		for _, n := range c.Nodes {
 			c.Crash(n, 0)
 		}
@@ -250,27 +260,26 @@
 			c.Step()
 		}
 		must.NotNil(t, c.Leader(), must.Sprintf("seed %d", seed))
-		must.Eq(t, before+1, c.Leader().Raft.Status().Term, must.Sprintf("seed %d", seed))
+		must.Eq(t, termBefore+1, c.Leader().Raft.Status().Term, must.Sprintf("seed %d", seed))
 	}
 }
 
-// TestALeaderIsFoundSoonWhereNobodyNeedsItsLease kills every replica and starts them
-// within a tenth of a second, on hosts so busy that each gets the processor once in a
-// tenth. Those who must wait for a lease that they may have promised have a leader after
-// 1.4 s at best, the others within 0.9 s in nine of ten cases.
-func TestALeaderIsFoundSoonWhereNobodyNeedsItsLease(t *testing.T) {
+// TestFastElectionAfterRestartWithoutLease kills all replicas and restarts them within 100 ms,
+// on hosts that get CPU time only once per 100 ms. With NoLease a leader must exist within
+// 0.9 s in nine of ten runs; the wait for a lease takes at least 1.4 s.
+func TestFastElectionAfterRestartWithoutLease(t *testing.T) {
 	const runs = 100
-	soon := 0
+	fastElections := 0
 	for seed := range uint64(runs) {
 		c := simlog.New(simlog.Options{
 			Seed: seed, Voters: 5, Election: time.Second, Heartbeat: heartbeat, Delay: 50 * time.Millisecond,
-			NoLease: true, SnapshotEvery: 10, New: func() simlog.Machine { return &list{} },
+			NoLease: true, SnapshotEvery: 10, New: func() simlog.Machine { return &recordingMachine{} },
 		})
 		c.Run(5 * time.Second)
 		for _, n := range c.Nodes {
 			c.Crash(n, 0)
 		}
-		began := c.Now
+		restartedAt := c.Now
 		for step := range 1000 {
 			for i, n := range c.Nodes {
 				if step == i*4 {
@@ -284,18 +293,18 @@
 			}
 		}
 		must.NotNil(t, c.Leader(), must.Sprintf("seed %d", seed))
-		if c.Now.Sub(began) <= 900*time.Millisecond {
-			soon++
+		if c.Now.Sub(restartedAt) <= 900*time.Millisecond {
+			fastElections++
 		}
 	}
-	must.GreaterEq(t, runs*9/10, soon)
+	must.GreaterEq(t, runs*9/10, fastElections)
 }
 
-// TestAReadWaitsForTheFirstEntryOfTheTerm asks a leader that has just been elected: the
-// read is confirmed with that entry, and covers all that was committed before.
-func TestAReadWaitsForTheFirstEntryOfTheTerm(t *testing.T) {
+// TestReadWaitsForFirstEntryOfTerm reads from a leader that has just been elected. The read
+// must wait for the first entry of its term, which follows all entries committed before.
+func TestReadWaitsForFirstEntryOfTerm(t *testing.T) {
 	start := time.Unix(0, 0)
-	n := node("a#1", start, raft.HardState{})
+	n := newNode("a#1", start, raft.HardState{})
 	now := start.Add(2 * election)
 	n.Step(now, raft.Envelope{From: "b#1", To: "a#1", Message: raft.TimeoutNow{}})
 	n.Done(n.Ready())
--- a/raft/ready.go
+++ b/raft/ready.go
@@ -1,4 +1,4 @@
-// This file defines what a Node asks of its owner.
+// This file defines what a Node returns to its caller.
 
 package raft
 
@@ -7,120 +7,123 @@
 	"time"
 )
 
-// Ready is one batch of work. The owner makes Hard, Install and Entries
-// durable, in that order, then sends Messages, then applies Committed.
+// Ready is one batch of work for the caller, which makes Hard, Install and Entries durable,
+// in that order, then sends Messages, then applies Committed.
 type Ready struct {
 	Hard      *HardState // nil if unchanged
-	Install   *Snapshot  // replaces the whole log and the state machine
-	Entries   []Entry    // to append, replacing all from the first's index on
+	Install   *Snapshot  // a received snapshot, which replaces the log and the state machine's state; nil for none
+	Entries   []Entry    // to append, after truncating the log before the first one's index
 	Messages  []Envelope
 	Committed []Entry
-	Reads     []Read
+	Reads     []Read // reads that were confirmed or have failed
 }
 
-// Ready takes the work that has come up. The owner must do it, and call Done,
-// before the next.
+// Ready returns the pending work and clears it. The caller must do the work and call Done
+// before it calls Ready again.
 func (n *Node) Ready() Ready {
-	r := Ready{Messages: n.out, Install: n.install, Reads: n.readable}
-	n.out, n.install, n.readable = nil, nil, nil
-	if n.changed {
+	r := Ready{Messages: n.outgoing, Install: n.pendingInstall, Reads: n.finishedReads}
+	n.outgoing, n.pendingInstall, n.finishedReads = nil, nil, nil
+	if n.hardStateChanged {
 		hard := n.hard
 		r.Hard = &hard
-		n.changed = false
+		n.hardStateChanged = false
 	}
-	r.Entries = n.log.slice(n.stable+1, int(n.log.lastIndex()-n.stable))
-	if n.commit > n.applied {
-		r.Committed = n.log.slice(n.applied+1, int(min(n.commit, n.log.lastIndex())-n.applied))
+	r.Entries = n.log.entriesFrom(n.durableIndex+1, int(n.log.lastIndex()-n.durableIndex))
+	if n.commitIndex > n.appliedIndex {
+		r.Committed = n.log.entriesFrom(n.appliedIndex+1, int(min(n.commitIndex, n.log.lastIndex())-n.appliedIndex))
 	}
 	return r
 }
 
-// Done tells that a Ready's work has been done.
+// Done records that the work of r has been done.
 func (n *Node) Done(r Ready) {
 	if k := len(r.Entries); k > 0 {
 		last := r.Entries[k-1]
 		if term, ok := n.log.term(last.Index); ok && term == last.Term {
-			n.stable = max(n.stable, last.Index)
+			n.durableIndex = max(n.durableIndex, last.Index)
 		}
 	}
 	if k := len(r.Committed); k > 0 {
-		n.applied = r.Committed[k-1].Index
+		n.appliedIndex = r.Committed[k-1].Index
 	}
 	if n.role == Leader {
-		before := n.commit
-		n.maybeCommit()
-		if n.commit > before && len(n.members.Voters) > 1 {
+		before := n.commitIndex
+		n.advanceCommit()
+		if n.commitIndex > before && len(n.membership.Voters) > 1 {
 			n.broadcast()
 		}
 	}
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is no work to do.
 func (r Ready) Empty() bool {
 	return r.Hard == nil && r.Install == nil && len(r.Entries) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
-// Compact puts a snapshot of the state machine, applied up to index, in the
-// place of the entries before it.
+// Compact replaces the entries up to index by a snapshot. data is the serialized state of the
+// state machine after it has applied index. Compact returns false, and changes nothing, if
+// index isn't applied yet or is already compacted.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, bool) {
 	term, ok := n.log.term(index)
-	if !ok || index > n.applied || index <= n.log.snapshot.Index {
+	if !ok || index > n.appliedIndex || index <= n.log.snapshot.Index {
 		return Snapshot{}, false
 	}
-	s := Snapshot{Index: index, Term: term, Members: n.membersAt(index), Data: data}
+	s := Snapshot{Index: index, Term: term, Members: n.membershipAt(index), Data: data}
 	n.log.compact(s)
 	return s, true
 }
 
-func (n *Node) membersAt(index uint64) Membership {
+func (n *Node) membershipAt(index uint64) Membership {
 	for i := index; i > n.log.snapshot.Index; i-- {
-		if e := n.log.slice(i, 1)[0]; e.Kind == EntryMembership {
+		if e := n.log.entriesFrom(i, 1)[0]; e.Kind == EntryMembership {
 			return *e.Members
 		}
 	}
 	return n.log.snapshot.Members
 }
 
-// Status describes a replica.
+// Status is the observable state of a replica at one moment.
 type Status struct {
 	ID       ID
 	Role     Role
 	Term     uint64
-	Leader   ID
+	Leader   ID // None if unknown
 	Commit   uint64
 	Applied  uint64
-	Last     uint64
+	Last     uint64 // index of the last entry of the log
 	Members  Membership
-	Lease    time.Time
-	Peers    []PeerStatus // of a leader
-	Snapshot uint64
+	Lease    time.Time    // see Node.LeaseUntil
+	Peers    []PeerStatus // empty unless this replica is the leader
+	Snapshot uint64       // index of the latest snapshot
 }
 
-// PeerStatus is what a leader knows of another replica.
+// PeerStatus is a leader's view of another replica.
 type PeerStatus struct {
 	ID    ID
-	Match uint64
-	Heard time.Time
+	Match uint64    // last index known to be replicated there
+	Heard time.Time // time of the last reply
 }
 
-// Status gives the state of the replica.
+// Status returns the current state of the replica.
 func (n *Node) Status() Status {
 	s := Status{
-		ID: n.opts.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Commit: n.commit, Applied: n.applied,
-		Last: n.log.lastIndex(), Members: n.members, Lease: n.LeaseUntil(), Snapshot: n.log.snapshot.Index,
+		ID: n.opts.ID, Role: n.role, Term: n.hard.Term, Leader: n.leader, Commit: n.commitIndex, Applied: n.appliedIndex,
+		Last: n.log.lastIndex(), Members: n.membership, Lease: n.LeaseUntil(), Snapshot: n.log.snapshot.Index,
 	}
 	if n.role == Leader {
-		for _, id := range slices.Concat(n.members.Voters, n.members.Learners) {
+		for _, id := range slices.Concat(n.membership.Voters, n.membership.Learners) {
 			if p := n.peers[id]; p != nil {
-				s.Peers = append(s.Peers, PeerStatus{id, p.match, p.heard})
+				s.Peers = append(s.Peers, PeerStatus{id, p.matchIndex, p.lastHeard})
 			}
 		}
 	}
 	return s
 }
 
-// Entries gives the entries after the snapshot, for rewriting the durable log.
-func (n *Node) Entries() []Entry { return n.log.slice(n.log.snapshot.Index+1, len(n.log.entries)) }
+// Entries returns all entries after the snapshot, for a rewrite of the durable log.
+func (n *Node) Entries() []Entry {
+	return n.log.entriesFrom(n.log.snapshot.Index+1, len(n.log.entries))
+}
 
-// Hard gives the hard state.
+// Hard returns the current hard state, for a rewrite of the durable log.
 func (n *Node) Hard() HardState { return n.hard }
--- a/raft/register.go
+++ b/raft/register.go
@@ -2,8 +2,8 @@
 
 import "encoding/gob"
 
-// RegisterMessages makes every Message known to encoding/gob, by which
-// envelopes travel between processes. It may be called any number of times.
+// RegisterMessages registers every Message type with encoding/gob, which encodes the
+// envelopes that processes send to each other. It may be called any number of times.
 func RegisterMessages() {
 	for _, m := range []Message{
 		PreVote{},
--- a/raft/step.go
+++ b/raft/step.go
@@ -1,53 +1,54 @@
-// This file defines how a Node takes messages.
+// This file defines how a Node handles messages from other replicas.
 
 package raft
 
 import "time"
 
-// Step takes a message that has arrived.
+// Step handles a message that has arrived.
 func (n *Node) Step(now time.Time, e Envelope) {
-	n.setNow(now)
+	n.advanceClock(now)
 	if e.To != n.opts.ID {
-		return // meant for an identity that this host has lost
+		return // addressed to an ID that this host had before it lost its data
 	}
 	if !n.acceptTerm(e) {
 		return
 	}
 	switch m := e.Message.(type) {
 	case PreVote:
-		n.onPreVote(e, m)
+		n.handlePreVote(e, m)
 	case PreVoteReply:
-		n.onVoteReply(e.From, PreCandidate, m.Granted)
+		n.handleVoteReply(e.From, PreCandidate, m.Granted)
 	case Vote:
-		n.onVote(e, m)
+		n.handleVote(e, m)
 	case VoteReply:
-		n.onVoteReply(e.From, Candidate, m.Granted)
+		n.handleVoteReply(e.From, Candidate, m.Granted)
 	case Append:
-		n.onAppend(e, m)
+		n.handleAppend(e, m)
 	case AppendReply:
-		n.onAppendReply(e.From, m)
+		n.handleAppendReply(e.From, m)
 	case Install:
-		n.onInstall(e, m)
+		n.handleInstall(e, m)
 	case TimeoutNow:
-		if n.members.IsVoter(n.opts.ID) {
+		if n.membership.IsVoter(n.opts.ID) {
 			n.campaign(Candidate, true)
 		}
 	}
 }
 
-// acceptTerm takes over a newer term and answers an older one, so that its
-// sender learns of ours. It tells whether the message counts.
+// acceptTerm adopts the term of the message if it is newer, and rejects a message of an
+// older term, so that its sender learns the current one. It reports whether the message
+// should be handled.
 func (n *Node) acceptTerm(e Envelope) bool {
 	switch m := e.Message.(type) {
 	case PreVote:
-		return true // changes nobody's term
+		return true // a pre-vote doesn't change the receiver's term
 	case PreVoteReply:
 		if m.Granted {
 			return e.Term == n.hard.Term+1
 		}
 	case Vote:
-		if !m.Transfer && n.hasLeader() {
-			return false // the leader's lease still runs
+		if !m.Transfer && n.leaderLeaseMayRun() {
+			return false // the leader's lease may still run
 		}
 	}
 	if e.Term > n.hard.Term {
@@ -56,169 +57,170 @@
 		case Append, Install:
 			leader = e.From
 		}
-		n.become(Follower, e.Term, leader)
+		n.changeRole(Follower, e.Term, leader)
 	}
 	if e.Term < n.hard.Term {
-		n.refuseOld(e)
+		n.rejectStaleTerm(e)
 		return false
 	}
 	return true
 }
 
-func (n *Node) refuseOld(e Envelope) {
+func (n *Node) rejectStaleTerm(e Envelope) {
 	switch e.Message.(type) {
 	case Append, Install:
-		n.reply(e, AppendReply{Reject: true, Match: n.commit})
+		n.reply(e, AppendReply{Reject: true, Match: n.commitIndex})
 	case Vote:
 		n.reply(e, VoteReply{})
 	}
 }
 
 func (n *Node) reply(e Envelope, m Message) {
-	n.out = append(n.out, Envelope{n.opts.ID, e.From, n.hard.Term, m})
+	n.outgoing = append(n.outgoing, Envelope{n.opts.ID, e.From, n.hard.Term, m})
 }
 
-// hasLeader tells whether a leader has been heard so lately that its lease may
-// run. The start counts as such, for what was heard before it is forgotten.
-func (n *Node) hasLeader() bool {
-	return n.role == Leader || n.now.Before(n.contact.Add(n.opts.Election))
+// leaderLeaseMayRun reports whether a leader's lease may still run: this replica leads, or it
+// received a message from the leader within the last election timeout. The start of the
+// replica counts as such a message, since contacts before it are forgotten.
+func (n *Node) leaderLeaseMayRun() bool {
+	return n.role == Leader || n.now.Before(n.lastLeaderContact.Add(n.opts.Election))
 }
 
-func (n *Node) upToDate(lastIndex, lastTerm uint64) bool {
+func (n *Node) isUpToDate(lastIndex, lastTerm uint64) bool {
 	if lastTerm != n.log.lastTerm() {
 		return lastTerm > n.log.lastTerm()
 	}
 	return lastIndex >= n.log.lastIndex()
 }
 
-func (n *Node) onPreVote(e Envelope, m PreVote) {
-	granted := e.Term > n.hard.Term && !n.hasLeader() && n.upToDate(m.LastIndex, m.LastTerm)
+func (n *Node) handlePreVote(e Envelope, m PreVote) {
+	granted := e.Term > n.hard.Term && !n.leaderLeaseMayRun() && n.isUpToDate(m.LastIndex, m.LastTerm)
 	term := n.hard.Term
 	if granted {
 		term = e.Term
 	}
-	n.out = append(n.out, Envelope{n.opts.ID, e.From, term, PreVoteReply{Granted: granted}})
+	n.outgoing = append(n.outgoing, Envelope{n.opts.ID, e.From, term, PreVoteReply{Granted: granted}})
 }
 
-func (n *Node) onVote(e Envelope, m Vote) {
-	free := n.hard.Vote == None || n.hard.Vote == e.From
-	granted := free && n.role == Follower && n.upToDate(m.LastIndex, m.LastTerm)
+func (n *Node) handleVote(e Envelope, m Vote) {
+	canVote := n.hard.Vote == None || n.hard.Vote == e.From
+	granted := canVote && n.role == Follower && n.isUpToDate(m.LastIndex, m.LastTerm)
 	if granted {
 		n.hard.Vote = e.From
-		n.changed = true
-		n.resetElection()
+		n.hardStateChanged = true
+		n.resetElectionDeadline()
 	}
 	n.reply(e, VoteReply{Granted: granted})
 }
 
-func (n *Node) onVoteReply(from ID, role Role, granted bool) {
+func (n *Node) handleVoteReply(from ID, role Role, granted bool) {
 	if n.role != role || !granted {
 		return
 	}
 	n.votes[from] = true
-	n.tally(false)
+	n.countVotes(false)
 }
 
-// follow notes a word of this term's leader.
-func (n *Node) follow(leader ID) {
+// acceptLeader records a message from the leader of the current term.
+func (n *Node) acceptLeader(leader ID) {
 	if n.role != Follower {
-		n.become(Follower, n.hard.Term, leader)
+		n.changeRole(Follower, n.hard.Term, leader)
 	}
 	n.leader = leader
-	n.contact = n.now
-	n.resetElection()
+	n.lastLeaderContact = n.now
+	n.resetElectionDeadline()
 }
 
-func (n *Node) onAppend(e Envelope, m Append) {
-	n.follow(e.From)
-	m = n.skipCommitted(m)
+func (n *Node) handleAppend(e Envelope, m Append) {
+	n.acceptLeader(e.From)
+	m = n.skipCommittedEntries(m)
 	if term, ok := n.log.term(m.PrevIndex); !ok || term != m.PrevTerm {
 		hint := min(m.PrevIndex-1, n.log.lastIndex())
-		n.reply(e, AppendReply{Reject: true, Match: max(hint, n.commit), Round: m.Round})
+		n.reply(e, AppendReply{Reject: true, Match: max(hint, n.commitIndex), Round: m.Round})
 		return
 	}
-	n.appendNew(m.Entries)
+	n.appendMissing(m.Entries)
 	match := m.PrevIndex + uint64(len(m.Entries))
-	n.commit = max(n.commit, min(m.Commit, match))
+	n.commitIndex = max(n.commitIndex, min(m.Commit, match))
 	n.reply(e, AppendReply{Match: match, Round: m.Round})
 }
 
-// skipCommitted takes off the entries that are committed here already: up to
-// there the two logs are equal.
-func (n *Node) skipCommitted(m Append) Append {
-	if m.PrevIndex >= n.commit {
+// skipCommittedEntries removes the entries that are already committed here: up to the commit
+// index this log equals the leader's.
+func (n *Node) skipCommittedEntries(m Append) Append {
+	if m.PrevIndex >= n.commitIndex {
 		return m
 	}
-	skip := min(uint64(len(m.Entries)), n.commit-m.PrevIndex)
+	skip := min(uint64(len(m.Entries)), n.commitIndex-m.PrevIndex)
 	m.Entries = m.Entries[skip:]
-	m.PrevIndex = n.commit
-	m.PrevTerm, _ = n.log.term(n.commit)
+	m.PrevIndex = n.commitIndex
+	m.PrevTerm, _ = n.log.term(n.commitIndex)
 	return m
 }
 
-// appendNew adds the entries that the log lacks, and cuts off its own only
-// where they differ: a late message must not shorten the log.
-func (n *Node) appendNew(entries []Entry) {
+// appendMissing appends the entries that the log lacks. It truncates the log only at the
+// first entry that differs, since a delayed message must not shorten the log.
+func (n *Node) appendMissing(entries []Entry) {
 	for i, entry := range entries {
 		if term, ok := n.log.term(entry.Index); ok && term == entry.Term {
 			continue
 		}
 		n.log.append(entries[i:]...)
-		n.stable = min(n.stable, entry.Index-1)
-		members, index := n.log.members()
-		n.setMembers(members, index)
+		n.durableIndex = min(n.durableIndex, entry.Index-1)
+		members, index := n.log.latestMembership()
+		n.setMembership(members, index)
 		return
 	}
 }
 
-func (n *Node) onAppendReply(from ID, m AppendReply) {
+func (n *Node) handleAppendReply(from ID, m AppendReply) {
 	p := n.peers[from]
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.heard = n.now
-	n.noteRound(p, m.Round)
+	p.lastHeard = n.now
+	n.recordAck(p, m.Round)
 	if m.Reject {
-		p.next = max(p.match, m.Match) + 1
-		if p.next > n.log.lastIndex()+1 {
-			p.next = n.log.lastIndex() + 1
+		p.nextIndex = max(p.matchIndex, m.Match) + 1
+		if p.nextIndex > n.log.lastIndex()+1 {
+			p.nextIndex = n.log.lastIndex() + 1
 		}
-		if n.now.Sub(p.installing) > installTime {
-			n.send(from, p)
+		if n.now.Sub(p.snapshotSentAt) > snapshotRetryInterval {
+			n.sendAppend(from, p)
 		}
 		return
 	}
-	p.installing = time.Time{}
-	p.match = max(p.match, m.Match)
-	p.next = max(p.next, p.match+1)
-	before := n.commit
-	n.maybeCommit()
-	if n.commit > before {
-		n.broadcast() // tell the others without waiting for the next beat
-	} else if p.next <= n.log.lastIndex() {
-		n.send(from, p)
+	p.snapshotSentAt = time.Time{}
+	p.matchIndex = max(p.matchIndex, m.Match)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
+	before := n.commitIndex
+	n.advanceCommit()
+	if n.commitIndex > before {
+		n.broadcast() // propagate the commit index without waiting for the next heartbeat
+	} else if p.nextIndex <= n.log.lastIndex() {
+		n.sendAppend(from, p)
 	}
 	n.confirmReads()
 }
 
-// noteRound notes when the round that a peer answered was sent.
-func (n *Node) noteRound(p *progress, round uint64) {
-	if round <= p.round {
+// recordAck records that a peer has acknowledged a round, and when that round was sent.
+func (n *Node) recordAck(p *progress, round uint64) {
+	if round <= p.ackedRound {
 		return
 	}
-	p.round = round
-	for _, sent := range n.rounds {
+	p.ackedRound = round
+	for _, sent := range n.recentRounds {
 		if sent.round == round {
-			p.acked = sent.at
+			p.ackedSentAt = sent.sentAt
 		}
 	}
 }
 
-func (n *Node) onInstall(e Envelope, m Install) {
-	n.follow(e.From)
+func (n *Node) handleInstall(e Envelope, m Install) {
+	n.acceptLeader(e.From)
 	s := m.Snapshot
-	if s.Index <= n.commit {
-		n.reply(e, AppendReply{Match: n.commit, Round: m.Round})
+	if s.Index <= n.commitIndex {
+		n.reply(e, AppendReply{Match: n.commitIndex, Round: m.Round})
 		return
 	}
 	if term, ok := n.log.term(s.Index); !ok || term != s.Term {
@@ -227,10 +229,10 @@
 	}
 	n.log.compact(s)
 	n.log.snapshot = s
-	n.commit, n.applied = s.Index, s.Index
-	n.stable = n.log.lastIndex()
-	n.install = &s
-	members, index := n.log.members()
-	n.setMembers(members, index)
+	n.commitIndex, n.appliedIndex = s.Index, s.Index
+	n.durableIndex = n.log.lastIndex()
+	n.pendingInstall = &s
+	members, index := n.log.latestMembership()
+	n.setMembership(members, index)
 	n.reply(e, AppendReply{Match: s.Index, Round: m.Round})
 }
--- a/raft/types.go
+++ b/raft/types.go
@@ -6,24 +6,24 @@
 	"github.com/juju/errors"
 )
 
-// ID is the identity of a replica. A replica whose data folder was lost comes
-// back under another one.
+// ID identifies a replica. A replica that lost its data folder rejoins under a new ID, so
+// that it can't vote a second time in a term in which it has voted.
 type ID string
 
-// None is the identity of nobody.
+// None stands for "no replica", such as an unknown leader or a vote not yet cast.
 const None ID = ""
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of an entry's content.
 type EntryKind uint8
 
-// The kinds of entry.
+// The kinds of entries.
 const (
-	EntryCommand    EntryKind = iota
-	EntryEmpty                // the first of a leader's term
-	EntryMembership           // Members holds the new membership
+	EntryCommand    EntryKind = iota // Data is a command for the state machine
+	EntryEmpty                       // the first entry of a leader's term, without content
+	EntryMembership                  // Members is the new membership
 )
 
-// Entry is one place of the log. Indexes count from 1.
+// Entry is one entry of the log. The first index is 1.
 type Entry struct {
 	Index   uint64      `json:"i"`
 	Term    uint64      `json:"t"`
@@ -32,43 +32,46 @@
 	Members *Membership `json:"m,omitempty"`
 }
 
-// Membership says who votes and who learns.
+// Membership lists the replicas of the group. Voters elect the leader and count towards the
+// commit quorum; learners only receive the log.
 type Membership struct {
 	Voters   []ID `json:"voters"`
 	Learners []ID `json:"learners,omitempty"`
 }
 
-// IsVoter tells whether the replica votes.
+// IsVoter reports whether the replica is a voter.
 func (m Membership) IsVoter(id ID) bool { return slices.Contains(m.Voters, id) }
 
-// Has tells whether the replica votes or learns.
+// Has reports whether the replica is a member: a voter or a learner.
 func (m Membership) Has(id ID) bool {
 	return m.IsVoter(id) || slices.Contains(m.Learners, id)
 }
 
-// Quorum is the size of a majority of the voters.
+// Quorum returns the smallest number of voters that is a majority.
 func (m Membership) Quorum() int { return len(m.Voters)/2 + 1 }
 
-// WithLearner gives the membership with one more learner.
+// WithLearner returns a copy of the membership with the replica added as a learner.
 func (m Membership) WithLearner(id ID) Membership {
 	return Membership{slices.Clone(m.Voters), append(slices.Clone(m.Learners), id)}
 }
 
-// WithVoter gives the membership with a learner made a voter.
+// WithVoter returns a copy of the membership in which the replica is a voter and no longer a
+// learner.
 func (m Membership) WithVoter(id ID) Membership {
-	return Membership{append(slices.Clone(m.Voters), id), without(m.Learners, id)}
+	return Membership{append(slices.Clone(m.Voters), id), removeID(m.Learners, id)}
 }
 
-// Without gives the membership without a replica.
+// Without returns a copy of the membership from which the replica is removed.
 func (m Membership) Without(id ID) Membership {
-	return Membership{without(m.Voters, id), without(m.Learners, id)}
+	return Membership{removeID(m.Voters, id), removeID(m.Learners, id)}
 }
 
-func without(ids []ID, id ID) []ID {
+func removeID(ids []ID, id ID) []ID {
 	return slices.DeleteFunc(slices.Clone(ids), func(other ID) bool { return other == id })
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all entries up to and including Index. Data is the serialized state of
+// the state machine at that index.
 type Snapshot struct {
 	Index   uint64     `json:"index"`
 	Term    uint64     `json:"term"`
@@ -76,16 +79,17 @@
 	Data    []byte     `json:"data"`
 }
 
-// HardState must be durable before any message that depends on it is sent.
+// HardState is the current term and the vote cast in it. It must be durable before any
+// message that depends on it is sent.
 type HardState struct {
 	Term uint64 `json:"term"`
 	Vote ID     `json:"vote"`
 }
 
-// Role is what a replica is doing.
+// Role is the role of a replica in its current term.
 type Role uint8
 
-// The roles.
+// The roles of a replica. A PreCandidate runs a pre-vote before it becomes a Candidate.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -93,7 +97,7 @@
 	Leader
 )
 
-// String gives the role in lower case.
+// String returns the name of the role in lower case.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
@@ -101,32 +105,33 @@
 // Message is the sealed set of messages between replicas.
 type Message interface{ message() }
 
-// Envelope is a message with its sender, receiver and the sender's term. In a
-// PreVote and its granted reply, Term is the term that the sender would start.
+// Envelope is a message with its sender, its receiver and the sender's term. In a PreVote
+// and in a reply that grants it, Term is the term that the pre-candidate would start.
 type Envelope struct {
 	From, To ID
 	Term     uint64
 	Message  Message
 }
 
-// PreVote asks whether a vote would be granted.
+// PreVote asks whether the receiver would vote for the sender, without starting a term.
 type PreVote struct{ LastIndex, LastTerm uint64 }
 
-// PreVoteReply answers PreVote.
+// PreVoteReply is the reply to PreVote.
 type PreVoteReply struct{ Granted bool }
 
-// Vote asks for a vote. Transfer is set where the leader itself asked for the
-// election; its lease then doesn't stand in the way.
+// Vote requests a vote. Transfer is set if the leader itself started this election by
+// TimeoutNow; voters then grant the vote although the leader's lease may still run.
 type Vote struct {
 	LastIndex, LastTerm uint64
 	Transfer            bool
 }
 
-// VoteReply answers Vote.
+// VoteReply is the reply to Vote.
 type VoteReply struct{ Granted bool }
 
-// Append carries entries, or none as a heartbeat. Round numbers the leader's
-// messages in time.
+// Append carries log entries; without entries it is a heartbeat. Round is the number of the
+// leader's last broadcast, which the reply returns, so that the leader knows from when the
+// acknowledgement dates.
 type Append struct {
 	PrevIndex, PrevTerm uint64
 	Entries             []Entry
@@ -134,21 +139,23 @@
 	Round               uint64
 }
 
-// AppendReply answers Append and Install. Match is the last index known to be
-// equal to the leader's log; of a rejection, the last that may be.
+// AppendReply is the reply to Append and Install. Match is the last index up to which the
+// sender's log is known to equal the leader's; in a rejection, the last index up to which it
+// may be equal.
 type AppendReply struct {
 	Reject bool
 	Match  uint64
 	Round  uint64
 }
 
-// Install carries a whole snapshot.
+// Install carries a whole snapshot, for a replica that needs entries which the leader has
+// compacted.
 type Install struct {
 	Snapshot Snapshot
 	Round    uint64
 }
 
-// TimeoutNow tells a voter to start an election at once.
+// TimeoutNow asks a voter to start an election at once, to transfer leadership to it.
 type TimeoutNow struct{}
 
 func (PreVote) message()      {}
@@ -160,11 +167,12 @@
 func (Install) message()      {}
 func (TimeoutNow) message()   {}
 
-// Errors of proposals.
+// Errors returned for proposals.
 var (
-	// ErrNotLeader says that this replica doesn't lead. Nothing was proposed.
-	ErrNotLeader = errors.New("this replica doesn't lead")
-	// ErrMembershipPending says that an earlier change of members is not
-	// committed yet. Nothing was proposed.
-	ErrMembershipPending = errors.New("a change of members is not committed yet")
+	// ErrNotLeader means that this replica is not the leader. Nothing was proposed.
+	ErrNotLeader = errors.New("this replica is not the leader")
+	// ErrMembershipPending means that the membership can't be changed in this way now: an
+	// earlier change or the first entry of the leader's term is not committed yet, or the
+	// change adds or removes more than one voter. Nothing was proposed.
+	ErrMembershipPending = errors.New("a membership change is not committed yet")
 )
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -18,7 +18,7 @@
 // may do.
 func (r *Replica) Deliver(e raft.Envelope) {
 	select {
-	case r.ring <- arrived{e}:
+	case r.inputs <- receivedMessage{e}:
 	default:
 	}
 }
@@ -27,7 +27,7 @@
 // errors, ErrNotLeader, ErrBusy and ErrReplaced say that it was not and will
 // not be applied; after any other it may be.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
-	return r.submit(ctx, proposal{data: data, done: make(chan outcome, 1)})
+	return r.submit(ctx, proposal{data: data, done: make(chan proposalResult, 1)})
 }
 
 // ProposeJSON is Propose for a command that is written as JSON.
@@ -41,24 +41,24 @@
 
 // ProposeMembers proposes a change of members and waits until it is committed.
 func (r *Replica) ProposeMembers(ctx context.Context, members raft.Membership) error {
-	_, err := r.submit(ctx, proposal{members: &members, done: make(chan outcome, 1)})
+	_, err := r.submit(ctx, proposal{members: &members, done: make(chan proposalResult, 1)})
 	return err
 }
 
 func (r *Replica) submit(ctx context.Context, p proposal) (any, error) {
 	select {
-	case r.ring <- p:
-	case <-r.ended:
+	case r.inputs <- p:
+	case <-r.stopped:
 		return nil, ErrStopped
 	default:
 		return nil, ErrBusy
 	}
 	select {
-	case out := <-p.done:
-		return out.result, out.err
+	case result := <-p.done:
+		return result.result, result.err
 	case <-ctx.Done():
 		return nil, errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return nil, ErrStopped
 	}
 }
@@ -66,20 +66,20 @@
 // Read waits until the state machine holds everything that was committed when
 // Read was called.
 func (r *Replica) Read(ctx context.Context) error {
-	ask := readAsk{make(chan error, 1)}
+	request := readRequest{make(chan error, 1)}
 	select {
-	case r.ring <- ask:
-	case <-r.ended:
+	case r.inputs <- request:
+	case <-r.stopped:
 		return ErrStopped
 	default:
 		return ErrBusy
 	}
 	select {
-	case err := <-ask.done:
+	case err := <-request.done:
 		return err
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 }
@@ -87,25 +87,25 @@
 // Transfer asks another voter to lead, before a planned stop.
 func (r *Replica) Transfer(to raft.ID) {
 	select {
-	case r.ring <- transfer{to}:
+	case r.inputs <- transferRequest{to}:
 	default:
 	}
 }
 
 // Inspect runs do in the replica's goroutine, where the machine may be read.
-func (r *Replica) Inspect(ctx context.Context, do func()) error {
-	in := inspect{do, make(chan struct{})}
+func (r *Replica) Inspect(ctx context.Context, fn func()) error {
+	request := inspectRequest{fn, make(chan struct{})}
 	select {
-	case r.ring <- in:
+	case r.inputs <- request:
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 	select {
-	case <-in.done:
+	case <-request.done:
 		return nil
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 }
--- a/replica/mark.go
+++ b/replica/mark.go
@@ -18,49 +18,49 @@
 // leader to be found: what is committed stays so. The mark may be old or lost,
 // which only means that less is applied before there is a leader; so it is
 // written beside the log, after the fact, by a duty of its own.
-const markName = "commit"
+const commitFileName = "commit"
 
-// markPause bounds how often a mark is written.
-const markPause = 200 * time.Millisecond
+// commitSaveInterval bounds how often a mark is written.
+const commitSaveInterval = 200 * time.Millisecond
 
-// marker writes marks. openMarker makes one; run writes.
-type marker struct {
+// commitIndexSaver writes marks. openCommitIndexSaver makes one; run writes.
+type commitIndexSaver struct {
 	pair   *disk.Pair
 	log    *zap.Logger
-	newest chan uint64 // holds one
-	last   uint64
+	pending chan uint64 // holds one
+	lastIndex   uint64
 }
 
-// openMarker gives the newest mark too, 0 where there is none.
-func openMarker(folder disk.Folder, log *zap.Logger) (*marker, uint64) {
-	pair, data := disk.OpenPair(folder, markName)
-	m := &marker{pair: pair, log: log, newest: make(chan uint64, 1)}
-	if len(data) != binary.Size(m.last) {
+// openCommitIndexSaver gives the newest mark too, 0 where there is none.
+func openCommitIndexSaver(folder disk.Folder, log *zap.Logger) (*commitIndexSaver, uint64) {
+	pair, data := disk.OpenPair(folder, commitFileName)
+	m := &commitIndexSaver{pair: pair, log: log, pending: make(chan uint64, 1)}
+	if len(data) != binary.Size(m.lastIndex) {
 		return m, 0
 	}
 	return m, binary.LittleEndian.Uint64(data)
 }
 
-// note asks for a mark; only the replica's goroutine calls it.
-func (m *marker) note(commit uint64) {
-	if commit <= m.last {
+// save asks for a mark; only the replica's goroutine calls it.
+func (m *commitIndexSaver) save(commit uint64) {
+	if commit <= m.lastIndex {
 		return
 	}
-	m.last = commit
+	m.lastIndex = commit
 	select {
-	case <-m.newest: // an older one that has not been written
+	case <-m.pending: // an older one that has not been written
 	default:
 	}
-	m.newest <- commit
+	m.pending <- commit
 }
 
 // run writes the newest mark until ctx ends.
-func (m *marker) run(ctx context.Context) {
+func (m *commitIndexSaver) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case commit := <-m.newest:
+		case commit := <-m.pending:
 			if err := m.pair.Write(binary.LittleEndian.AppendUint64(nil, commit)); err != nil {
 				m.log.Warn("commit index not marked", zap.Uint64("index", commit), telemetry.Cause(err))
 			}
@@ -68,7 +68,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(markPause):
+		case <-time.After(commitSaveInterval):
 		}
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -64,64 +64,64 @@
 	Seed          uint64
 }
 
-// ringSize bounds the inputs that wait.
-const ringSize = 4096
+// maxQueuedInputs bounds the inputs that wait.
+const maxQueuedInputs = 4096
 
-// tickEvery is how often the node is told the time.
-const tickEvery = 25 * time.Millisecond
+// tickInterval is how often the node is told the time.
+const tickInterval = 25 * time.Millisecond
 
 // Replica is one replica. Open makes one; Run runs it.
 type Replica struct {
 	opts   Options
 	node   *raft.Node
 	log    *wal.Log
-	ring   chan input
-	ended  chan struct{}
+	inputs   chan input
+	stopped  chan struct{}
 	status atomic.Pointer[raft.Status]
-	marker *marker
+	commitSaver *commitIndexSaver
 
-	waiting map[uint64]waiter
-	reads   map[uint64]*read
-	nextID  uint64
+	pendingProposals map[uint64]pendingProposal
+	pendingReads   map[uint64]*pendingRead
+	lastReadID  uint64
 }
 
 // input is the sealed set of what reaches the goroutine through the ring.
 type input interface{ input() }
 
 type (
-	arrived  struct{ envelope raft.Envelope }
+	receivedMessage  struct{ envelope raft.Envelope }
 	proposal struct {
 		data    []byte
 		members *raft.Membership
-		done    chan outcome
+		done    chan proposalResult
 	}
-	readAsk  struct{ done chan error }
-	transfer struct{ to raft.ID }
-	inspect  struct {
-		do   func()
+	readRequest  struct{ done chan error }
+	transferRequest struct{ to raft.ID }
+	inspectRequest  struct {
+		fn   func()
 		done chan struct{}
 	}
 )
 
-func (arrived) input()  {}
+func (receivedMessage) input()  {}
 func (proposal) input() {}
-func (readAsk) input()  {}
-func (transfer) input() {}
-func (inspect) input()  {}
+func (readRequest) input()  {}
+func (transferRequest) input() {}
+func (inspectRequest) input()  {}
 
-type outcome struct {
+type proposalResult struct {
 	result any
 	err    error
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term uint64
-	done chan outcome
+	done chan proposalResult
 }
 
-type read struct {
+type pendingRead struct {
 	index uint64
-	ready bool
+	confirmed bool
 	done  chan error
 }
 
@@ -154,28 +154,28 @@
 	}
 	r := &Replica{
 		opts: opts, log: log,
-		ring: make(chan input, ringSize), ended: make(chan struct{}),
-		waiting: make(map[uint64]waiter), reads: make(map[uint64]*read),
+		inputs: make(chan input, maxQueuedInputs), stopped: make(chan struct{}),
+		pendingProposals: make(map[uint64]pendingProposal), pendingReads: make(map[uint64]*pendingRead),
 	}
-	r.marker, state.Commit = openMarker(opts.Folder, opts.Log)
+	r.commitSaver, state.Commit = openCommitIndexSaver(opts.Folder, opts.Log)
 	r.node = raft.New(raft.Options{
 		ID: opts.ID, Election: opts.Election, Heartbeat: opts.Heartbeat, NoLease: opts.NoLease,
 		Random: rand.New(rand.NewPCG(opts.Seed, uint64(len(opts.ID)))),
 	}, state, opts.Clock())
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
 // Run runs the replica until ctx ends, or its disk fails.
 func (r *Replica) Run(ctx context.Context) error {
-	defer close(r.ended)
+	defer close(r.stopped)
 	defer r.log.Close()
 	group := pool.New()
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	group.Go(func() { r.marker.run(ctx) })
-	ticker := time.NewTicker(tickEvery)
+	group.Go(func() { r.commitSaver.run(ctx) })
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -183,42 +183,42 @@
 			return nil
 		case <-ticker.C:
 			r.node.Tick(r.opts.Clock())
-		case in := <-r.ring:
-			r.take(in)
-			r.takeMore()
+		case in := <-r.inputs:
+			r.handle(in)
+			r.handleQueued()
 		}
-		if err := r.work(ctx); err != nil {
+		if err := r.processReady(ctx); err != nil {
 			return errors.Annotate(err, "replica")
 		}
 	}
 }
 
-// takeMore takes what else waits, so that one sync serves many inputs.
-func (r *Replica) takeMore() {
-	for range ringSize {
+// handleQueued takes what else waits, so that one sync serves many inputs.
+func (r *Replica) handleQueued() {
+	for range maxQueuedInputs {
 		select {
-		case in := <-r.ring:
-			r.take(in)
+		case in := <-r.inputs:
+			r.handle(in)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Replica) take(in input) {
+func (r *Replica) handle(in input) {
 	switch in := in.(type) {
-	case arrived:
+	case receivedMessage:
 		r.node.Step(r.opts.Clock(), in.envelope)
 	case proposal:
 		r.propose(in)
-	case readAsk:
-		r.nextID++
-		r.reads[r.nextID] = &read{done: in.done}
-		r.node.Read(r.opts.Clock(), r.nextID)
-	case transfer:
+	case readRequest:
+		r.lastReadID++
+		r.pendingReads[r.lastReadID] = &pendingRead{done: in.done}
+		r.node.Read(r.opts.Clock(), r.lastReadID)
+	case transferRequest:
 		r.node.Transfer(r.opts.Clock(), in.to)
-	case inspect:
-		in.do()
+	case inspectRequest:
+		in.fn()
 		close(in.done)
 	}
 }
@@ -235,24 +235,24 @@
 		err = ErrNotLeader
 	}
 	if err != nil {
-		p.done <- outcome{err: err}
+		p.done <- proposalResult{err: err}
 		return
 	}
-	if old, ok := r.waiting[index]; ok {
-		old.done <- outcome{err: ErrReplaced}
+	if replaced, ok := r.pendingProposals[index]; ok {
+		replaced.done <- proposalResult{err: ErrReplaced}
 	}
-	r.waiting[index] = waiter{term, p.done}
+	r.pendingProposals[index] = pendingProposal{term, p.done}
 }
 
-// work does what the node asks, until there is nothing left.
-func (r *Replica) work(ctx context.Context) error {
+// processReady does what the node asks, until there is nothing left.
+func (r *Replica) processReady(ctx context.Context) error {
 	for {
 		ready := r.node.Ready()
 		if ready.Empty() {
-			r.publish()
+			r.publishStatus()
 			return nil
 		}
-		if err := r.persistPatiently(ctx, ready); err != nil {
+		if err := r.persistWithRetry(ctx, ready); err != nil {
 			return err
 		}
 		for _, e := range ready.Messages {
@@ -260,21 +260,21 @@
 		}
 		r.apply(ready.Committed)
 		r.node.Done(ready)
-		r.finishReads(ready.Reads)
-		if err := r.maybeSnapshot(); err != nil {
+		r.completeReads(ready.Reads)
+		if err := r.snapshotIfDue(); err != nil {
 			return err
 		}
-		r.marker.note(r.node.Status().Commit)
+		r.commitSaver.save(r.node.Status().Commit)
 	}
 }
 
-// diskPause is the wait before a write is tried again that the disk refused.
-const diskPause = 100 * time.Millisecond
+// diskRetryInterval is the wait before a write is tried again that the disk refused.
+const diskRetryInterval = 100 * time.Millisecond
 
-// persistPatiently tries until the disk takes what must be durable. Meanwhile
+// persistWithRetry tries until the disk takes what must be durable. Meanwhile
 // this replica sends nothing, so that the others take it for gone and find
 // another leader.
-func (r *Replica) persistPatiently(ctx context.Context, ready raft.Ready) error {
+func (r *Replica) persistWithRetry(ctx context.Context, ready raft.Ready) error {
 	failures := 0
 	for {
 		err := r.persist(ready)
@@ -290,7 +290,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Trace(err)
-		case <-time.After(diskPause):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
@@ -303,17 +303,17 @@
 		if err := r.opts.Machine.Restore(ready.Install.Data); err != nil {
 			return errors.Annotate(err, "restore a snapshot from the leader")
 		}
-		r.failAllWaiting()
+		r.failPendingProposals()
 		return nil
 	}
 	return r.log.Save(ready.Hard, ready.Entries)
 }
 
-// failAllWaiting tells those who wait that their outcome can't be seen here.
-func (r *Replica) failAllWaiting() {
-	for index, w := range r.waiting {
-		w.done <- outcome{err: ErrStopped}
-		delete(r.waiting, index)
+// failPendingProposals tells those who wait that their outcome can't be seen here.
+func (r *Replica) failPendingProposals() {
+	for index, p := range r.pendingProposals {
+		p.done <- proposalResult{err: ErrStopped}
+		delete(r.pendingProposals, index)
 	}
 }
 
@@ -323,43 +323,43 @@
 		if e.Kind == raft.EntryCommand {
 			result = r.opts.Machine.Apply(e.Index, e.Data)
 		}
-		w, ok := r.waiting[e.Index]
+		p, ok := r.pendingProposals[e.Index]
 		if !ok {
 			continue
 		}
-		delete(r.waiting, e.Index)
-		if w.term != e.Term {
-			w.done <- outcome{err: ErrReplaced}
+		delete(r.pendingProposals, e.Index)
+		if p.term != e.Term {
+			p.done <- proposalResult{err: ErrReplaced}
 			continue
 		}
-		w.done <- outcome{result: result}
+		p.done <- proposalResult{result: result}
 	}
 }
 
-// finishReads tells those reads whose index has been applied.
-func (r *Replica) finishReads(ready []raft.Read) {
+// completeReads tells those reads whose index has been applied.
+func (r *Replica) completeReads(ready []raft.Read) {
 	for _, confirmed := range ready {
-		rd := r.reads[confirmed.ID]
-		if rd == nil {
+		read := r.pendingReads[confirmed.ID]
+		if read == nil {
 			continue
 		}
 		if !confirmed.OK {
-			rd.done <- ErrNotLeader
-			delete(r.reads, confirmed.ID)
+			read.done <- ErrNotLeader
+			delete(r.pendingReads, confirmed.ID)
 			continue
 		}
-		rd.index, rd.ready = confirmed.Index, true
+		read.index, read.confirmed = confirmed.Index, true
 	}
 	applied := r.node.Status().Applied
-	for id, rd := range r.reads {
-		if rd.ready && rd.index <= applied {
-			rd.done <- nil
-			delete(r.reads, id)
+	for id, read := range r.pendingReads {
+		if read.confirmed && read.index <= applied {
+			read.done <- nil
+			delete(r.pendingReads, id)
 		}
 	}
 }
 
-func (r *Replica) maybeSnapshot() error {
+func (r *Replica) snapshotIfDue() error {
 	status := r.node.Status()
 	if status.Applied < status.Snapshot+r.opts.SnapshotEvery {
 		return nil
@@ -383,11 +383,11 @@
 	return nil
 }
 
-// publish lets Status see the newest state, and logs changes of role.
-func (r *Replica) publish() {
+// publishStatus lets Status see the newest state, and logs changes of role.
+func (r *Replica) publishStatus() {
 	status := r.node.Status()
-	old := r.status.Load()
-	if old != nil && (old.Role != status.Role || old.Leader != status.Leader) {
+	previous := r.status.Load()
+	if previous != nil && (previous.Role != status.Role || previous.Leader != status.Leader) {
 		r.opts.Log.Info("control role", zap.String("replica", string(status.ID)), zap.String("role", status.Role.String()), zap.Uint64("term", status.Term), zap.String("leader", string(status.Leader)))
 	}
 	r.status.Store(&status)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -32,8 +32,8 @@
 	return err
 }
 
-// run opens and runs a replica until the returned function is called.
-func run(t *testing.T, id raft.ID, folder disk.Folder) (*replica.Replica, *counter, func()) {
+// startReplica opens and runs a replica until the returned function is called.
+func startReplica(t *testing.T, id raft.ID, folder disk.Folder) (*replica.Replica, *counter, func()) {
 	t.Helper()
 	machine := &counter{}
 	r, err := replica.Open(replica.Options{
@@ -51,10 +51,10 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -62,8 +62,8 @@
 	t.Fatalf("%s: not within 5 s", what)
 }
 
-// propose proposes until a leader has been found.
-func propose(t *testing.T, r *replica.Replica) {
+// proposeWithRetry proposes until a leader has been found.
+func proposeWithRetry(t *testing.T, r *replica.Replica) {
 	t.Helper()
 	eventually(t, "proposal", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -73,14 +73,14 @@
 	})
 }
 
-// TestCommittedIsAppliedWithoutALeader restarts a voter of a log whose other
+// TestAppliesCommittedEntriesWithoutLeader restarts a voter of a log whose other
 // voters are gone: what it knew to be committed is applied, with no leader.
-func TestCommittedIsAppliedWithoutALeader(t *testing.T) {
+func TestAppliesCommittedEntriesWithoutLeader(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
-	r, _, stop := run(t, "a#1", folder)
+	r, _, stop := startReplica(t, "a#1", folder)
 	for range 5 {
-		propose(t, r)
+		proposeWithRetry(t, r)
 	}
 	eventually(t, "mark", func() bool {
 		names, err := folder.Names()
@@ -91,23 +91,23 @@
 	folder.Crash(0)
 
 	// Opened as a replica that has no vote, it can't lead.
-	_, machine, stop := run(t, "b#1", folder)
+	_, machine, stop := startReplica(t, "b#1", folder)
 	defer stop()
 	eventually(t, "committed entries applied", func() bool { return machine.applied.Load() == 5 })
 }
 
-// trio is three replicas that reach each other in memory, each with a clock of its own.
-type trio struct {
+// cluster is three replicas that reach each other in memory, each with a clock of its own.
+type cluster struct {
 	replicas []*replica.Replica
-	ahead    []atomic.Int64 // by how much each clock is ahead
-	alone    atomic.Int64   // the replica that nobody reaches, and that reaches nobody; -1 for none
+	clockOffsets    []atomic.Int64 // by how much each clock is ahead
+	isolated    atomic.Int64   // the replica that nobody reaches, and that reaches nobody; -1 for none
 }
 
-func newTrio(t *testing.T) *trio {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	ids := []raft.ID{"a", "b", "c"}
-	c := &trio{ahead: make([]atomic.Int64, len(ids))}
-	c.alone.Store(-1)
+	c := &cluster{clockOffsets: make([]atomic.Int64, len(ids))}
+	c.isolated.Store(-1)
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	for i, id := range ids {
@@ -116,7 +116,7 @@
 		r, err := replica.Open(replica.Options{
 			ID: id, Election: 100 * time.Millisecond, Heartbeat: 25 * time.Millisecond, Folder: folder, Machine: &counter{},
 			Send:  func(e raft.Envelope) { c.deliver(i, slices.Index(ids, e.To), e) },
-			Clock: func() time.Time { return time.Now().Add(time.Duration(c.ahead[i].Load())) }, SnapshotEvery: 1000, Log: zap.NewNop(), Seed: uint64(i),
+			Clock: func() time.Time { return time.Now().Add(time.Duration(c.clockOffsets[i].Load())) }, SnapshotEvery: 1000, Log: zap.NewNop(), Seed: uint64(i),
 		})
 		must.NoError(t, err)
 		c.replicas = append(c.replicas, r)
@@ -131,43 +131,43 @@
 	return c
 }
 
-func (c *trio) deliver(from, to int, e raft.Envelope) {
-	if alone := int(c.alone.Load()); from != alone && to != alone {
+func (c *cluster) deliver(from, to int, e raft.Envelope) {
+	if isolated := int(c.isolated.Load()); from != isolated && to != isolated {
 		c.replicas[to].Deliver(e)
 	}
 }
 
-// leader waits until one of the others leads, and gives it.
-func (c *trio) leader(t *testing.T) int {
+// waitForLeader waits until one of the others leads, and gives it.
+func (c *cluster) waitForLeader(t *testing.T) int {
 	t.Helper()
-	at := -1
+	index := -1
 	eventually(t, "leader", func() bool {
-		at = slices.IndexFunc(c.replicas, func(r *replica.Replica) bool {
+		index = slices.IndexFunc(c.replicas, func(r *replica.Replica) bool {
 			s := r.Status()
 			return s.Role == raft.Leader && !s.Lease.IsZero()
 		})
-		return at >= 0 && at != int(c.alone.Load())
+		return index >= 0 && index != int(c.isolated.Load())
 	})
-	return at
+	return index
 }
 
-// TestASuspendedLeaderHasNoLease suspends a leader: its messages stop, the others choose
+// TestSuspendedLeaderLosesLease suspends a leader: its messages stop, the others choose
 // another, and when it goes on its clock tells that time has passed. It must not believe in
 // its lease for a moment, since whatever it renewed then would be of an older configuration.
 // A clock that stands still in a suspension left it the lease that it had before.
-func TestASuspendedLeaderHasNoLease(t *testing.T) {
-	c := newTrio(t)
-	first := c.leader(t)
-	c.alone.Store(int64(first))
-	c.ahead[first].Store(int64(time.Hour))
+func TestSuspendedLeaderLosesLease(t *testing.T) {
+	c := newCluster(t)
+	first := c.waitForLeader(t)
+	c.isolated.Store(int64(first))
+	c.clockOffsets[first].Store(int64(time.Hour))
 	status := c.replicas[first].Status()
 	must.False(t, time.Now().Add(time.Hour).Before(status.Lease))
 	eventually(t, "the old leader gives up", func() bool { return c.replicas[first].Status().Role != raft.Leader })
-	must.NotEq(t, first, c.leader(t))
+	must.NotEq(t, first, c.waitForLeader(t))
 }
 
-// TestTornMarkIsIgnored starts with marks that were written in part.
-func TestTornMarkIsIgnored(t *testing.T) {
+// TestIgnoresTornCommitIndexFile starts with marks that were written in part.
+func TestIgnoresTornCommitIndexFile(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
 	for _, name := range []string{"commit-a", "commit-b"} {
@@ -176,19 +176,19 @@
 		_, err = file.Write([]byte{9, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3})
 		must.NoError(t, err)
 	}
-	r, _, stop := run(t, "a#1", folder)
+	r, _, stop := startReplica(t, "a#1", folder)
 	defer stop()
-	propose(t, r)
+	proposeWithRetry(t, r)
 }
 
-// TestFullDiskIsWaitedOut proposes while the disk refuses writes: the replica
+// TestRetriesUntilDiskAcceptsWrites proposes while the disk refuses writes: the replica
 // goes on once it takes them again.
-func TestFullDiskIsWaitedOut(t *testing.T) {
+func TestRetriesUntilDiskAcceptsWrites(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
-	r, machine, stop := run(t, "a#1", folder)
+	r, machine, stop := startReplica(t, "a#1", folder)
 	defer stop()
-	propose(t, r)
+	proposeWithRetry(t, r)
 	folder.SetFull(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -196,6 +196,6 @@
 	must.Error(t, err)
 	must.Eq(t, 1, machine.applied.Load())
 	folder.SetFull(false)
-	propose(t, r)
+	proposeWithRetry(t, r)
 	eventually(t, "both applied", func() bool { return machine.applied.Load() >= 2 })
 }
