--- a/replica/calls.go
+++ b/replica/calls.go
@@ -1,4 +1,4 @@
-// This file defines what others may ask of a replica, from any goroutine.
+// This file defines the methods of a replica that any goroutine may call.
 
 package replica
 
@@ -11,11 +11,11 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// Status gives the state of the replica as of its last turn.
+// Status returns the state of the replica at the end of its last loop iteration.
 func (r *Replica) Status() raft.Status { return *r.status.Load() }
 
-// Deliver takes a message; it is dropped where the ring is full, as a network
-// may do.
+// Deliver queues a message from another replica. It drops the message if the queue is full;
+// the algorithm tolerates lost messages.
 func (r *Replica) Deliver(e raft.Envelope) {
 	select {
 	case r.inputs <- receivedMessage{e}:
@@ -23,23 +23,24 @@
 	}
 }
 
-// Propose proposes a command and waits until it has been applied here. Of the
-// errors, ErrNotLeader, ErrBusy and ErrReplaced say that it was not and will
-// not be applied; after any other it may be.
+// Propose proposes a command, waits until this replica has applied it, and returns the state
+// machine's result. After ErrNotLeader, ErrBusy and ErrReplaced the command was not and will
+// not be applied; after any other error its outcome is unknown.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
 	return r.submit(ctx, proposal{data: data, done: make(chan proposalResult, 1)})
 }
 
-// ProposeJSON is Propose for a command that is written as JSON.
+// ProposeJSON encodes a command as JSON and proposes it as Propose does.
 func (r *Replica) ProposeJSON(ctx context.Context, command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
-		return nil, errors.Annotate(err, "command")
+		return nil, errors.Annotate(err, "encode the command as JSON")
 	}
 	return r.Propose(ctx, data)
 }
 
-// ProposeMembers proposes a change of members and waits until it is committed.
+// ProposeMembers proposes a membership change and waits until it is committed. It returns
+// raft.ErrMembershipPending if the change can't be made now.
 func (r *Replica) ProposeMembers(ctx context.Context, members raft.Membership) error {
 	_, err := r.submit(ctx, proposal{members: &members, done: make(chan proposalResult, 1)})
 	return err
@@ -55,7 +56,7 @@
 	}
 	select {
 	case result := <-p.done:
-		return result.result, result.err
+		return result.value, result.err
 	case <-ctx.Done():
 		return nil, errors.Trace(ctx.Err())
 	case <-r.stopped:
@@ -63,8 +64,8 @@
 	}
 }
 
-// Read waits until the state machine holds everything that was committed when
-// Read was called.
+// Read waits until the state machine has applied everything that was committed when Read was
+// called, so that the caller can then read it with linearizability.
 func (r *Replica) Read(ctx context.Context) error {
 	request := readRequest{make(chan error, 1)}
 	select {
@@ -84,7 +85,8 @@
 	}
 }
 
-// Transfer asks another voter to lead, before a planned stop.
+// Transfer hands the leadership to another voter, before a planned stop. It has no effect if
+// the queue is full, this replica is not the leader, or the voter's log is not up to date.
 func (r *Replica) Transfer(to raft.ID) {
 	select {
 	case r.inputs <- transferRequest{to}:
@@ -92,7 +94,7 @@
 	}
 }
 
-// Inspect runs do in the replica's goroutine, where the machine may be read.
+// Inspect runs fn in the replica's goroutine, where it may read the state machine.
 func (r *Replica) Inspect(ctx context.Context, fn func()) error {
 	request := inspectRequest{fn, make(chan struct{})}
 	select {
--- a/replica/mark.go
+++ b/replica/mark.go
@@ -1,4 +1,4 @@
-// This file defines how a replica remembers how much of its log is committed.
+// This file defines how a replica stores its commit index.
 
 package replica
 
@@ -13,56 +13,58 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// A mark is the index up to which the log was known to be committed. A replica
-// that starts again applies its log up to there at once, without waiting for a
-// leader to be found: what is committed stays so. The mark may be old or lost,
-// which only means that less is applied before there is a leader; so it is
-// written beside the log, after the fact, by a duty of its own.
+// commitFileName is the base name of the file pair that stores the commit index. A replica
+// that restarts applies its log up to the stored index at once, without waiting for a leader,
+// since a committed entry stays committed. The stored index may be stale or lost: then fewer
+// entries are applied before there is a leader. It is therefore written asynchronously, in a
+// file pair next to the log.
 const commitFileName = "commit"
 
-// commitSaveInterval bounds how often a mark is written.
+// commitSaveInterval is the minimum time between two writes of the commit index.
 const commitSaveInterval = 200 * time.Millisecond
 
-// commitIndexSaver writes marks. openCommitIndexSaver makes one; run writes.
+// commitIndexSaver writes the commit index to disk. Its method run does the writes, in a
+// goroutine of its own.
 type commitIndexSaver struct {
-	pair   *disk.Pair
-	log    *zap.Logger
-	pending chan uint64 // holds one
-	lastIndex   uint64
+	pair      *disk.Pair
+	log       *zap.Logger
+	pending   chan uint64 // buffers the latest index that is not yet written
+	lastIndex uint64
 }
 
-// openCommitIndexSaver gives the newest mark too, 0 where there is none.
+// openCommitIndexSaver also returns the stored commit index, or 0 if there is none or it is
+// unreadable.
 func openCommitIndexSaver(folder disk.Folder, log *zap.Logger) (*commitIndexSaver, uint64) {
 	pair, data := disk.OpenPair(folder, commitFileName)
-	m := &commitIndexSaver{pair: pair, log: log, pending: make(chan uint64, 1)}
-	if len(data) != binary.Size(m.lastIndex) {
-		return m, 0
+	s := &commitIndexSaver{pair: pair, log: log, pending: make(chan uint64, 1)}
+	if len(data) != binary.Size(s.lastIndex) {
+		return s, 0
 	}
-	return m, binary.LittleEndian.Uint64(data)
+	return s, binary.LittleEndian.Uint64(data)
 }
 
-// save asks for a mark; only the replica's goroutine calls it.
-func (m *commitIndexSaver) save(commit uint64) {
-	if commit <= m.lastIndex {
+// save schedules a write of the commit index. Only the replica's goroutine may call it.
+func (s *commitIndexSaver) save(commit uint64) {
+	if commit <= s.lastIndex {
 		return
 	}
-	m.lastIndex = commit
+	s.lastIndex = commit
 	select {
-	case <-m.pending: // an older one that has not been written
+	case <-s.pending: // discard a lower index that is not yet written
 	default:
 	}
-	m.pending <- commit
+	s.pending <- commit
 }
 
-// run writes the newest mark until ctx ends.
-func (m *commitIndexSaver) run(ctx context.Context) {
+// run writes the latest scheduled commit index until ctx is cancelled.
+func (s *commitIndexSaver) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case commit := <-m.pending:
-			if err := m.pair.Write(binary.LittleEndian.AppendUint64(nil, commit)); err != nil {
-				m.log.Warn("commit index not marked", zap.Uint64("index", commit), telemetry.Cause(err))
+		case commit := <-s.pending:
+			if err := s.pair.Write(binary.LittleEndian.AppendUint64(nil, commit)); err != nil {
+				s.log.Warn("commit index not written, keeping the previous one", zap.Uint64("index", commit), telemetry.Cause(err))
 			}
 		}
 		select {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica runs one replica of a replicated log: a raft.Node, its
-// durable log and a state machine, in one goroutine that everything else
-// reaches through a bounded ring.
+// Package replica runs one replica of a replicated log: a raft.Node, its durable log and a
+// state machine. They belong to one goroutine; other goroutines reach it through a bounded
+// queue.
 //
-// The order of the duties in each turn is what makes it safe: first what must
-// be durable is saved and synced, then messages are sent, then committed
-// entries are applied, then those who wait are told.
+// Safety depends on the order of the steps in each iteration: save and sync what must be
+// durable, send the messages, apply the committed entries, and then complete the calls that
+// wait for them.
 package replica
 
 import (
@@ -23,30 +23,31 @@
 	"github.com/linenscale/linenscale/wal"
 )
 
-// Machine is a deterministic state machine. It is only called from the
-// replica's goroutine.
+// Machine is a deterministic state machine. Only the replica's goroutine calls its methods.
 type Machine interface {
-	// Apply carries out a command and gives its result.
+	// Apply executes the command at index and returns its result.
 	Apply(index uint64, data []byte) any
+	// Snapshot serializes the whole state.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by one that Snapshot serialized.
 	Restore(data []byte) error
 }
 
-// Errors of proposals and reads.
+// Errors returned for proposals and reads.
 var (
-	// ErrNotLeader says that nothing was proposed: another replica leads.
-	ErrNotLeader = errors.New("this replica doesn't lead")
-	// ErrReplaced says that another entry took the proposal's place: it was
-	// not and will not be applied.
-	ErrReplaced = errors.New("the proposal was replaced by another leader's")
-	// ErrBusy says that nothing was proposed: the ring is full.
-	ErrBusy = errors.New("the replica has too much to do")
-	// ErrStopped says that the replica has ended; a proposal may be applied
-	// all the same.
+	// ErrNotLeader means that nothing was proposed, since this replica is not the leader.
+	ErrNotLeader = errors.New("this replica is not the leader")
+	// ErrReplaced means that an entry of another leader took the index of the proposal, which
+	// was not and will not be applied.
+	ErrReplaced = errors.New("the proposal was replaced by another leader's entry")
+	// ErrBusy means that nothing was proposed, since the queue is full.
+	ErrBusy = errors.New("the replica's queue is full")
+	// ErrStopped means that this replica can't report the outcome, since it has stopped or has
+	// installed a snapshot in place of the entry. A proposal may still be applied.
 	ErrStopped = errors.New("the replica has stopped")
 )
 
-// Options shapes a replica.
+// Options configures a replica.
 type Options struct {
 	ID        raft.ID
 	Election  time.Duration
@@ -55,47 +56,47 @@
 	Folder    disk.Folder
 	Machine   Machine
 	Send      func(raft.Envelope) // must not block
-	// Clock must go on while the machine is suspended: the leader's lease rests on it, and
-	// with it all leases that the leader renews.
+	// Clock must advance while the host is suspended: the leader's lease depends on it, and so
+	// do all leases that the leader renews.
 	Clock func() time.Time
-	// SnapshotEvery is after how many entries a snapshot is made.
+	// SnapshotEvery is the number of applied entries between two snapshots.
 	SnapshotEvery uint64
 	Log           *zap.Logger
-	Seed          uint64
+	Seed          uint64 // of the random election timeouts
 }
 
-// maxQueuedInputs bounds the inputs that wait.
+// maxQueuedInputs is the capacity of the input queue.
 const maxQueuedInputs = 4096
 
-// tickInterval is how often the node is told the time.
+// tickInterval is the time between two calls of raft.Node.Tick.
 const tickInterval = 25 * time.Millisecond
 
-// Replica is one replica. Open makes one; Run runs it.
+// Replica is one replica of the log. Open creates it and Run runs it.
 type Replica struct {
-	opts   Options
-	node   *raft.Node
-	log    *wal.Log
-	inputs   chan input
-	stopped  chan struct{}
-	status atomic.Pointer[raft.Status]
+	opts        Options
+	node        *raft.Node
+	log         *wal.Log
+	inputs      chan input
+	stopped     chan struct{}
+	status      atomic.Pointer[raft.Status]
 	commitSaver *commitIndexSaver
 
 	pendingProposals map[uint64]pendingProposal
-	pendingReads   map[uint64]*pendingRead
-	lastReadID  uint64
+	pendingReads     map[uint64]*pendingRead
+	lastReadID       uint64
 }
 
-// input is the sealed set of what reaches the goroutine through the ring.
+// input is the sealed set of values that the queue carries to the replica's goroutine.
 type input interface{ input() }
 
 type (
-	receivedMessage  struct{ envelope raft.Envelope }
-	proposal struct {
+	receivedMessage struct{ envelope raft.Envelope }
+	proposal        struct {
 		data    []byte
 		members *raft.Membership
 		done    chan proposalResult
 	}
-	readRequest  struct{ done chan error }
+	readRequest     struct{ done chan error }
 	transferRequest struct{ to raft.ID }
 	inspectRequest  struct {
 		fn   func()
@@ -103,37 +104,41 @@
 	}
 )
 
-func (receivedMessage) input()  {}
-func (proposal) input() {}
-func (readRequest) input()  {}
+func (receivedMessage) input() {}
+func (proposal) input()        {}
+func (readRequest) input()     {}
 func (transferRequest) input() {}
 func (inspectRequest) input()  {}
 
 type proposalResult struct {
-	result any
-	err    error
+	value any
+	err   error
 }
 
+// pendingProposal is a call that waits until the entry of its index, the key in
+// Replica.pendingProposals, is applied. If that entry has another term, it replaced the
+// proposal.
 type pendingProposal struct {
 	term uint64
 	done chan proposalResult
 }
 
+// pendingRead is a call of Read. Once confirmed, it waits until index has been applied.
 type pendingRead struct {
-	index uint64
+	index     uint64
 	confirmed bool
-	done  chan error
+	done      chan error
 }
 
-// Form writes the first state of a voter of a new log. The folder must be
-// empty.
+// Form initializes the folder of a voter of a new log. It returns an error if the folder
+// already contains a log.
 func Form(folder disk.Folder, voters []raft.ID) error {
 	log, state, err := wal.Open(folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if state.Hard.Term > 0 || len(state.Snapshot.Members.Voters) > 0 {
-		return errors.New("the folder holds a log already")
+		return errors.New("the folder already contains a log")
 	}
 	if err := log.Replace(raft.State{Snapshot: raft.Snapshot{Members: raft.Membership{Voters: voters}}}); err != nil {
 		return errors.Trace(err)
@@ -141,7 +146,7 @@
 	return errors.Trace(log.Close())
 }
 
-// Open reads the folder and makes the replica.
+// Open reads the folder and returns a replica in the state that it contains.
 func Open(opts Options) (*Replica, error) {
 	log, state, err := wal.Open(opts.Folder)
 	if err != nil {
@@ -149,7 +154,7 @@
 	}
 	if len(state.Snapshot.Data) > 0 {
 		if err := opts.Machine.Restore(state.Snapshot.Data); err != nil {
-			return nil, errors.Annotate(err, "restore the snapshot")
+			return nil, errors.Annotate(err, "restore the state machine from the stored snapshot")
 		}
 	}
 	r := &Replica{
@@ -166,7 +171,8 @@
 	return r, nil
 }
 
-// Run runs the replica until ctx ends, or its disk fails.
+// Run runs the replica until ctx is cancelled, and returns an error if it fails. Failed
+// writes are retried. Run may be called once.
 func (r *Replica) Run(ctx context.Context) error {
 	defer close(r.stopped)
 	defer r.log.Close()
@@ -193,7 +199,8 @@
 	}
 }
 
-// handleQueued takes what else waits, so that one sync serves many inputs.
+// handleQueued handles all queued inputs, so that one sync makes the effects of many inputs
+// durable.
 func (r *Replica) handleQueued() {
 	for range maxQueuedInputs {
 		select {
@@ -244,7 +251,7 @@
 	r.pendingProposals[index] = pendingProposal{term, p.done}
 }
 
-// processReady does what the node asks, until there is nothing left.
+// processReady does the work that the node returns, until none is left.
 func (r *Replica) processReady(ctx context.Context) error {
 	for {
 		ready := r.node.Ready()
@@ -268,19 +275,18 @@
 	}
 }
 
-// diskRetryInterval is the wait before a write is tried again that the disk refused.
+// diskRetryInterval is the wait before a failed write is retried.
 const diskRetryInterval = 100 * time.Millisecond
 
-// persistWithRetry tries until the disk takes what must be durable. Meanwhile
-// this replica sends nothing, so that the others take it for gone and find
-// another leader.
+// persistWithRetry retries until the disk accepts what must be durable. Meanwhile the
+// replica sends nothing, so that the others elect another leader.
 func (r *Replica) persistWithRetry(ctx context.Context, ready raft.Ready) error {
 	failures := 0
 	for {
 		err := r.persist(ready)
 		if err == nil {
 			if failures > 0 {
-				r.opts.Log.Info("disk takes writes again", zap.Int("failures", failures))
+				r.opts.Log.Info("disk accepts writes again", zap.Int("failures", failures))
 			}
 			return nil
 		}
@@ -301,7 +307,7 @@
 			return errors.Trace(err)
 		}
 		if err := r.opts.Machine.Restore(ready.Install.Data); err != nil {
-			return errors.Annotate(err, "restore a snapshot from the leader")
+			return errors.Annotate(err, "restore the state machine from the leader's snapshot")
 		}
 		r.failPendingProposals()
 		return nil
@@ -309,7 +315,8 @@
 	return r.log.Save(ready.Hard, ready.Entries)
 }
 
-// failPendingProposals tells those who wait that their outcome can't be seen here.
+// failPendingProposals fails all pending proposals: a snapshot has replaced their entries, so
+// that this replica can't determine their outcome.
 func (r *Replica) failPendingProposals() {
 	for index, p := range r.pendingProposals {
 		p.done <- proposalResult{err: ErrStopped}
@@ -332,11 +339,12 @@
 			p.done <- proposalResult{err: ErrReplaced}
 			continue
 		}
-		p.done <- proposalResult{result: result}
+		p.done <- proposalResult{value: result}
 	}
 }
 
-// completeReads tells those reads whose index has been applied.
+// completeReads completes the reads that are confirmed and whose index has been applied, and
+// the reads that have failed.
 func (r *Replica) completeReads(ready []raft.Read) {
 	for _, confirmed := range ready {
 		read := r.pendingReads[confirmed.ID]
@@ -364,31 +372,32 @@
 	if status.Applied < status.Snapshot+r.opts.SnapshotEvery {
 		return nil
 	}
-	// The snapshot must be of the state that the machine has now, so it
-	// stands at the applied index; followers that need earlier entries get
-	// the snapshot.
+	// The snapshot is of the state machine's current state, so its index is the applied
+	// index. Followers that need earlier entries receive the snapshot instead.
 	data, err := r.opts.Machine.Snapshot()
 	if err != nil {
-		return errors.Annotate(err, "snapshot")
+		return errors.Annotate(err, "take a snapshot of the state machine")
 	}
 	snapshot, ok := r.node.Compact(status.Applied, data)
 	if !ok {
 		return nil
 	}
-	r.opts.Log.Debug("snapshot", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(data)))
+	r.opts.Log.Debug("snapshot taken", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(data)))
 	if err := r.log.Replace(raft.State{Hard: r.node.Hard(), Snapshot: snapshot, Entries: r.node.Entries()}); err != nil {
-		// The log stays as long as it was; the next snapshot is tried later.
-		r.opts.Log.Warn("snapshot not written", telemetry.Cause(err))
+		// The durable log keeps all its entries. The next snapshot is due after another
+		// SnapshotEvery entries.
+		r.opts.Log.Warn("snapshot not written, keeping the longer log", telemetry.Cause(err))
 	}
 	return nil
 }
 
-// publishStatus lets Status see the newest state, and logs changes of role.
+// publishStatus makes the current state available to Status and logs a change of the role or
+// of the leader.
 func (r *Replica) publishStatus() {
 	status := r.node.Status()
 	previous := r.status.Load()
 	if previous != nil && (previous.Role != status.Role || previous.Leader != status.Leader) {
-		r.opts.Log.Info("control role", zap.String("replica", string(status.ID)), zap.String("role", status.Role.String()), zap.Uint64("term", status.Term), zap.String("leader", string(status.Leader)))
+		r.opts.Log.Info("replica role or leader changed", zap.String("replica", string(status.ID)), zap.String("role", status.Role.String()), zap.Uint64("term", status.Term), zap.String("leader", string(status.Leader)))
 	}
 	r.status.Store(&status)
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -17,7 +17,7 @@
 	"github.com/linenscale/linenscale/replica"
 )
 
-// counter is a machine that counts commands.
+// counter is a state machine that counts the commands applied to it.
 type counter struct{ applied atomic.Int64 }
 
 func (c *counter) Apply(uint64, []byte) any { return c.applied.Add(1) }
@@ -32,7 +32,7 @@
 	return err
 }
 
-// startReplica opens and runs a replica until the returned function is called.
+// startReplica opens and runs a replica. The returned function stops it and waits for its end.
 func startReplica(t *testing.T, id raft.ID, folder disk.Folder) (*replica.Replica, *counter, func()) {
 	t.Helper()
 	machine := &counter{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// eventually waits until a condition holds.
+// eventually waits for a condition and fails the test if it isn't met within 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -62,7 +62,7 @@
 	t.Fatalf("%s: not within 5 s", what)
 }
 
-// proposeWithRetry proposes until a leader has been found.
+// proposeWithRetry proposes a command until one is applied, which requires an elected leader.
 func proposeWithRetry(t *testing.T, r *replica.Replica) {
 	t.Helper()
 	eventually(t, "proposal", func() bool {
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestAppliesCommittedEntriesWithoutLeader restarts a voter of a log whose other
-// voters are gone: what it knew to be committed is applied, with no leader.
+// TestAppliesCommittedEntriesWithoutLeader restarts a replica that can't get a leader. It must
+// apply its log up to the stored commit index.
 func TestAppliesCommittedEntriesWithoutLeader(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
@@ -82,25 +82,25 @@
 	for range 5 {
 		proposeWithRetry(t, r)
 	}
-	eventually(t, "mark", func() bool {
+	eventually(t, "commit index file", func() bool {
 		names, err := folder.Names()
 		return err == nil && len(names) >= 2
 	})
-	time.Sleep(300 * time.Millisecond) // a mark is written a moment after the commit
+	time.Sleep(300 * time.Millisecond) // the commit index is written asynchronously
 	stop()
 	folder.Crash(0)
 
-	// Opened as a replica that has no vote, it can't lead.
+	// Under an ID that isn't a voter, the replica can't become leader.
 	_, machine, stop := startReplica(t, "b#1", folder)
 	defer stop()
 	eventually(t, "committed entries applied", func() bool { return machine.applied.Load() == 5 })
 }
 
-// cluster is three replicas that reach each other in memory, each with a clock of its own.
+// cluster is three replicas that exchange messages in memory. Each has a clock of its own.
 type cluster struct {
-	replicas []*replica.Replica
-	clockOffsets    []atomic.Int64 // by how much each clock is ahead
-	isolated    atomic.Int64   // the replica that nobody reaches, and that reaches nobody; -1 for none
+	replicas     []*replica.Replica
+	clockOffsets []atomic.Int64 // nanoseconds by which each replica's clock is ahead
+	isolated     atomic.Int64   // index of the replica whose messages are dropped in both directions; -1 for none
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -137,7 +137,7 @@
 	}
 }
 
-// waitForLeader waits until one of the others leads, and gives it.
+// waitForLeader waits until a replica that isn't isolated is leader, and returns its index.
 func (c *cluster) waitForLeader(t *testing.T) int {
 	t.Helper()
 	index := -1
@@ -151,10 +151,9 @@
 	return index
 }
 
-// TestSuspendedLeaderLosesLease suspends a leader: its messages stop, the others choose
-// another, and when it goes on its clock tells that time has passed. It must not believe in
-// its lease for a moment, since whatever it renewed then would be of an older configuration.
-// A clock that stands still in a suspension left it the lease that it had before.
+// TestSuspendedLeaderLosesLease suspends a leader while the others elect a new one. A clock that
+// stands still during the suspension would leave it its old lease after the resume, and it
+// would renew leases under an old configuration.
 func TestSuspendedLeaderLosesLease(t *testing.T) {
 	c := newCluster(t)
 	first := c.waitForLeader(t)
@@ -162,11 +161,12 @@
 	c.clockOffsets[first].Store(int64(time.Hour))
 	status := c.replicas[first].Status()
 	must.False(t, time.Now().Add(time.Hour).Before(status.Lease))
-	eventually(t, "the old leader gives up", func() bool { return c.replicas[first].Status().Role != raft.Leader })
+	eventually(t, "the old leader steps down", func() bool { return c.replicas[first].Status().Role != raft.Leader })
 	must.NotEq(t, first, c.waitForLeader(t))
 }
 
-// TestIgnoresTornCommitIndexFile starts with marks that were written in part.
+// TestIgnoresTornCommitIndexFile starts a replica whose commit index files were written only in
+// part before a crash.
 func TestIgnoresTornCommitIndexFile(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
@@ -181,8 +181,8 @@
 	proposeWithRetry(t, r)
 }
 
-// TestRetriesUntilDiskAcceptsWrites proposes while the disk refuses writes: the replica
-// goes on once it takes them again.
+// TestRetriesUntilDiskAcceptsWrites proposes while the disk is full. The replica must resume
+// once the disk accepts writes again.
 func TestRetriesUntilDiskAcceptsWrites(t *testing.T) {
 	folder := disk.NewMemory()
 	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
@@ -197,5 +197,5 @@
 	must.Eq(t, 1, machine.applied.Load())
 	folder.SetFull(false)
 	proposeWithRetry(t, r)
-	eventually(t, "both applied", func() bool { return machine.applied.Load() >= 2 })
+	eventually(t, "commands applied after the disk accepts writes", func() bool { return machine.applied.Load() >= 2 })
 }
