--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,22 +1,19 @@
-// Package lease decides, on a host, how long it may serve under its view of
-// the configuration, and whether it may renew its peers.
+// Package lease implements the lease that a host needs in order to serve under its view of
+// the configuration, and the renewals that it grants to other hosts of its data centre.
 //
-// A Holder is renewed by the control log's leader, or by a majority of the
-// hosts of its own data centre. Whoever renews does so only for a view that is
-// no older than its own. Since a change is accepted only after a majority of
-// each data centre that it matters to has acknowledged it, no majority is left
-// that would renew a host under the old view; what was granted before runs out
-// within the time that the leader waits.
+// A lease is renewed by the leader of the control log, or by a majority of the hosts of the
+// holder's data centre. Either renews only a view that is at least as new as its own. A
+// configuration change is accepted only after a majority of the hosts of each affected data
+// centre has acknowledged it, so no majority remains that would renew a host under the old
+// view. Leases that were granted before the acknowledgement expire while the leader waits.
 //
-// A host that restarts has forgotten what it acknowledged. Its new incarnation
-// is not established until a leader has renewed it: till then it may serve, on
-// a majority of established peers, but it renews nobody and counts in no
-// majority.
+// A host that restarts has lost what it acknowledged. Its new incarnation is not established
+// until a leader has renewed it. Until then it may serve if a majority of established peers
+// renews it, but it renews no other host and doesn't count towards a majority.
 //
-// Leases are measured on the holder's own clock from when it asked, which is
-// before anyone granted. Clocks may differ in rate by raft.DriftShare. A lease
-// also ends by the wall clock, because the monotonic clock of a suspended
-// machine stands still.
+// A lease is measured on the holder's own clock from the time of the request, which is before
+// the time of the grant. Clock rates may differ by raft.DriftShare. A lease also expires by
+// the wall clock, because the monotonic clock stands still while a machine is suspended.
 package lease
 
 import (
@@ -25,49 +22,51 @@
 	"github.com/linenscale/linenscale/control"
 )
 
-// Holder is one host's side. New makes one; it is not safe for concurrent use.
+// Holder is the state of one host's lease and of the leases that it has granted to its peers.
+// It is not safe for concurrent use.
 type Holder struct {
-	host, dataCentre string
-	incarnation      string
-	duration           time.Duration
-	established      bool
-	view             control.View
-	expiresAt            time.Time
-	wallExpiresAt             time.Time          // until, by the wall clock
-	lastLeaderRenewal         time.Time          // when the last renewal by a leader was asked for
-	peerLeases           map[string]peerLease // the last renewal of each peer
+	host, dataCentre  string
+	incarnation       string
+	duration          time.Duration
+	established       bool
+	view              control.View
+	expiresAt         time.Time
+	wallExpiresAt     time.Time            // expiresAt by the wall clock
+	lastLeaderRenewal time.Time            // request time of the last renewal by a leader
+	peerLeases        map[string]peerLease // by host: the last lease granted to each peer
 }
 
-// peerLease is a peer that this host has renewed.
+// peerLease is a lease that this host has granted to a peer.
 type peerLease struct {
 	incarnation string
-	grantedAt          time.Time
+	grantedAt   time.Time
 }
 
-// New makes the holder of a host that has just started.
-func New(host, dataCentre, incarnation string, length time.Duration) *Holder {
-	return &Holder{host: host, dataCentre: dataCentre, incarnation: incarnation, duration: length, peerLeases: make(map[string]peerLease)}
+// New returns the holder of a host that has just started. It has no lease. duration is the
+// length of all leases of the deployment.
+func New(host, dataCentre, incarnation string, duration time.Duration) *Holder {
+	return &Holder{host: host, dataCentre: dataCentre, incarnation: incarnation, duration: duration, peerLeases: make(map[string]peerLease)}
 }
 
-// View gives the view that the host serves under.
+// View returns the view under which the host serves.
 func (h *Holder) View() control.View { return h.view }
 
-// Established tells whether a leader has renewed this incarnation.
+// Established reports whether a leader has renewed this incarnation of the host.
 func (h *Holder) Established() bool { return h.established }
 
-// Until gives when the lease ends.
+// Until returns when the lease expires, on the host's monotonic clock.
 func (h *Holder) Until() time.Time { return h.expiresAt }
 
-// ByLeader gives when the last renewal by a leader was asked for.
+// ByLeader returns the request time of the last renewal by a leader.
 func (h *Holder) ByLeader() time.Time { return h.lastLeaderRenewal }
 
-// Serving tells whether the host may serve now.
+// Serving reports whether the lease is valid, so that the host may serve.
 func (h *Holder) Serving(now time.Time) bool {
 	return now.Before(h.expiresAt) && now.Round(0).Before(h.wallExpiresAt)
 }
 
-// SetView takes over a newer view; an older one is left alone. From then on
-// the host serves under it, and has thereby acknowledged it.
+// SetView adopts view if it is newer than the current one, and reports whether it did. From
+// then on the host serves under it, which counts as the host's acknowledgement.
 func (h *Holder) SetView(view control.View) bool {
 	if view.Seq <= h.view.Seq {
 		return false
@@ -76,7 +75,7 @@
 	return true
 }
 
-// Report gives what the host tells the leader.
+// Report returns the host's report to the leader.
 func (h *Holder) Report(now time.Time) control.HostReport {
 	return control.HostReport{
 		Host: h.host, DataCentre: h.dataCentre, Incarnation: h.incarnation,
@@ -85,7 +84,8 @@
 	}
 }
 
-// runningPeerLeases lists the leases given to peers that may still run.
+// runningPeerLeases returns the leases granted to peers that may not have expired yet, and
+// forgets the others.
 func (h *Holder) runningPeerLeases(now time.Time) []control.Granted {
 	var grants []control.Granted
 	for host, g := range h.peerLeases {
@@ -99,43 +99,43 @@
 	return grants
 }
 
-// RenewedByLeader takes a renewal that was asked for at sent, under the view
-// seq.
-func (h *Holder) RenewedByLeader(sent time.Time, seq uint64) {
+// RenewedByLeader applies a leader's renewal under the view with number seq. sentAt is when
+// the host sent the request.
+func (h *Holder) RenewedByLeader(sentAt time.Time, seq uint64) {
 	if seq > h.view.Seq {
-		return // can't be: it would be a renewal for another incarnation
+		return // impossible for this incarnation, which has not requested it
 	}
 	h.established = true
-	h.lastLeaderRenewal = sent
-	h.extend(sent)
+	h.lastLeaderRenewal = sentAt
+	h.extend(sentAt)
 }
 
-func (h *Holder) extend(sent time.Time) {
-	if until := sent.Add(h.duration); until.After(h.expiresAt) {
+func (h *Holder) extend(sentAt time.Time) {
+	if until := sentAt.Add(h.duration); until.After(h.expiresAt) {
 		h.expiresAt = until
-		h.wallExpiresAt = sent.Round(0).Add(h.duration)
+		h.wallExpiresAt = sentAt.Round(0).Add(h.duration)
 	}
 }
 
-// Ask is a request for renewal to a peer of the same data centre.
+// Ask is a host's request to a peer of its data centre to renew its lease.
 type Ask struct {
 	Host        string
 	Incarnation string
 	Seq         uint64
 }
 
-// Grant is a peer's answer.
+// Grant is a peer's reply to an Ask.
 type Grant struct {
 	Host    string
 	Granted bool
-	Seq     uint64 // of the peer's view; a host that is behind asks for it
+	Seq     uint64 // of the peer's view; a host with an older view fetches the peer's
 }
 
-// Ask gives the request for renewal by peers.
+// Ask returns the host's request for a renewal by its peers.
 func (h *Holder) Ask() Ask { return Ask{h.host, h.incarnation, h.view.Seq} }
 
-// Answer decides a peer's request. Nobody is renewed under a view that is
-// older than this host's own.
+// Answer decides on a peer's request. It grants a renewal only if this host is established
+// and the peer's view is not older than its own.
 func (h *Holder) Answer(now time.Time, request Ask) Grant {
 	granted := h.established && request.Seq >= h.view.Seq
 	if granted {
@@ -144,10 +144,11 @@
 	return Grant{h.host, granted, h.view.Seq}
 }
 
-// RenewedByPeers takes the grants of one round, all asked for at sent or later
-// under the view seq. It tells whether they were a majority of the data
-// centre's hosts, in the present configuration and in a pending one.
-func (h *Holder) RenewedByPeers(sent time.Time, seq uint64, grants []Grant) bool {
+// RenewedByPeers renews the lease if the grants of one round of requests, together with this
+// host if it is established, are a majority of the data centre's hosts, in the current
+// configuration and also in the pending one, if any. It reports whether it renewed the lease.
+// All requests were sent at sentAt or later under the view with number seq.
+func (h *Holder) RenewedByPeers(sentAt time.Time, seq uint64, grants []Grant) bool {
 	if seq != h.view.Seq {
 		return false
 	}
@@ -166,7 +167,7 @@
 	if p := h.view.Pending; p != nil && !h.isMajority(granted, control.HostsOf(p.Config, h.dataCentre)) {
 		return false
 	}
-	h.extend(sent)
+	h.extend(sentAt)
 	return true
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -19,47 +19,49 @@
 )
 
 const (
-	leaseDuration  = 3 * time.Second
+	leaseDuration = 3 * time.Second
 	decideTimeout = 5 * time.Second
 )
 
-// host is one entry host with a clock of its own rate.
+// host is one entry host, whose clock runs at a rate of its own.
 type host struct {
-	name, dc string
-	holder   *lease.Holder
-	up       bool
-	rate     float64 // of its clock
-	incarnations    int
-	round    int
-	roundSentAt     time.Time // of the round of grants under way, by its clock
-	roundSeq      uint64
-	grants   []lease.Grant
+	name, dc     string
+	holder       *lease.Holder
+	up           bool
+	rate         float64 // of its clock, relative to real time
+	incarnations int
+	round        int
+	roundSentAt  time.Time // start of the current round of peer requests, by its clock
+	roundSeq     uint64
+	grants       []lease.Grant
 }
 
-// simulation is two data centres of hosts, one log, and at most one leader at a
-// time, whose tally is new with each election.
+// simulation runs two data centres of hosts, one control log, and at most one leader at a
+// time, in virtual time. Each new leader starts with an empty tally.
 type simulation struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Duration // real time
-	hosts   []*host
-	state   *control.State
-	tally   *control.Tally // nil while nobody leads
-	leaderChangedAt  time.Duration
-	partitioned     map[string]bool // data centres cut off from the leader
-	isolated   map[string]bool // hosts cut off from everybody
-	queue   events
-	lastSerial  int
-	minSeq   map[string]uint64 // per data centre: what an accepted change demands
-	changeCount   int
-	decisions map[control.Status]int
-	peerRenewals   int // renewals by peers
+	t               *testing.T
+	random          *rand.Rand
+	now             time.Duration // real time
+	hosts           []*host
+	state           *control.State
+	tally           *control.Tally // nil while there is no leader
+	leaderChangedAt time.Duration
+	partitioned     map[string]bool // data centres partitioned from the leader
+	isolated        map[string]bool // hosts partitioned from all others
+	queue           events
+	lastSerial      int
+	minSeq          map[string]uint64 // by data centre: oldest view under which its hosts may serve
+	changeCount     int
+	decisions       map[control.Status]int
+	peerRenewals    int
 }
 
+// event is a delivery or a fault that runs at a point of virtual time. serial orders events of
+// the same time.
 type event struct {
 	at     time.Duration
 	serial int
-	run     func()
+	run    func()
 }
 
 type events []event
@@ -82,36 +84,36 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// clock gives a host's own time.
+// clock returns the time on the host's own clock.
 func (h *host) clock(now time.Duration) time.Time {
 	return epoch.Add(time.Duration(float64(now) * h.rate))
 }
 
-func (w *simulation) leaderClock() time.Time { return epoch.Add(w.now) }
+func (s *simulation) leaderClock() time.Time { return epoch.Add(s.now) }
 
-// transmit runs do after a random delay; some messages are lost, a few are very
-// late.
-func (w *simulation) transmit(deliver func()) {
-	r := w.random.Float64()
-	delay := time.Duration(w.random.Int64N(int64(200 * time.Millisecond)))
+// transmit delivers a message after a random delay. It loses some messages and delays a few
+// by seconds.
+func (s *simulation) transmit(deliver func()) {
+	r := s.random.Float64()
+	delay := time.Duration(s.random.Int64N(int64(200 * time.Millisecond)))
 	switch {
 	case r < 0.05:
 		return
 	case r < 0.1:
-		delay += time.Duration(w.random.Int64N(int64(4 * time.Second)))
+		delay += time.Duration(s.random.Int64N(int64(4 * time.Second)))
 	}
-	w.lastSerial++
-	heap.Push(&w.queue, event{w.now + delay, w.lastSerial, deliver})
+	s.lastSerial++
+	heap.Push(&s.queue, event{s.now + delay, s.lastSerial, deliver})
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), state: control.NewState(),
 		partitioned: map[string]bool{}, isolated: map[string]bool{}, minSeq: map[string]uint64{}, decisions: map[control.Status]int{},
 	}
-	var first declare.Change
-	first.ID = "first"
-	put := func(o declare.Object) { first.Puts = append(first.Puts, declare.Envelope{Object: o}) }
+	var firstChange declare.Change
+	firstChange.ID = "first"
+	put := func(o declare.Object) { firstChange.Puts = append(firstChange.Puts, declare.Envelope{Object: o}) }
 	put(declare.Service{Name: "s", Type: declare.ServicePlain})
 	for _, dc := range []string{"x", "y"} {
 		put(declare.Region{Name: "region-" + dc})
@@ -120,15 +122,15 @@
 		for i := range 3 {
 			name := fmt.Sprintf("%s%d", dc, i)
 			put(newHost(name, dc))
-			h := &host{name: name, dc: dc, rate: 0.955 + 0.09*w.random.Float64()}
-			w.hosts = append(w.hosts, h)
-			w.startHost(h)
+			h := &host{name: name, dc: dc, rate: 0.955 + 0.09*s.random.Float64()}
+			s.hosts = append(s.hosts, h)
+			s.startHost(h)
 		}
 	}
-	out := w.apply(control.Command{Propose: &control.Propose{Change: first}})
-	must.Eq(t, control.StatusAccepted, out.Status)
-	w.electLeader()
-	return w
+	outcome := s.apply(control.Command{Propose: &control.Propose{Change: firstChange}})
+	must.Eq(t, control.StatusAccepted, outcome.Status)
+	s.electLeader()
+	return s
 }
 
 func newEngine(dc string, cost float64) declare.Engine {
@@ -140,69 +142,70 @@
 	return declare.Host{Name: name, DataCentre: dc, Callers: address, Handover: address, Control: address, Operators: address}
 }
 
-func (w *simulation) apply(c control.Command) control.Outcome {
+func (s *simulation) apply(c control.Command) control.Outcome {
 	data, err := json.Marshal(c)
-	must.NoError(w.t, err)
-	return w.state.Apply(0, data).(control.Outcome)
+	must.NoError(s.t, err)
+	return s.state.Apply(0, data).(control.Outcome)
 }
 
-// startHost starts a host's process, which remembers nothing.
-func (w *simulation) startHost(h *host) {
+// startHost starts a new incarnation of a host, which has no state from earlier ones.
+func (s *simulation) startHost(h *host) {
 	h.incarnations++
 	h.up = true
 	h.grants = nil
 	h.holder = lease.New(h.name, h.dc, fmt.Sprintf("%s/%d", h.name, h.incarnations), leaseDuration)
 }
 
-func (w *simulation) electLeader() {
-	w.tally = control.NewTally(control.Timing{Lease: leaseDuration, Decide: decideTimeout})
-	w.leaderChangedAt = w.now
+func (s *simulation) electLeader() {
+	s.tally = control.NewTally(control.Timing{Lease: leaseDuration, Decide: decideTimeout})
+	s.leaderChangedAt = s.now
 }
 
-// isRunning tells whether the process that a message was for still runs.
+// isRunning reports whether the given incarnation of the host is still running.
 func (h *host) isRunning(incarnation int) bool { return h.up && h.incarnations == incarnation }
 
-// sendReport is what a host does now and then: it reports, and learns what is new.
-func (w *simulation) sendReport(h *host) {
-	if w.partitioned[h.dc] || w.isolated[h.name] {
+// sendReport sends a host's periodic report to the leader, which renews the host's lease and
+// returns the current view.
+func (s *simulation) sendReport(h *host) {
+	if s.partitioned[h.dc] || s.isolated[h.name] {
 		return
 	}
-	incarnation, sentAt, report := h.incarnations, h.clock(w.now), h.holder.Report(h.clock(w.now))
-	w.transmit(func() {
-		if w.tally == nil || w.partitioned[h.dc] {
+	incarnation, sentAt, report := h.incarnations, h.clock(s.now), h.holder.Report(h.clock(s.now))
+	s.transmit(func() {
+		if s.tally == nil || s.partitioned[h.dc] {
 			return
 		}
-		view := w.state.View()
-		renewed := w.tally.Report(w.leaderClock(), report, view)
-		w.transmit(func() {
+		view := s.state.View()
+		renewed := s.tally.Report(s.leaderClock(), report, view)
+		s.transmit(func() {
 			if h.isRunning(incarnation) && renewed {
 				h.holder.RenewedByLeader(sentAt, view.Seq)
 			}
 		})
-		w.transmit(func() {
-			if h.isRunning(incarnation) && !w.partitioned[h.dc] && !w.isolated[h.name] {
+		s.transmit(func() {
+			if h.isRunning(incarnation) && !s.partitioned[h.dc] && !s.isolated[h.name] {
 				h.holder.SetView(view)
 			}
 		})
 	})
 }
 
-// requestPeerGrants is what a host does when no leader renews it.
-func (w *simulation) requestPeerGrants(h *host) {
+// requestPeerGrants asks the hosts of the same data centre to renew a host's lease.
+func (s *simulation) requestPeerGrants(h *host) {
 	h.round++
 	round, incarnation := h.round, h.incarnations
-	h.roundSentAt, h.roundSeq, h.grants = h.clock(w.now), h.holder.View().Seq, nil
+	h.roundSentAt, h.roundSeq, h.grants = h.clock(s.now), h.holder.View().Seq, nil
 	request := h.holder.Ask()
-	for _, peer := range w.hosts {
+	for _, peer := range s.hosts {
 		if peer.dc != h.dc || peer == h {
 			continue
 		}
-		w.transmit(func() {
-			if !peer.up || w.isolated[peer.name] || w.isolated[h.name] {
+		s.transmit(func() {
+			if !peer.up || s.isolated[peer.name] || s.isolated[h.name] {
 				return
 			}
-			grant, view := peer.holder.Answer(peer.clock(w.now), request), peer.holder.View()
-			w.transmit(func() {
+			grant, view := peer.holder.Answer(peer.clock(s.now), request), peer.holder.View()
+			s.transmit(func() {
 				if !h.isRunning(incarnation) || h.round != round {
 					return
 				}
@@ -211,145 +214,147 @@
 				}
 				h.grants = append(h.grants, grant)
 				if h.holder.RenewedByPeers(h.roundSentAt, h.roundSeq, h.grants) {
-					w.peerRenewals++
+					s.peerRenewals++
 				}
 			})
 		})
 	}
 }
 
-// proposeChange proposes something that matters to one data centre or to both, or
-// replaces a host.
-func (w *simulation) proposeChange() {
-	if w.tally == nil || w.state.View().Pending != nil {
+// proposeChange proposes a change that affects one data centre or both, or one that replaces
+// a host.
+func (s *simulation) proposeChange() {
+	if s.tally == nil || s.state.View().Pending != nil {
 		return
 	}
-	w.changeCount++
-	c := declare.Change{ID: fmt.Sprint("change-", w.changeCount), Base: w.state.View().Config.Revision()}
-	kind := w.random.IntN(4)
+	s.changeCount++
+	c := declare.Change{ID: fmt.Sprint("change-", s.changeCount), Base: s.state.View().Config.Revision()}
+	kind := s.random.IntN(4)
 	for i, dc := range []string{"x", "y"} {
 		if kind == i || kind == 2 {
-			c.Puts = append(c.Puts, declare.Envelope{Object: newEngine(dc, float64(w.changeCount))})
+			c.Puts = append(c.Puts, declare.Envelope{Object: newEngine(dc, float64(s.changeCount))})
 		}
 	}
 	if kind == 3 {
-		w.replaceHost(&c)
+		s.replaceHost(&c)
 	}
-	w.apply(control.Command{Propose: &control.Propose{Change: c}})
-	if w.random.Float64() < 0.4 {
-		w.injectFaultsDuringChange()
+	s.apply(control.Command{Propose: &control.Propose{Change: c}})
+	if s.random.Float64() < 0.4 {
+		s.injectFaultsDuringChange()
 	}
 }
 
-// injectFaultsDuringChange cuts a data centre off while its hosts are about to acknowledge, and
-// takes a host or two from it: the moment at which a mistake would show.
-func (w *simulation) injectFaultsDuringChange() {
-	randomDelay := func() time.Duration { return time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) }
-	dc := []string{"x", "y"}[w.random.IntN(2)]
+// injectFaultsDuringChange partitions a data centre while its hosts are about to acknowledge a
+// change, isolates or restarts up to two hosts, and sometimes stops the leader. An error in
+// the protocol is most likely to show at this moment.
+func (s *simulation) injectFaultsDuringChange() {
+	randomDelay := func() time.Duration { return time.Duration(s.random.Int64N(int64(400 * time.Millisecond))) }
+	dc := []string{"x", "y"}[s.random.IntN(2)]
 	schedule := func(delay time.Duration, run func()) {
-		w.lastSerial++
-		heap.Push(&w.queue, event{w.now + delay, w.lastSerial, run})
+		s.lastSerial++
+		heap.Push(&s.queue, event{s.now + delay, s.lastSerial, run})
 	}
-	schedule(randomDelay(), func() { w.partitioned[dc] = true })
-	for range w.random.IntN(3) {
-		h := w.hosts[w.random.IntN(len(w.hosts))]
-		if w.random.IntN(2) == 0 {
-			schedule(randomDelay(), func() { w.isolated[h.name] = true })
+	schedule(randomDelay(), func() { s.partitioned[dc] = true })
+	for range s.random.IntN(3) {
+		h := s.hosts[s.random.IntN(len(s.hosts))]
+		if s.random.IntN(2) == 0 {
+			schedule(randomDelay(), func() { s.isolated[h.name] = true })
 			continue
 		}
-		schedule(randomDelay(), func() { w.startHost(h) })
+		schedule(randomDelay(), func() { s.startHost(h) })
 	}
-	if w.random.IntN(3) == 0 {
-		schedule(randomDelay(), func() { w.tally, w.leaderChangedAt = nil, w.now })
+	if s.random.IntN(3) == 0 {
+		schedule(randomDelay(), func() { s.tally, s.leaderChangedAt = nil, s.now })
 	}
 	schedule(6*time.Second+randomDelay(), func() {
-		w.partitioned[dc] = false
-		clear(w.isolated)
+		s.partitioned[dc] = false
+		clear(s.isolated)
 	})
 }
 
-// replaceHost ends a host for good and declares another in its place.
-func (w *simulation) replaceHost(c *declare.Change) {
-	index := w.random.IntN(len(w.hosts))
-	old := w.hosts[index]
+// replaceHost stops a host permanently and adds the declaration of its replacement to c.
+func (s *simulation) replaceHost(c *declare.Change) {
+	index := s.random.IntN(len(s.hosts))
+	old := s.hosts[index]
 	old.up = false
 	goneHost := newHost(old.name, old.dc)
 	goneHost.State = declare.HostGone
-	name := fmt.Sprintf("%s-%d", old.dc, w.changeCount)
+	name := fmt.Sprintf("%s-%d", old.dc, s.changeCount)
 	c.Puts = append(c.Puts, declare.Envelope{Object: goneHost}, declare.Envelope{Object: newHost(name, old.dc)})
 	h := &host{name: name, dc: old.dc, rate: old.rate}
-	w.hosts[index] = h
-	w.startHost(h)
+	s.hosts[index] = h
+	s.startHost(h)
 }
 
-func (w *simulation) decidePending() {
-	view := w.state.View()
-	if w.tally == nil || view.Pending == nil {
+func (s *simulation) decidePending() {
+	view := s.state.View()
+	if s.tally == nil || view.Pending == nil {
 		return
 	}
-	d := w.tally.Decide(w.leaderClock(), view)
-	if !d.Decided {
+	decision := s.tally.Decide(s.leaderClock(), view)
+	if !decision.Decided {
 		return
 	}
-	out := w.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: d.Accept, Cut: d.Cut}})
-	w.decisions[out.Status]++
-	if out.Status == control.StatusAccepted {
+	outcome := s.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Cut}})
+	s.decisions[outcome.Status]++
+	if outcome.Status == control.StatusAccepted {
 		for _, dc := range view.Pending.Matters {
-			w.minSeq[dc] = view.Seq // every host must have acknowledged this
+			s.minSeq[dc] = view.Seq // no host may serve under an older view from now on
 		}
 	}
 }
 
-func (w *simulation) injectRandomFault() {
-	h := w.hosts[w.random.IntN(len(w.hosts))]
-	switch r := w.random.Float64(); {
+func (s *simulation) injectRandomFault() {
+	h := s.hosts[s.random.IntN(len(s.hosts))]
+	switch r := s.random.Float64(); {
 	case r < 0.2:
-		w.startHost(h) // a restart in no time
+		s.startHost(h) // an immediate restart
 	case r < 0.24:
 		h.up = false
 	case r < 0.4:
 		if !h.up {
-			w.startHost(h)
+			s.startHost(h)
 		}
 	case r < 0.5:
-		w.partitioned[h.dc] = true
+		s.partitioned[h.dc] = true
 	case r < 0.75:
-		w.partitioned[h.dc] = false
+		s.partitioned[h.dc] = false
 	case r < 0.78:
-		w.tally, w.leaderChangedAt = nil, w.now // the leader is lost; what it sent is still on its way
+		s.tally, s.leaderChangedAt = nil, s.now // the leader is lost; its messages are still in flight
 	}
-	if w.tally == nil && w.now-w.leaderChangedAt > 2*time.Second {
-		w.electLeader()
+	if s.tally == nil && s.now-s.leaderChangedAt > 2*time.Second {
+		s.electLeader()
 	}
 }
 
 const stepDuration = 10 * time.Millisecond
 
-func (w *simulation) step(i int) {
-	w.now += stepDuration
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		heap.Pop(&w.queue).(event).run()
+func (s *simulation) step(i int) {
+	s.now += stepDuration
+	for len(s.queue) > 0 && s.queue[0].at <= s.now {
+		heap.Pop(&s.queue).(event).run()
 	}
-	for k, h := range w.hosts {
+	for k, h := range s.hosts {
 		if h.up && (i+k*13)%40 == 0 {
-			w.sendReport(h)
-			if h.holder.Until().Sub(h.clock(w.now)) < leaseDuration*2/3 {
-				w.requestPeerGrants(h)
+			s.sendReport(h)
+			if h.holder.Until().Sub(h.clock(s.now)) < leaseDuration*2/3 {
+				s.requestPeerGrants(h)
 			}
 		}
 	}
-	if i%30 == 0 && w.random.Float64() < 0.4 {
-		w.proposeChange()
+	if i%30 == 0 && s.random.Float64() < 0.4 {
+		s.proposeChange()
 	}
 	if i%70 == 0 {
-		w.injectRandomFault()
+		s.injectRandomFault()
 	}
-	w.decidePending()
+	s.decidePending()
 }
 
-// TestNoHostServesUnderAnOlderConfiguration runs random histories with lost and
-// late messages, cuts, restarts, replaced hosts, lost leaders and clocks of
-// different rates, and checks the promise at each step.
+// TestNoHostServesUnderAnOlderConfiguration runs random histories with lost and delayed
+// messages, partitions, restarts, replaced hosts, lost leaders and clocks of different rates.
+// It checks at each step that no host serves under a view that is older than an accepted
+// change of its data centre.
 func TestNoHostServesUnderAnOlderConfiguration(t *testing.T) {
 	seeds := uint64(60)
 	if text := os.Getenv("LINENSCALE_SEEDS"); text != "" {
@@ -363,36 +368,36 @@
 		for seed := range seeds {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed)
-				checks := w.run(seed)
+				s := newSimulation(t, seed)
+				checks := s.run(seed)
 				mu.Lock()
 				defer mu.Unlock()
 				servingChecks += checks
-				peerRenewals += w.peerRenewals
-				for status, k := range w.decisions {
+				peerRenewals += s.peerRenewals
+				for status, k := range s.decisions {
 					decisions[status] += k
 				}
 			})
 		}
 	})
-	t.Logf("%d looks at a serving host, %d renewals by peers, decided: %v", servingChecks, peerRenewals, decisions)
+	t.Logf("%d checks of a serving host, %d renewals by peers, decisions: %v", servingChecks, peerRenewals, decisions)
 	must.Greater(t, 5*seeds, uint64(decisions[control.StatusAccepted]))
 	must.Greater(t, seeds, uint64(decisions[control.StatusRefused]))
 	must.Greater(t, seeds, uint64(peerRenewals))
 }
 
-// run lets two minutes pass and gives how often a serving host was looked at.
-func (w *simulation) run(seed uint64) int {
+// run simulates two minutes and returns how often it checked a serving host.
+func (s *simulation) run(seed uint64) int {
 	servingChecks := 0
 	for i := range 12_000 {
-		w.step(i)
-		for _, h := range w.hosts {
-			if !h.up || !h.holder.Serving(h.clock(w.now)) {
+		s.step(i)
+		for _, h := range s.hosts {
+			if !h.up || !h.holder.Serving(h.clock(s.now)) {
 				continue
 			}
 			servingChecks++
-			if h.holder.View().Seq < w.minSeq[h.dc] {
-				w.t.Fatalf("seed %d at %v: host %s serves under view %d, but an accepted change demands %d", seed, w.now, h.name, h.holder.View().Seq, w.minSeq[h.dc])
+			if h.holder.View().Seq < s.minSeq[h.dc] {
+				s.t.Fatalf("seed %d at %v: host %s serves under view %d, but an accepted change requires %d", seed, s.now, h.name, h.holder.View().Seq, s.minSeq[h.dc])
 			}
 		}
 	}
@@ -413,12 +418,14 @@
 	return control.View{Seq: seq, Config: config}
 }
 
+// TestRestartedHostDoesNotRenewPeers guards against grants by a host that has lost, by a
+// restart, which views it acknowledged.
 func TestRestartedHostDoesNotRenewPeers(t *testing.T) {
 	now := time.Now()
 	a := lease.New("a", "d", "a/2", leaseDuration)
 	a.SetView(newView(t, 4))
 	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 4}).Granted)
-	must.False(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own word must not count"))
+	must.False(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own grant must not count"))
 	must.True(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true}, {Host: "b", Granted: true}}), must.Sprint("a majority of others may renew it"))
 	must.True(t, a.Serving(now.Add(leaseDuration-1)))
 	must.False(t, a.Serving(now.Add(leaseDuration)))
@@ -427,6 +434,8 @@
 	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 3}).Granted, must.Sprint("never under an older view"))
 }
 
+// TestSuspendedHostLosesLease guards against a lease that outlives a suspension: the monotonic
+// clock stands still, so only the wall clock shows that the lease has expired.
 func TestSuspendedHostLosesLease(t *testing.T) {
 	now := time.Now()
 	a := lease.New("a", "d", "a/1", leaseDuration)
