--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,14 +1,14 @@
-// Package ledger is the state that control hosts replicate: the catalog in
-// force and the data centres that are evacuated.
+// Package ledger implements the state that control hosts replicate: the effective catalog and
+// the data centres that are evacuated.
 //
-// It is a deterministic state machine over the replicated log of package
-// replica. Both kinds of command may be proposed again without harm: a catalog
-// whose version is not above the one held changes nothing, and an evacuation
-// that is begun or ended twice stays as it is. Both may also arrive late, after
-// their operator has given them up and another order was acknowledged: then they
-// change nothing. A State is immutable; Index, the
-// place in the log of the last command that changed it, orders any two states,
-// whichever host they come from.
+// It is a deterministic state machine for the replicated log of package replica. Both kinds of
+// commands are idempotent: a catalog whose version isn't higher than the current one changes
+// nothing, and neither does a second start or end of the same evacuation. A command may also
+// arrive late, after its operator has given up on it and a newer one was acknowledged; such a
+// stale command changes nothing.
+//
+// A State is immutable. Its Index, the log index of the last command that changed it, orders
+// any two states, whichever hosts they come from.
 package ledger
 
 import (
@@ -26,44 +26,46 @@
 	"github.com/linenscale/linenscale/replica"
 )
 
-// State is what the ledger holds.
+// State is the content of the ledger at one log index.
 type State struct {
 	Index   uint64          `json:"index"`
 	Catalog catalog.Catalog `json:"catalog"`
-	// Source is the catalog as its operator wrote it, given back unchanged.
+	// Source is the catalog as its operator wrote it, which is returned unchanged on request.
 	Source    []byte   `json:"source,omitempty"`
-	Evacuated []string `json:"evacuated,omitempty"` // data centres, in order
-	// Orders is, by data centre, the place in the log of the last order to begin or
-	// end its evacuation, also of one that changed nothing.
+	Evacuated []string `json:"evacuated,omitempty"` // names of data centres, sorted
+	// Orders is, by data centre, the log index of the last accepted command to start or end its
+	// evacuation, including one that changed nothing.
 	Orders map[string]uint64 `json:"orders,omitempty"`
 }
 
-// IsEvacuated tells whether nothing may be sent to a data centre's engines.
+// IsEvacuated reports whether a data centre is evacuated, so that no request may be sent to its
+// engines.
 func (s State) IsEvacuated(dataCentre string) bool { return slices.Contains(s.Evacuated, dataCentre) }
 
-// WithoutSource gives the state as hosts that serve no operators need it.
+// WithoutSource returns the state without Source and Orders, for hosts that don't serve
+// operators.
 func (s State) WithoutSource() State {
 	s.Source, s.Orders = nil, nil
 	return s
 }
 
 func (s State) withEvacuation(dataCentre string, on bool) State {
-	set := make(map[string]bool, len(s.Evacuated)+1)
+	evacuated := make(map[string]bool, len(s.Evacuated)+1)
 	for _, name := range s.Evacuated {
-		set[name] = true
+		evacuated[name] = true
 	}
-	set[dataCentre] = true
+	evacuated[dataCentre] = true
 	if !on {
-		delete(set, dataCentre)
+		delete(evacuated, dataCentre)
 	}
-	s.Evacuated = slices.Sorted(maps.Keys(set))
+	s.Evacuated = slices.Sorted(maps.Keys(evacuated))
 	return s
 }
 
-// Command is the sealed set of commands.
+// Command is the sealed set of commands: PutCatalog and SetEvacuation.
 type Command interface{ command() }
 
-// PutCatalog replaces the catalog if its version is above the one held.
+// PutCatalog replaces the catalog if its version is higher than that of the current one.
 type PutCatalog struct {
 	Catalog catalog.Catalog `json:"catalog"`
 	Source  []byte          `json:"source"`
@@ -79,38 +81,38 @@
 	return s
 }
 
-// SetEvacuation begins or ends the evacuation of a data centre, unless another order
-// came in between.
+// SetEvacuation starts or ends the evacuation of a data centre. It is rejected as stale if
+// another command for the data centre was applied after the proposer read the state.
 type SetEvacuation struct {
 	DataCentre string `json:"dataCentre"`
 	On         bool   `json:"on"`
-	// Seen is the place in the log up to which the proposer knew the orders before this
-	// one; 0 in logs of versions that didn't write it.
+	// Seen is the log index up to which the proposer had seen earlier commands for the data
+	// centre. It is 0, which disables the check, in logs of versions that didn't write it.
 	Seen uint64 `json:"seen,omitempty"`
 }
 
-// isStale tells whether another order came in between.
+// isStale reports whether s contains a command for the data centre that the proposer of c had
+// not seen.
 func (c SetEvacuation) isStale(s State) bool { return c.Seen > 0 && s.Orders[c.DataCentre] > c.Seen }
 
 func (PutCatalog) command()    {}
 func (SetEvacuation) command() {}
 
-// Result is the outcome of a command: whether it changed the state, and the
-// catalog's version after it.
+// Result is the outcome of a command.
 type Result struct {
-	Changed bool
-	Version int64
-	Index   uint64
-	Stale   bool // it was not carried out: another order came in between
+	Changed bool   // whether the command changed the state
+	Version int64  // of the catalog after the command
+	Index   uint64 // of the state after the command
+	Stale   bool   // the command was rejected, see SetEvacuation
 }
 
-// envelope carries one command in the log. One of its fields is set.
+// envelope is the encoding of one command in the log. Exactly one field is set.
 type envelope struct {
 	PutCatalog    *PutCatalog    `json:"put,omitempty"`
 	SetEvacuation *SetEvacuation `json:"evacuate,omitempty"`
 }
 
-// Encode gives a command's bytes for the log.
+// Encode encodes a command for the log.
 func Encode(c Command) ([]byte, error) {
 	var e envelope
 	switch c := c.(type) {
@@ -122,50 +124,50 @@
 	return Pack(e)
 }
 
-// Pack gives a value as compressed JSON: catalogs cross regions, and are long
+// Pack encodes a value as compressed JSON. Catalogs are sent between regions, and are large
 // and repetitive.
 func Pack(value any) ([]byte, error) {
-	var out bytes.Buffer
-	w, err := flate.NewWriter(&out, flate.BestSpeed)
+	var buf bytes.Buffer
+	w, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Annotate(err, "compress")
 	}
 	if err := json.NewEncoder(w).Encode(value); err != nil {
-		return nil, errors.Annotate(err, "encode")
+		return nil, errors.Annotate(err, "encode as JSON")
 	}
 	if err := w.Close(); err != nil {
 		return nil, errors.Annotate(err, "compress")
 	}
-	return out.Bytes(), nil
+	return buf.Bytes(), nil
 }
 
-// Unpack reads what Pack wrote.
+// Unpack decodes data that Pack encoded into the variable that value points to.
 func Unpack(data []byte, value any) error {
-	plain, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
+	decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
-		return errors.Annotate(err, "uncompress")
+		return errors.Annotate(err, "decompress")
 	}
-	return errors.Annotate(json.Unmarshal(plain, value), "decode")
+	return errors.Annotate(json.Unmarshal(decompressed, value), "decode JSON")
 }
 
-// Machine applies the commands. New makes one. State may be called from any
-// goroutine, the other methods from the replica's only.
+// Machine is the state machine that applies the commands. Any goroutine may call State; only
+// the replica's goroutine may call the other methods.
 type Machine struct {
-	state   atomic.Pointer[State]
+	state    atomic.Pointer[State]
 	onChange func(State)
 }
 
 var _ replica.Machine = (*Machine)(nil)
 
-// New makes a machine that holds nothing. changed is called with each new
-// state, in the replica's goroutine, and must not block.
+// New returns a machine with an empty state. It calls changed with each new state, in the
+// replica's goroutine. changed must not block.
 func New(changed func(State)) *Machine {
 	m := &Machine{onChange: changed}
 	m.state.Store(&State{})
 	return m
 }
 
-// State gives the newest state that has been applied here.
+// State returns the latest state that this replica has applied.
 func (m *Machine) State() State { return *m.state.Load() }
 
 func (m *Machine) replaceState(s State) {
@@ -173,12 +175,12 @@
 	m.onChange(s)
 }
 
-// Apply implements replica.Machine; the result is a Result, or an error for a
-// command that can't be read.
+// Apply implements replica.Machine. It returns a Result, or an error if the command can't be
+// decoded.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	var e envelope
 	if err := Unpack(data, &e); err != nil {
-		return errors.Annotatef(err, "command %d", index)
+		return errors.Annotatef(err, "decode the ledger command at index %d", index)
 	}
 	current := m.State()
 	next, stale := current, false
@@ -195,7 +197,8 @@
 	return Result{Changed: next.Index == index, Version: next.Catalog.Version, Index: next.Index, Stale: stale}
 }
 
-// applyEvacuation gives the state after an order.
+// applyEvacuation returns the state after a SetEvacuation command. stale reports that the
+// command was rejected.
 func (s State) applyEvacuation(c SetEvacuation, index uint64) (next State, stale bool) {
 	if c.isStale(s) {
 		return s, true
@@ -215,7 +218,7 @@
 func (m *Machine) Restore(data []byte) error {
 	var s State
 	if err := Unpack(data, &s); err != nil {
-		return errors.Annotate(err, "snapshot of the ledger")
+		return errors.Annotate(err, "restore the ledger from a snapshot")
 	}
 	m.replaceState(s)
 	return nil
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -30,6 +30,8 @@
 	return ledger.PutCatalog{Catalog: catalog.Catalog{Version: version}, Source: []byte(source)}
 }
 
+// TestHighestCatalogVersionWins guards against a catalog that is overwritten by a resent or
+// delayed one of the same or a lower version.
 func TestHighestCatalogVersionWins(t *testing.T) {
 	m := newMachine()
 	must.True(t, mustApply(t, m, 1, newPutCatalog(5, "five")).Changed)
@@ -39,11 +41,13 @@
 		must.Eq(t, 5, result.Version)
 	}
 	must.Eq(t, "five", string(m.State().Source))
-	must.Eq(t, 1, m.State().Index, must.Sprint("what changes nothing has no index"))
+	must.Eq(t, 1, m.State().Index, must.Sprint("a command that changes nothing must not advance the index"))
 	must.True(t, mustApply(t, m, 3, newPutCatalog(9, "nine")).Changed)
 	must.Eq(t, "nine", string(m.State().Source))
 }
 
+// TestEvacuationIsIdempotent guards against a repeated command that changes the state or the
+// order of the evacuated data centres.
 func TestEvacuationIsIdempotent(t *testing.T) {
 	m := newMachine()
 	must.True(t, mustApply(t, m, 1, ledger.SetEvacuation{DataCentre: "b", On: true}).Changed)
@@ -62,9 +66,9 @@
 	mustApply(t, m, 2, ledger.SetEvacuation{DataCentre: "a", On: true})
 	data, err := m.Snapshot()
 	must.NoError(t, err)
-	again := newMachine()
-	must.NoError(t, again.Restore(data))
-	must.Eq(t, m.State(), again.State())
+	restored := newMachine()
+	must.NoError(t, restored.Restore(data))
+	must.Eq(t, m.State(), restored.State())
 }
 
 func TestUnreadableCommandReturnsError(t *testing.T) {
@@ -72,19 +76,19 @@
 	must.True(t, isError)
 }
 
-// The operations of a history: a catalog that is put, and a read of the version.
+// The operations of a history are puts of a catalog and reads of the catalog's version.
 type (
 	input struct {
-		put     bool
+		put     bool // false for a read
 		version int64
 	}
 	output struct {
-		answered   bool // false: no answer came
-		version int64
+		answered bool // false if no reply arrived
+		version  int64
 	}
 )
 
-// model is what one copy of the ledger would do.
+// model is the sequential specification: the catalog version of a single, unreplicated ledger.
 var model = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, in, out any) (bool, any) {
@@ -96,9 +100,9 @@
 	},
 }
 
-// TestHistoriesAreLinearizable puts and reads catalogs while replicas crash,
-// lose messages and are cut off: once a put is answered, every later read shows
-// it or a higher version.
+// TestHistoriesAreLinearizable puts and reads catalogs while replicas crash, lose messages and
+// are partitioned. Once a put is answered, every later read must return its version or a
+// higher one.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(12) {
 		c := simlog.New(simlog.Options{
@@ -123,8 +127,8 @@
 	}
 }
 
-// history calls a cluster and notes the calls that were answered, and those
-// puts that may have been taken.
+// history calls a cluster and records the calls that were answered, and the unanswered puts
+// that may have been applied.
 type history struct {
 	cluster *simlog.Cluster
 	version int64
@@ -132,19 +136,19 @@
 	ops     []porcupine.Operation
 }
 
-// putAndRead puts a catalog at one replica and reads at another.
+// putAndRead puts a catalog at one replica and reads the version at another.
 func (h *history) putAndRead() {
 	c := h.cluster
 	h.version += 1 + c.Random.Int64N(3)
 	h.put(h.pickNode(), h.version)
-	if c.Random.Float64() < 0.3 { // an older one is sent again
+	if c.Random.Float64() < 0.3 { // resend an older version
 		h.put(h.pickNode(), max(1, h.version-1))
 	}
 	h.read(h.pickNode())
 }
 
-// pickNode gives the leader more often than another replica, which may take itself
-// for the leader.
+// pickNode returns the current leader with a probability of at least 0.7, otherwise a random
+// replica, which may be a former leader that hasn't stepped down yet.
 func (h *history) pickNode() *simlog.Node {
 	c := h.cluster
 	if leader := c.Leader(); leader != nil && c.Random.Float64() < 0.7 {
@@ -164,8 +168,8 @@
 		case err == nil:
 			h.finishOperation(op, output{answered: true})
 		case errors.Is(err, raft.ErrNotLeader):
-			// Nothing was proposed, or another entry took its place.
-		default: // it may be taken at any later time
+			// Nothing was proposed, or another entry replaced it.
+		default: // it may be applied at any later time
 			op.Output, op.Return = output{}, math.MaxInt64
 			h.ops = append(h.ops, op)
 		}
