--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -133,7 +133,7 @@
 		return nil, errors.Annotate(err, "compress")
 	}
 	if err := json.NewEncoder(w).Encode(value); err != nil {
-		return nil, errors.Annotate(err, "encode as JSON")
+		return nil, errors.Annotate(err, "encode")
 	}
 	if err := w.Close(); err != nil {
 		return nil, errors.Annotate(err, "compress")
@@ -145,9 +145,9 @@
 func Unpack(data []byte, value any) error {
 	decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
-		return errors.Annotate(err, "decompress")
+		return errors.Annotate(err, "uncompress")
 	}
-	return errors.Annotate(json.Unmarshal(decompressed, value), "decode JSON")
+	return errors.Annotate(json.Unmarshal(decompressed, value), "decode")
 }
 
 // Machine is the state machine that applies the commands. Any goroutine may call State; only
--- a/raft/log.go
+++ b/raft/log.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// entriesFrom returns at most count entries, starting at index.
-func (l *entryLog) entriesFrom(index uint64, count int) []Entry {
+// slice returns at most count entries, starting at index.
+func (l *entryLog) slice(index uint64, count int) []Entry {
 	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
 	}
--- a/raft/node.go
+++ b/raft/node.go
@@ -39,8 +39,10 @@
 
 // progress is a leader's view of another replica.
 type progress struct {
-	matchIndex     uint64    // last index known to be durable there
-	nextIndex      uint64    // first index of the next Append
+	// matchIndex is the last index known to be durable there, nextIndex the first index of the
+	// next Append.
+	matchIndex, nextIndex uint64
+
 	ackedSentAt    time.Time // when the latest acknowledged round was sent
 	ackedRound     uint64    // the latest acknowledged round
 	lastHeard      time.Time // time of the last reply
@@ -291,7 +293,7 @@
 		n.outgoing = append(n.outgoing, Envelope{n.opts.ID, id, n.hard.Term, Append{PrevIndex: n.log.snapshot.Index, PrevTerm: n.log.snapshot.Term, Round: n.lastRound}})
 		return
 	}
-	entries := n.log.entriesFrom(p.nextIndex, maxAppendEntries)
+	entries := n.log.slice(p.nextIndex, maxAppendEntries)
 	n.outgoing = append(n.outgoing, Envelope{n.opts.ID, id, n.hard.Term, Append{
 		PrevIndex: p.nextIndex - 1, PrevTerm: prevTerm, Entries: entries, Commit: n.commitIndex, Round: n.lastRound,
 	}})
--- a/raft/ready.go
+++ b/raft/ready.go
@@ -28,9 +28,9 @@
 		r.Hard = &hard
 		n.hardStateChanged = false
 	}
-	r.Entries = n.log.entriesFrom(n.durableIndex+1, int(n.log.lastIndex()-n.durableIndex))
+	r.Entries = n.log.slice(n.durableIndex+1, int(n.log.lastIndex()-n.durableIndex))
 	if n.commitIndex > n.appliedIndex {
-		r.Committed = n.log.entriesFrom(n.appliedIndex+1, int(min(n.commitIndex, n.log.lastIndex())-n.appliedIndex))
+		r.Committed = n.log.slice(n.appliedIndex+1, int(min(n.commitIndex, n.log.lastIndex())-n.appliedIndex))
 	}
 	return r
 }
@@ -75,7 +75,7 @@
 
 func (n *Node) membershipAt(index uint64) Membership {
 	for i := index; i > n.log.snapshot.Index; i-- {
-		if e := n.log.entriesFrom(i, 1)[0]; e.Kind == EntryMembership {
+		if e := n.log.slice(i, 1)[0]; e.Kind == EntryMembership {
 			return *e.Members
 		}
 	}
@@ -121,9 +121,7 @@
 }
 
 // Entries returns all entries after the snapshot, for a rewrite of the durable log.
-func (n *Node) Entries() []Entry {
-	return n.log.entriesFrom(n.log.snapshot.Index+1, len(n.log.entries))
-}
+func (n *Node) Entries() []Entry { return n.log.slice(n.log.snapshot.Index+1, len(n.log.entries)) }
 
 // Hard returns the current hard state, for a rewrite of the durable log.
 func (n *Node) Hard() HardState { return n.hard }
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -34,7 +34,7 @@
 func (r *Replica) ProposeJSON(ctx context.Context, command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
-		return nil, errors.Annotate(err, "encode the command as JSON")
+		return nil, errors.Annotate(err, "command")
 	}
 	return r.Propose(ctx, data)
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -376,13 +376,13 @@
 	// index. Followers that need earlier entries receive the snapshot instead.
 	data, err := r.opts.Machine.Snapshot()
 	if err != nil {
-		return errors.Annotate(err, "take a snapshot of the state machine")
+		return errors.Annotate(err, "snapshot")
 	}
 	snapshot, ok := r.node.Compact(status.Applied, data)
 	if !ok {
 		return nil
 	}
-	r.opts.Log.Debug("snapshot taken", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(data)))
+	r.opts.Log.Debug("snapshot", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(data)))
 	if err := r.log.Replace(raft.State{Hard: r.node.Hard(), Snapshot: snapshot, Entries: r.node.Entries()}); err != nil {
 		// The durable log keeps all its entries. The next snapshot is due after another
 		// SnapshotEvery entries.
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -82,7 +82,7 @@
 	for range 5 {
 		proposeWithRetry(t, r)
 	}
-	eventually(t, "commit index file", func() bool {
+	eventually(t, "mark", func() bool {
 		names, err := folder.Names()
 		return err == nil && len(names) >= 2
 	})
