--- a/lease/lease.go
+++ b/lease/lease.go
@@ -124,7 +124,7 @@
 	Seq         uint64
 }
 
-// Grant is a peer's reply to an Ask.
+// Grant is the reply of a peer to a renewal request.
 type Grant struct {
 	Host    string
 	Granted bool
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -71,6 +71,7 @@
 	Source  []byte          `json:"source"`
 }
 
+// withOrder records index as that of the last accepted SetEvacuation of a data centre.
 func (s State) withOrder(dataCentre string, index uint64) State {
 	orders := maps.Clone(s.Orders)
 	if orders == nil {
@@ -85,7 +86,7 @@
 // another command for the data centre was applied after the proposer read the state.
 type SetEvacuation struct {
 	DataCentre string `json:"dataCentre"`
-	On         bool   `json:"on"`
+	On         bool   `json:"on"` // true to start, false to end
 	// Seen is the log index up to which the proposer had seen earlier commands for the data
 	// centre. It is 0, which disables the check, in logs of versions that didn't write it.
 	Seen uint64 `json:"seen,omitempty"`
@@ -141,7 +142,7 @@
 	return buf.Bytes(), nil
 }
 
-// Unpack decodes data that Pack encoded into the variable that value points to.
+// Unpack decodes the output of Pack into the variable that value points to.
 func Unpack(data []byte, value any) error {
 	decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
--- a/raft/node.go
+++ b/raft/node.go
@@ -13,7 +13,7 @@
 	Election  time.Duration // minimum time without a message from a leader before an election
 	Heartbeat time.Duration // interval between a leader's heartbeats
 	// NoLease states that nothing relies on LeaseUntil. A replica that has just started then
-	// doesn't wait for the end of a lease that it may have granted before the start. If all
+	// doesn't wait for the end of a leader's lease that it may have supported before. If all
 	// replicas are killed at once, this brings back a leader that can confirm reads after
 	// 0.8 s instead of 2.1 s (five voters in three regions, 80 ms one-way delay).
 	NoLease bool
@@ -193,6 +193,9 @@
 	n.resetElectionDeadline()
 }
 
+// campaign asks the other voters for their pre-votes (role PreCandidate) or starts a new term
+// and asks for their votes (role Candidate). transfer is set if the leader requested the
+// election.
 func (n *Node) campaign(role Role, transfer bool) {
 	n.changeRole(role, n.hard.Term, None)
 	term := n.hard.Term + 1
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Read waits until the state machine has applied everything that was committed when Read was
-// called, so that the caller can then read it with linearizability.
+// Read waits until the state machine has applied everything that was committed at the time of
+// the call. What the caller then reads from the state machine is linearizable.
 func (r *Replica) Read(ctx context.Context) error {
 	request := readRequest{make(chan error, 1)}
 	select {
