--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -1,4 +1,4 @@
-// This file defines how the fleet keeps requests from engines that crash under them.
+// This file defines how the fleet quarantines requests that crash engines.
 
 package fleet
 
@@ -12,47 +12,50 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// lifeTime is how long a life of a declared engine is taken to be at least. Declared engines
-// don't say when they were started, so that one host's crash is taken for another's where
-// both fall into the same ten seconds: several hosts see each one, within a second or two.
-const lifeTime = 10 * time.Second
+// crashInterval is the length of the intervals by which crashes of a declared engine are
+// told apart. Declared engines don't report when they were started, so all crashes
+// detected within one interval count as one. Several hosts detect each crash, within a
+// second or two.
+const crashInterval = 10 * time.Second
 
-// incarnation names the life of an engine that ends now.
+// incarnation identifies the incarnation of an engine that crashes now.
 func incarnation(engine string, now time.Time) string {
-	return engine + "@" + strconv.FormatInt(now.UnixNano()/int64(lifeTime), 10)
+	return engine + "@" + strconv.FormatInt(now.UnixNano()/int64(crashInterval), 10)
 }
 
-// checkSuspect refuses a request under which engines crashed. The lock is held.
-func (f *Fleet) checkSuspect(p quarantine.Fingerprint, now time.Time) error {
-	var refused *quarantine.RejectedError
-	if !errors.As(f.suspects.Check(p, now), &refused) {
+// checkQuarantine returns a *request.NotRun if the request is quarantined. f.mu must be
+// held.
+func (f *Fleet) checkQuarantine(fp quarantine.Fingerprint, now time.Time) error {
+	var rejection *quarantine.RejectedError
+	if !errors.As(f.quarantine.Check(fp, now), &rejection) {
 		return nil
 	}
-	return &request.NotRun{Reason: request.ReasonQuarantined, Message: refused.Error() + "; fingerprint " + p.String(), RetryAfter: refused.RetryAfter}
+	return &request.NotRun{Reason: request.ReasonQuarantined, Message: rejection.Error() + "; fingerprint " + fp.String(), RetryAfter: rejection.RetryAfter}
 }
 
-// Refused notes that an engine takes no connections: its process has ended.
+// Refused records that an engine refuses connections, which means that its process has
+// ended. Requests whose connections to it broke just before are reported as the cause.
 func (f *Fleet) Refused(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, p := range f.watch.ConfirmCrash(engine) {
-		f.suspects.RecordCrash(p, incarnation(engine, now), now)
+	for _, fp := range f.crashDetector.ConfirmCrash(engine) {
+		f.quarantine.RecordCrash(fp, incarnation(engine, now), now)
 	}
 }
 
-// TellCrashes gives what this host knows of crashes, for the others.
+// TellCrashes returns the crash reports to send to the other hosts.
 func (f *Fleet) TellCrashes() []quarantine.CrashReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.suspects.Summary(f.clock())
+	return f.quarantine.Summary(f.clock())
 }
 
-// HearCrashes takes what another host told of crashes so long ago. It gives the requests
-// that are refused from now on.
-func (f *Fleet) HearCrashes(notes []quarantine.CrashReport, age time.Duration) []quarantine.Fingerprint {
+// HearCrashes applies the crash reports of another host, which are age old. It returns
+// the fingerprints that are quarantined as a result.
+func (f *Fleet) HearCrashes(reports []quarantine.CrashReport, age time.Duration) []quarantine.Fingerprint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	return f.suspects.ReceiveLocal(quarantine.AddAge(notes, age), now)
+	return f.quarantine.ReceiveLocal(quarantine.AddAge(reports, age), now)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,12 +1,11 @@
-// Package fleet keeps what one entry host knows of the engines of its region,
-// and hands out their slots.
+// Package fleet tracks the engines of an entry host's region and allocates their slots to
+// requests.
 //
-// A Fleet owns one pool for each service. A pool joins the pure decisions of
-// the packages route, admit and health with the running counts they need:
-// Acquire gives a Ticket for an engine, waiting in the pool's queue if it
-// must, and every Ticket is given back by Done exactly once. The decisions
-// are made under the pool's lock and take microseconds; nothing waits for the
-// network while holding it.
+// A Fleet has one pool per service. A pool combines the pure decision functions of the
+// packages route, admit and health with the live counts that they need. Acquire returns a
+// Ticket for an engine, after queueing if no slot is free, and each Ticket is released by
+// exactly one call to Done. Decisions are made under the fleet's lock and take
+// microseconds; no network call is made while the lock is held.
 package fleet
 
 import (
@@ -25,59 +24,60 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Clock gives the time; tests set their own.
+// Clock returns the current time. Tests pass their own.
 type Clock func() time.Time
 
-// Fleet is safe for concurrent use. New makes one.
+// Fleet holds the pools of one entry host. It is safe for concurrent use; New creates one.
 type Fleet struct {
 	region string
 	clock  Clock
 	policy route.Policy
-	random *rand.Rand
+	rng    *rand.Rand
 
-	mu       sync.Mutex
-	pools    map[string]*pool
-	suspects *quarantine.Table
-	watch    *quarantine.CrashDetector
-	limits   *ratelimit.Table // that engines name
-	pushback *pushback.Table  // what engines ask of this host
-	sharing  []string         // the hosts of this region that share them, as declared
+	mu            sync.Mutex
+	pools         map[string]*pool
+	quarantine    *quarantine.Table
+	crashDetector *quarantine.CrashDetector
+	limits        *ratelimit.Table // rate limits that engines announce
+	pushback      *pushback.Table  // backoff and draining that engines announce to this host
+	limitSharers  []string         // declared hosts of this region, among which limits are divided
 }
 
-// queueLimit bounds the requests that wait in one pool.
+// queueLimit is the maximum number of requests queued in one pool.
 const queueLimit = 512
 
-// New makes an empty fleet of an entry host, for the engines of its region. seed makes its
-// random choices repeatable.
+// New returns a fleet without engines for an entry host and its region. seed initialises
+// the random generator, so that choices are reproducible.
 func New(host, region string, clock Clock, policy route.Policy, seed uint64) *Fleet {
 	return &Fleet{
 		region: region,
 		clock:  clock,
 		policy: policy,
-		random: rand.New(rand.NewPCG(seed, seed^0x5bd1e995)),
+		rng:    rand.New(rand.NewPCG(seed, seed^0x5bd1e995)),
 		pools:  make(map[string]*pool),
 
-		suspects: quarantine.New(),
-		watch:    quarantine.NewCrashDetector(),
-		limits:   ratelimit.New(host),
-		pushback: pushback.New(),
+		quarantine:    quarantine.New(),
+		crashDetector: quarantine.NewCrashDetector(),
+		limits:        ratelimit.New(host),
+		pushback:      pushback.New(),
 	}
 }
 
-// Apply takes over the engines of a configuration. An engine that is declared
-// still keeps its counts; one that isn't gets nothing new, nor does one that an
-// undecided change holds: held may be nil.
-func (f *Fleet) Apply(config declare.Config, held func(engine string) bool) {
+// Apply replaces the declared engines by those of a configuration. An engine that is
+// still declared keeps its counts. An engine that is no longer declared, or for which
+// isHeld reports that an undecided change affects it, gets no new requests. isHeld may be
+// nil.
+func (f *Fleet) Apply(config declare.Config, isHeld func(engine string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shareAmong(config)
-	wanted := map[string][]declare.Engine{}
+	f.setLimitSharers(config)
+	byService := map[string][]declare.Engine{}
 	for _, e := range declare.Each[declare.Engine](config) {
-		if held != nil && held(e.Name) {
+		if isHeld != nil && isHeld(e.Name) {
 			e = e.WithState(declare.EngineStopping)
 		}
 		if config.RegionOf(e.DataCentre) == f.region {
-			wanted[e.Service] = append(wanted[e.Service], e)
+			byService[e.Service] = append(byService[e.Service], e)
 		}
 	}
 	for _, s := range declare.Each[declare.Service](config) {
@@ -86,8 +86,8 @@
 			p = newPool(s.Name)
 			f.pools[s.Name] = p
 		}
-		p.apply(f.region, wanted[s.Name])
-		p.judge(f.clock())
+		p.apply(f.region, byService[s.Name])
+		p.updateHealth(f.clock())
 	}
 	for name, p := range f.pools {
 		if _, ok := config.Service(name); !ok {
@@ -96,41 +96,42 @@
 	}
 }
 
-// Ask is what Acquire needs beside the request.
+// Ask describes a request that needs a slot. Permitted, if not nil, reports whether the
+// request may run at a place on an engine with these labels.
 type Ask struct {
 	Request   request.Request
 	Permitted func(place permit.Place, labels declare.Labels) bool
-	Prefill   time.Duration // to read the prompt into a cold cache
-	Need      time.Duration // least time from a slot to the answer's first byte
+	Prefill   time.Duration // estimated time to read the whole prompt without a cached prefix
+	Need      time.Duration // minimum time from getting a slot to the first byte of the answer
 	Tried     []string      // engines of earlier attempts
-	// MaxWait is the longest wait that is worth while; 0 for the deadline.
+	// MaxWait is the longest time to wait in the queue; 0 means until the deadline.
 	MaxWait time.Duration
-	// Fingerprint is the same for each repeat of the request; 0 where it isn't known.
+	// Fingerprint is equal for all repeats of the request; 0 means unknown.
 	Fingerprint quarantine.Fingerprint
 }
 
-// Ticket is the right to send one request to one engine.
+// Ticket is a slot on one engine, which allows one request to be sent there.
 type Ticket struct {
 	Engine  string
 	Address string
 	Choice  route.Choice
 	Waited  time.Duration
 
-	pool  *pool
-	fleet *Fleet
-	index int
-	began time.Time
-	chain []uint64
+	pool        *pool
+	fleet       *Fleet
+	engineIndex int
+	sentAt      time.Time
+	prefixChain []uint64
 
 	fingerprint quarantine.Fingerprint
-	trial       bool // it shows whether the engine takes any after a rest
+	trial       bool // the single request that tests the engine after its backoff
 }
 
-// Acquire gives a ticket for the best engine, waiting in the queue if none has
-// a slot. The error is a *request.NotRun.
-func (f *Fleet) Acquire(ctx context.Context, ask Ask) (*Ticket, error) {
+// Acquire returns a ticket for the best engine. It waits in the queue if no permitted
+// engine has a free slot. The error is a *request.NotRun.
+func (f *Fleet) Acquire(ctx context.Context, req Ask) (*Ticket, error) {
 	served := make(chan Served, 1)
-	cancel := f.Submit(ask, func(s Served) { served <- s })
+	cancel := f.Submit(req, func(s Served) { served <- s })
 	select {
 	case s := <-served:
 		return s.Ticket, s.Err
@@ -144,41 +145,41 @@
 	return nil, &request.NotRun{Reason: request.ReasonCancelled, Message: "the caller went away, or its deadline passed, while the request waited"}
 }
 
-// Served is the outcome of Submit: a ticket, or a *request.NotRun.
+// Served is the result of Submit: either a ticket, or a *request.NotRun as the error.
 type Served struct {
 	Ticket *Ticket
 	Err    error
 }
 
-// Submit is Acquire without waiting. ready is called once, perhaps before
-// Submit returns, and perhaps with the fleet's lock held: it must not call the
-// fleet. cancel takes the request out of the queue; it tells whether ready will
-// not be called.
-func (f *Fleet) Submit(ask Ask, ready func(Served)) (cancel func() bool) {
+// Submit is the non-blocking form of Acquire. It calls ready once, possibly before it
+// returns and possibly with the fleet's lock held, so ready must not call the fleet.
+// cancel removes the request from the queue and reports whether it did so, in which case
+// ready is not called.
+func (f *Fleet) Submit(req Ask, ready func(Served)) (cancel func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.pools[ask.Request.Service]
+	p, ok := f.pools[req.Request.Service]
 	if !ok {
 		ready(Served{Err: &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine of the service is known here"}})
 		return func() bool { return false }
 	}
 	now := f.clock()
-	if err := f.checkSuspect(ask.Fingerprint, now); err != nil {
+	if err := f.checkQuarantine(req.Fingerprint, now); err != nil {
 		ready(Served{Err: err})
 		return func() bool { return false }
 	}
-	w := p.newWaiter(ask, ready)
-	if p.queue.CountAhead(ask.Request.Class.Priority()) == 0 {
+	w := p.newWaiter(req, ready)
+	if p.queue.CountAhead(req.Request.Class.Priority()) == 0 {
 		if t := f.grant(p, w, now); t != nil {
 			ready(Served{Ticket: t})
 			return func() bool { return false }
 		}
 	}
 	if err := p.enqueue(w, now); err != nil {
-		ready(Served{Err: f.opensRefusal(p, err, now)})
+		ready(Served{Err: f.raiseRetryAfter(p, err, now)})
 		return func() bool { return false }
 	}
-	f.dispatch(p, now)
+	f.serveQueue(p, now)
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -186,33 +187,34 @@
 	}
 }
 
-// grant gives the waiter a slot if an engine has one. The lock is held.
+// grant returns a ticket for the waiter, or nil if no suitable engine has a free slot.
+// f.mu must be held.
 func (f *Fleet) grant(p *pool, w *waiter, now time.Time) *Ticket {
 	p.view.Now = now
-	f.markAsked(p, now)
-	choice := route.Choose(f.policy, &p.view, &w.Payload.ask, f.random.Uint64())
+	f.markExclusions(p, now)
+	choice := route.Choose(f.policy, &p.view, &w.Payload.req, f.rng.Uint64())
 	if choice.Index < 0 {
 		return nil
 	}
 	e := &p.view.Engines[choice.Index]
 	e.InFlight++
-	p.own[choice.Index].note(now, e.InFlight)
-	p.view.Prefixes.Add(w.Payload.ask.PrefixChain, choice.Index)
-	p.started(now)
-	f.suspects.Begin(w.Payload.fingerprint)
+	p.history[choice.Index].record(now, e.InFlight)
+	p.view.Prefixes.Add(w.Payload.req.PrefixChain, choice.Index)
+	p.countStart(now)
+	f.quarantine.Begin(w.Payload.fingerprint)
 	key := engineKey(p.service, e.Name)
 	f.limits.TakeToken(key, now)
 	return &Ticket{
 		Engine: e.Name, Address: e.Address, Choice: choice,
-		pool: p, fleet: f, index: choice.Index, began: now, chain: w.Payload.ask.PrefixChain, fingerprint: w.Payload.fingerprint,
+		pool: p, fleet: f, engineIndex: choice.Index, sentAt: now, prefixChain: w.Payload.req.PrefixChain, fingerprint: w.Payload.fingerprint,
 		trial: f.pushback.Begin(key, now),
 	}
 }
 
-// dispatch serves the queue while there are slots. The lock is held.
-func (f *Fleet) dispatch(p *pool, now time.Time) {
-	for p.queue.Len() > 0 && p.anyFree() {
-		w := p.queue.Pop(now, p.refuseLate)
+// serveQueue grants free slots to queued requests. f.mu must be held.
+func (f *Fleet) serveQueue(p *pool, now time.Time) {
+	for p.queue.Len() > 0 && p.anyFreeSlot() {
+		w := p.queue.Pop(now, p.rejectLate)
 		if w == nil {
 			return
 		}
@@ -226,76 +228,79 @@
 	p.requeueBlocked(now)
 }
 
-// Tick re-judges every pool, drops what is late and serves what can be
-// served. The owner calls it several times a second.
+// Tick updates the health of all engines, rejects queued requests that can no longer meet
+// their deadline, and grants free slots. The owner calls it several times per second.
 func (f *Fleet) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	f.limits.SetMembers(f.sharing, now)
+	f.limits.SetMembers(f.limitSharers, now)
 	for _, p := range f.pools {
-		f.markAsked(p, now)
-		p.judge(now)
-		p.queue.Expire(now.Add(f.opens(p, now)), p.refuseLate)
-		f.dispatch(p, now)
+		f.markExclusions(p, now)
+		p.updateHealth(now)
+		p.queue.Expire(now.Add(f.availableIn(p, now)), p.rejectLate)
+		f.serveQueue(p, now)
 	}
 }
 
-// Address is one engine to probe.
+// Address identifies an engine and the address at which to probe it.
 type Address struct {
 	Service, Engine, Address string
 }
 
-// Addresses lists the engines that are declared now.
+// Addresses returns the current engines of all pools, sorted by name.
 func (f *Fleet) Addresses() []Address {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []Address
+	var addresses []Address
 	for name, p := range f.pools {
 		for i := range p.view.Engines {
 			if e := &p.view.Engines[i]; e.Name != "" {
-				all = append(all, Address{name, e.Name, e.Address})
+				addresses = append(addresses, Address{name, e.Name, e.Address})
 			}
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Engine < all[j].Engine })
-	return all
+	sort.Slice(addresses, func(i, j int) bool { return addresses[i].Engine < addresses[j].Engine })
+	return addresses
 }
 
-// Digests gives the state of each service's engines in this region.
+// Digests returns the load of each service's engines in this region, sorted by service.
 func (f *Fleet) Digests() []ServiceDigest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	out := make([]ServiceDigest, 0, len(f.pools))
+	digests := make([]ServiceDigest, 0, len(f.pools))
 	for name, p := range f.pools {
-		out = append(out, ServiceDigest{Service: name, Digest: p.digest(f.region, now), Queued: p.queue.Len()})
+		digests = append(digests, ServiceDigest{Service: name, Digest: p.digest(f.region, now), Queued: p.queue.Len()})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
-	return out
+	sort.Slice(digests, func(i, j int) bool { return digests[i].Service < digests[j].Service })
+	return digests
 }
 
-// ServiceDigest is the digest of one service.
+// ServiceDigest is the load of one service's engines, and the number of requests that
+// wait for them at this host.
 type ServiceDigest struct {
 	Service string       `json:"service"`
 	Digest  route.Digest `json:"digest"`
 	Queued  int          `json:"queued"`
 }
 
-// Explain gives each engine's score, or why it is refused, for a request.
-func (f *Fleet) Explain(ask Ask) []route.EngineScore {
+// Explain returns, for each engine of the service, its score for the request or the
+// reason that it is excluded.
+func (f *Fleet) Explain(req Ask) []route.EngineScore {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.pools[ask.Request.Service]
+	p, ok := f.pools[req.Request.Service]
 	if !ok {
 		return nil
 	}
 	p.view.Now = f.clock()
-	f.markAsked(p, p.view.Now)
-	return route.Explain(&p.view, &p.newWaiter(ask, nil).Payload.ask)
+	f.markExclusions(p, p.view.Now)
+	return route.Explain(&p.view, &p.newWaiter(req, nil).Payload.req)
 }
 
-// InFlight counts this host's requests on an engine, for a drain.
+// InFlight returns the number of requests that this host has in flight on an engine. A
+// drain is complete when it is 0 at all hosts.
 func (f *Fleet) InFlight(engine string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -1,4 +1,4 @@
-// This file defines how the fleet keeps to the limits that engines name in their answers.
+// This file defines how the fleet applies the rate limits that engines announce.
 
 package fleet
 
@@ -9,36 +9,37 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// shareAmong takes over which hosts share limits: those of this region, as declared, which all
-// hosts agree on. The lock is held.
-func (f *Fleet) shareAmong(config declare.Config) {
-	f.sharing = f.sharing[:0]
+// setLimitSharers sets the hosts among which limits are divided: the declared hosts of
+// this region that are neither draining nor gone. All hosts have the same configuration
+// and so divide limits alike. f.mu must be held.
+func (f *Fleet) setLimitSharers(config declare.Config) {
+	f.limitSharers = f.limitSharers[:0]
 	for _, h := range declare.Each[declare.Host](config) {
 		if h.State != declare.HostGone && h.State != declare.HostLeaving && config.RegionOf(h.DataCentre) == f.region {
-			f.sharing = append(f.sharing, h.Name)
+			f.limitSharers = append(f.limitSharers, h.Name)
 		}
 	}
-	f.limits.SetMembers(f.sharing, f.clock())
+	f.limits.SetMembers(f.limitSharers, f.clock())
 }
 
-// HeardLimit takes what the head of the engine's answer says of how many requests it takes.
-func (t *Ticket) HeardLimit(word ratelimit.Signal) {
+// ApplyLimit applies the rate limit in the header of the engine's answer.
+func (t *Ticket) ApplyLimit(signal ratelimit.Signal) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.ApplySignal(engineKey(t.pool.service, t.Engine), word, t.began, f.clock())
+	f.limits.ApplySignal(engineKey(t.pool.service, t.Engine), signal, t.sentAt, f.clock())
 }
 
-// TellLimits gives what this host knows of limits, for the others.
+// TellLimits returns the limit reports to send to the other hosts of this region.
 func (f *Fleet) TellLimits() []ratelimit.LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.LatestReports(f.clock())
 }
 
-// HearLimits takes what another host of this region told of limits so long ago.
-func (f *Fleet) HearLimits(notes []ratelimit.LimitReport, age time.Duration) {
+// HearLimits applies the limit reports of another host of this region, which are age old.
+func (f *Fleet) HearLimits(reports []ratelimit.LimitReport, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits.Receive(ratelimit.AddAge(notes, age), f.clock())
+	f.limits.Receive(ratelimit.AddAge(reports, age), f.clock())
 }
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -1,5 +1,5 @@
-// This file defines what the fleet learns from: the end of each ticket, load
-// reports, cache events, probes and the platform's list.
+// This file defines the inputs that update the state of engines: finished tickets, load
+// reports, cache events, probes and the platform's list of instances.
 
 package fleet
 
@@ -10,39 +10,41 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Outcome says how a ticket ended.
+// Outcome is the result of a ticket's request, as far as it concerns the engine.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a ticket.
 const (
 	Answered  Outcome = iota
-	Failed            // no answer, or a wrong one
-	Shed              // the engine refused for load
-	Abandoned         // the caller went away
-	Unsent            // nothing was sent
-	Broken            // the connection ended before the answer did
+	Failed            // no answer, or an invalid one
+	Shed              // the engine rejected the request because of overload
+	Abandoned         // the caller cancelled the request
+	Unsent            // the request was not sent
+	Broken            // the connection ended before the answer was complete
 )
 
-// Result is given back with a ticket.
+// Result describes how a ticket's request ended.
 type Result struct {
 	Outcome Outcome
-	First   time.Duration // until the first byte of the answer
+	First   time.Duration // time to the first byte of the answer, if Answered
 }
 
-// serviceSmoothing is the weight of the newest service time.
-const serviceSmoothing = 0.1
+// serviceTimeSmoothing is the weight of the latest sample in the moving average of the
+// service time.
+const serviceTimeSmoothing = 0.1
 
-// Done gives the slot back. It must be called exactly once for each ticket.
+// Done releases the slot and records the result. It must be called exactly once per
+// ticket.
 func (t *Ticket) Done(result Result) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	e := &t.pool.view.Engines[t.index]
+	e := &t.pool.view.Engines[t.engineIndex]
 	e.InFlight--
-	t.pool.own[t.index].note(now, e.InFlight)
-	h := t.pool.health[t.index]
-	f.suspects.End(t.fingerprint, result.Outcome == Answered, now)
+	t.pool.history[t.engineIndex].record(now, e.InFlight)
+	engineHealth := t.pool.health[t.engineIndex]
+	f.quarantine.End(t.fingerprint, result.Outcome == Answered, now)
 	if t.trial {
 		f.pushback.End(engineKey(t.pool.service, t.Engine))
 	}
@@ -50,86 +52,90 @@
 		f.limits.ReturnToken(engineKey(t.pool.service, t.Engine), now)
 	}
 	if result.Outcome == Broken {
-		f.watch.RecordBreak(t.Engine, t.fingerprint, now)
+		f.crashDetector.RecordBreak(t.Engine, t.fingerprint, now)
 	}
 	switch result.Outcome {
 	case Answered:
-		f.watch.RecordAnswer(t.Engine, t.began)
-		h.RecordOutcome(health.Succeeded, result.First)
-		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.began))
+		f.crashDetector.RecordAnswer(t.Engine, t.sentAt)
+		engineHealth.RecordOutcome(health.Succeeded, result.First)
+		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.sentAt))
 	case Failed, Broken:
-		h.RecordOutcome(health.Failed, 0)
-		t.pool.judge(now)
+		engineHealth.RecordOutcome(health.Failed, 0)
+		t.pool.updateHealth(now)
 	case Shed:
-		h.RecordOutcome(health.Shed, 0)
-		// The engine is fuller than its reports say: believe that others
-		// fill it, until reports say otherwise.
+		engineHealth.RecordOutcome(health.Shed, 0)
+		// The engine is fuller than its load reports show. Assume that requests of
+		// other hosts fill it, until the next report.
 		e.OtherLoad = max(e.OtherLoad, float64(e.Slots+e.Slots/4-e.InFlight))
 		e.ReportedAt = now
 	case Abandoned:
-		h.RecordOutcome(health.Abandoned, 0)
+		engineHealth.RecordOutcome(health.Abandoned, 0)
 	case Unsent:
 	}
-	f.dispatch(t.pool, now)
+	f.serveQueue(t.pool, now)
 }
 
-func smooth(old, newest time.Duration) time.Duration {
+func smooth(old, latest time.Duration) time.Duration {
 	if old == 0 {
-		return newest
+		return latest
 	}
-	return old + time.Duration(serviceSmoothing*float64(newest-old))
+	return old + time.Duration(serviceTimeSmoothing*float64(latest-old))
 }
 
-// Retry spends a retry of the service's budget, or tells that there is none.
+// Retry takes one retry from the service's retry budget. It returns false if the budget
+// is exhausted.
 func (t *Ticket) Retry() bool { return t.pool.budget.TryRetry() }
 
-// Report is one load report of an engine.
+// Report is a load report of an engine: its running and waiting requests.
 type Report struct {
 	Running int       `json:"running"`
 	Waiting int       `json:"waiting"`
-	At      time.Time `json:"at"` // when the engine measured it
+	At      time.Time `json:"at"` // time of the measurement
 }
 
-// SetReport notes a load report. One older than the last is dropped.
+// SetReport applies a load report of an engine. A report older than the latest one is
+// ignored.
 func (f *Fleet) SetReport(service, engine string, report Report) {
-	f.each(service, engine, func(p *pool, i int) {
+	f.withEngine(service, engine, func(p *pool, i int) {
 		e := &p.view.Engines[i]
 		if report.At.Before(e.ReportedAt) {
 			return
 		}
-		*e = e.WithReport(report.Running+report.Waiting, p.own[i].at(report.At, e.InFlight), report.At)
+		*e = e.WithReport(report.Running+report.Waiting, p.history[i].at(report.At, e.InFlight), report.At)
 	})
 }
 
-// Probe notes the result of a probe that was sent at a time.
+// Probe records whether a probe, sent at the given time, succeeded.
 func (f *Fleet) Probe(service, engine string, sent time.Time, ok bool) {
-	f.each(service, engine, func(p *pool, i int) {
+	f.withEngine(service, engine, func(p *pool, i int) {
 		if ok {
-			f.watch.RecordAnswer(engine, sent)
+			f.crashDetector.RecordAnswer(engine, sent)
 		}
 		p.health[i].RecordProbe(ok)
-		p.judge(f.clock())
+		p.updateHealth(f.clock())
 	})
 }
 
-// Evicted notes that an engine has dropped a cached prefix.
+// Evicted records that an engine evicted a prefix from its cache.
 func (f *Fleet) Evicted(service, engine string, prefix uint64) {
-	f.each(service, engine, func(p *pool, i int) { p.view.Prefixes.Remove(prefix, i) })
+	f.withEngine(service, engine, func(p *pool, i int) { p.view.Prefixes.Remove(prefix, i) })
 }
 
-// SetLeaving notes which engine addresses the platform says are leaving.
-func (f *Fleet) SetLeaving(leaving func(address string) bool) {
+// SetLeaving marks the engines whose addresses are draining according to the platform's
+// list of instances. They get no new requests.
+func (f *Fleet) SetLeaving(draining func(address string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.pools {
 		for i := range p.view.Engines {
-			p.health[i].SetDraining(leaving(p.view.Engines[i].Address))
+			p.health[i].SetDraining(draining(p.view.Engines[i].Address))
 		}
-		p.judge(f.clock())
+		p.updateHealth(f.clock())
 	}
 }
 
-// Health gives an engine's health; false if it isn't known here.
+// Health returns the health of an engine. The second result is false if no pool contains
+// the engine.
 func (f *Fleet) Health(engine string) (route.Health, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +149,7 @@
 	return 0, false
 }
 
-func (f *Fleet) each(service, engine string, do func(p *pool, i int)) {
+func (f *Fleet) withEngine(service, engine string, fn func(p *pool, i int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[service]
@@ -152,8 +158,8 @@
 	}
 	for i := range p.view.Engines {
 		if p.view.Engines[i].Name == engine {
-			do(p, i)
+			fn(p, i)
 		}
 	}
-	f.dispatch(p, f.clock())
+	f.serveQueue(p, f.clock())
 }
--- a/fleet/own.go
+++ b/fleet/own.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// ownSamples is how many samples are kept, and ownSpacing their least distance.
-// Together they reach back further than load reports lag.
+// historySize is the number of samples in a loadHistory, and sampleSpacing the minimum
+// time between two of them. Together they cover a longer period than the delay of load
+// reports.
 const (
-	ownSamples = 64
-	ownSpacing = 50 * time.Millisecond
+	historySize   = 64
+	sampleSpacing = 50 * time.Millisecond
 )
 
-// ownLoad remembers how many requests this host had on an engine, so that a
-// report that lags can be corrected by what this host had there at its time.
-// The zero value is a host that never had any.
-type ownLoad struct {
-	samples [ownSamples]ownSample
-	next    int // where the next sample goes
+// loadHistory records how many requests this host had in flight on an engine. A load
+// report is delayed; to find the load that other hosts cause, the number at the time of
+// the report is subtracted from it. The zero value is the history of a host that has sent
+// none.
+type loadHistory struct {
+	samples [historySize]loadSample
+	next    int // index of the next sample
 }
 
-type ownSample struct {
+type loadSample struct {
 	at       time.Time
 	inFlight int
 }
 
-// note remembers the number from now on.
-func (o *ownLoad) note(now time.Time, inFlight int) {
-	last := &o.samples[(o.next+ownSamples-1)%ownSamples]
-	if !last.at.IsZero() && now.Sub(last.at) < ownSpacing {
+// record adds a sample, or updates the latest one if it is more recent than sampleSpacing.
+func (h *loadHistory) record(now time.Time, inFlight int) {
+	last := &h.samples[(h.next+historySize-1)%historySize]
+	if !last.at.IsZero() && now.Sub(last.at) < sampleSpacing {
 		last.inFlight = inFlight
 		return
 	}
-	o.samples[o.next] = ownSample{now, inFlight}
-	o.next = (o.next + 1) % ownSamples
+	h.samples[h.next] = loadSample{now, inFlight}
+	h.next = (h.next + 1) % historySize
 }
 
-// at gives the number at a time; present is what it is now, and is given where
-// no sample is older than the time.
-func (o *ownLoad) at(when time.Time, present int) int {
-	for k := 1; k <= ownSamples; k++ {
-		s := &o.samples[(o.next+ownSamples-k)%ownSamples]
+// at returns the number of requests at time t. It returns current, the number now, if all
+// samples are later than t.
+func (h *loadHistory) at(t time.Time, current int) int {
+	for k := 1; k <= historySize; k++ {
+		s := &h.samples[(h.next+historySize-k)%historySize]
 		if s.at.IsZero() {
 			return 0
 		}
-		if !s.at.After(when) {
+		if !s.at.After(t) {
 			return s.inFlight
 		}
 	}
-	return present
+	return current
 }
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -1,4 +1,4 @@
-// This file defines the pool of one service's engines.
+// This file defines the pool of engines of one service.
 
 package fleet
 
@@ -16,29 +16,29 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// labelModel is the engine label that names the model it has loaded.
+// labelModel is the engine label that contains the name of the loaded model.
 const labelModel = "model"
 
-// prefixes bounds each generation of a pool's prefix index.
-const prefixes = 1 << 14
+// prefixIndexSize is the capacity of each of the two generations of a prefix index.
+const prefixIndexSize = 1 << 14
 
-// waiting is what the queue carries for the fleet.
-type waiting struct {
-	ask         route.Request
+// waiterTag is the fleet's data in an entry of the queue.
+type waiterTag struct {
+	req         route.Request
 	ready       func(Served)
 	fingerprint quarantine.Fingerprint
 }
 
-type waiter = admit.Waiter[waiting]
+type waiter = admit.Waiter[waiterTag]
 
-// pool is guarded by its Fleet's lock.
+// pool holds the engines and the queue of one service. The Fleet's lock guards it.
 type pool struct {
 	service string
 	view    route.View
-	health  []*health.Tracker // beside view.Engines
-	own     []*ownLoad        // beside view.Engines
-	queue   *admit.Queue[waiting]
-	blocked []*waiter // popped, but no engine could take them
+	health  []*health.Tracker // same indexes as view.Engines
+	history []*loadHistory    // same indexes as view.Engines
+	queue   *admit.Queue[waiterTag]
+	blocked []*waiter // popped from the queue, but no engine with a free slot was suitable
 	budget  *retry.Budget
 
 	starts startRate
@@ -47,21 +47,21 @@
 func newPool(service string) *pool {
 	return &pool{
 		service: service,
-		view:    route.View{Prefixes: route.NewPrefixIndex(prefixes)},
-		queue:   admit.NewQueue[waiting](queueLimit),
+		view:    route.View{Prefixes: route.NewPrefixIndex(prefixIndexSize)},
+		queue:   admit.NewQueue[waiterTag](queueLimit),
 		budget:  retry.NewBudget(),
 	}
 }
 
-// apply takes over the declared engines. Places of engines that are gone are
-// kept while requests are in flight there, then used again, so that indexes
-// in tickets and in the prefix index stay true.
+// apply sets the declared engines. An engine that is no longer declared keeps its index
+// while requests are in flight on it, so that indexes in tickets and in the prefix index
+// stay valid. After that, its index is reused.
 func (p *pool) apply(region string, engines []declare.Engine) {
 	declared := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		declared[e.Name] = true
-		i := p.place(e.Name)
-		p.set(i, region, e)
+		i := p.findOrAdd(e.Name)
+		p.setEngine(i, region, e)
 	}
 	for i := range p.view.Engines {
 		if e := &p.view.Engines[i]; !declared[e.Name] {
@@ -73,8 +73,8 @@
 	}
 }
 
-// place finds or makes the place of an engine.
-func (p *pool) place(name string) int {
+// findOrAdd returns the index of an engine, and adds the engine if it is new.
+func (p *pool) findOrAdd(name string) int {
 	free := -1
 	for i := range p.view.Engines {
 		switch p.view.Engines[i].Name {
@@ -87,30 +87,30 @@
 	if free < 0 {
 		p.view.Engines = append(p.view.Engines, route.Engine{})
 		p.health = append(p.health, nil)
-		p.own = append(p.own, nil)
+		p.history = append(p.history, nil)
 		free = len(p.health) - 1
 	}
 	p.view.Engines[free] = route.Engine{Name: name}
 	p.health[free] = &health.Tracker{}
-	p.own[free] = &ownLoad{}
+	p.history[free] = &loadHistory{}
 	return free
 }
 
-func (p *pool) set(i int, region string, e declare.Engine) {
-	v := &p.view.Engines[i]
-	if v.Address != e.Address {
+func (p *pool) setEngine(i int, region string, declared declare.Engine) {
+	engine := &p.view.Engines[i]
+	if engine.Address != declared.Address {
 		p.health[i] = &health.Tracker{}
 	}
-	v.Address = e.Address
-	v.Place = permit.Place{Region: region, DataCentre: e.DataCentre}
-	v.Labels = e.Labels
-	v.Model = e.Labels.Get(labelModel)
-	v.Slots = e.Slots
-	v.Cost = e.Cost
-	p.health[i].SetStopping(e.State == declare.EngineStopping)
+	engine.Address = declared.Address
+	engine.Place = permit.Place{Region: region, DataCentre: declared.DataCentre}
+	engine.Labels = declared.Labels
+	engine.Model = declared.Labels.Get(labelModel)
+	engine.Slots = declared.Slots
+	engine.Cost = declared.Cost
+	p.health[i].SetStopping(declared.State == declare.EngineStopping)
 }
 
-func (p *pool) judge(now time.Time) {
+func (p *pool) updateHealth(now time.Time) {
 	route.FillOtherLoad(p.view.Engines, now)
 	for i, h := range health.Evaluate(p.health, now) {
 		e := &p.view.Engines[i]
@@ -122,24 +122,24 @@
 	}
 }
 
-func (p *pool) newWaiter(ask Ask, ready func(Served)) *waiter {
-	r := ask.Request
+func (p *pool) newWaiter(req Ask, ready func(Served)) *waiter {
+	r := req.Request
 	w := &waiter{
 		Account:     r.Account,
 		Priority:    r.Class.Priority(),
 		Cost:        float64(1 + len(r.PrefixChain)),
 		Deadline:    r.Deadline,
-		ServiceTime: ask.Need,
-		MaxWait:     ask.MaxWait,
+		ServiceTime: req.Need,
+		MaxWait:     req.MaxWait,
 	}
-	w.Payload = waiting{ready: ready, fingerprint: ask.Fingerprint, ask: route.Request{
+	w.Payload = waiterTag{ready: ready, fingerprint: req.Fingerprint, req: route.Request{
 		Model:       r.Model,
 		PrefixChain: r.PrefixChain,
-		PrefillTime: ask.Prefill,
-		Tried:       p.indexes(ask.Tried),
+		PrefillTime: req.Prefill,
+		Tried:       p.indexes(req.Tried),
 	}}
-	if ask.Permitted != nil {
-		w.Payload.ask.Permitted = func(e *route.Engine) bool { return ask.Permitted(e.Place, e.Labels) }
+	if req.Permitted != nil {
+		w.Payload.req.Permitted = func(e *route.Engine) bool { return req.Permitted(e.Place, e.Labels) }
 	}
 	return w
 }
@@ -156,18 +156,19 @@
 	return out
 }
 
-// enqueue puts the waiter into the queue, or refuses it at once: also where
-// no engine that lives could ever take it.
+// enqueue adds the waiter to the queue. It returns an error at once if no healthy engine
+// can serve the request, even after a wait, or if the queue rejects it.
 func (p *pool) enqueue(w *waiter, now time.Time) error {
-	if !p.anyFit(w) {
+	if !p.anyEligible(w) {
 		return &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine here is healthy and permitted", RetryAfter: time.Second}
 	}
-	return p.queue.Push(w, now, p.drainRate(now))
+	return p.queue.Push(w, now, p.expectedStartRate(now))
 }
 
-// anyFit tells whether some engine could take the request if it had a slot.
-func (p *pool) anyFit(w *waiter) bool {
-	for _, e := range route.Explain(&p.view, &w.Payload.ask) {
+// anyEligible reports whether some engine is suitable for the request, whether or not it
+// has a free slot now.
+func (p *pool) anyEligible(w *waiter) bool {
+	for _, e := range route.Explain(&p.view, &w.Payload.req) {
 		if e.Exclusion == route.NotExcluded.String() || e.Exclusion == route.ExcludedFull.String() {
 			return true
 		}
@@ -175,56 +176,57 @@
 	return false
 }
 
-// drainRate estimates how many requests a second get a slot from this host:
-// what has been seen in the last seconds, or, where nothing was, what the slots
-// could do.
-func (p *pool) drainRate(now time.Time) float64 {
-	if rate := p.starts.rate(now); rate > leastSeen {
+// expectedStartRate estimates how many requests per second get a slot from this host. It
+// uses the rate observed within startRateWindow, or, if too few requests started, the
+// capacity of the healthy engines.
+func (p *pool) expectedStartRate(now time.Time) float64 {
+	if rate := p.starts.rate(now); rate > minObservedRate {
 		return rate
 	}
-	could := 0.0
+	capacity := 0.0
 	for i := range p.view.Engines {
 		if e := &p.view.Engines[i]; e.Health == route.Healthy {
-			service := e.ServiceTime
-			if service == 0 {
-				service = time.Second
+			serviceTime := e.ServiceTime
+			if serviceTime == 0 {
+				serviceTime = time.Second
 			}
-			could += float64(e.Slots) / service.Seconds()
+			capacity += float64(e.Slots) / serviceTime.Seconds()
 		}
 	}
-	return could
+	return capacity
 }
 
-// leastSeen is the rate, a second, below which what was seen says nothing.
-const leastSeen = 1.0
+// minObservedRate is the rate in requests per second below which the observed rate is not
+// meaningful.
+const minObservedRate = 1.0
 
-// rateWindow is over how long the rate of starts is taken.
-const rateWindow = 3 * time.Second
+// startRateWindow is the time constant of the decay in startRate.
+const startRateWindow = 3 * time.Second
 
-// startRate counts starts with a weight that decays over rateWindow. The zero
-// value has seen none.
+// startRate estimates the rate of started requests by a count that decays exponentially
+// over startRateWindow. The zero value has counted none.
 type startRate struct {
-	weight float64
-	at     time.Time
+	weight    float64
+	updatedAt time.Time
 }
 
 func (s *startRate) decayed(now time.Time) float64 {
-	return s.weight * math.Exp(-float64(now.Sub(s.at))/float64(rateWindow))
+	return s.weight * math.Exp(-float64(now.Sub(s.updatedAt))/float64(startRateWindow))
 }
 
 func (s *startRate) add(now time.Time) {
-	s.weight, s.at = s.decayed(now)+1, now
+	s.weight, s.updatedAt = s.decayed(now)+1, now
 }
 
-// rate gives the starts a second.
-func (s *startRate) rate(now time.Time) float64 { return s.decayed(now) / rateWindow.Seconds() }
+// rate returns the started requests per second.
+func (s *startRate) rate(now time.Time) float64 { return s.decayed(now) / startRateWindow.Seconds() }
 
-func (p *pool) started(now time.Time) {
+func (p *pool) countStart(now time.Time) {
 	p.budget.CountFirstAttempt()
 	p.starts.add(now)
 }
 
-func (p *pool) anyFree() bool {
+func (p *pool) anyFreeSlot() bool {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health == route.Healthy && !e.RateLimited && e.Pushback == 0 && !e.Full() {
@@ -234,7 +236,7 @@
 	return false
 }
 
-func (p *pool) refuseLate(w *waiter) {
+func (p *pool) rejectLate(w *waiter) {
 	w.Payload.ready(Served{Err: &request.NotRun{
 		Reason:     request.ReasonDeadline,
 		Message:    "no slot was free in time",
@@ -242,13 +244,13 @@
 	}})
 }
 
-// requeueBlocked gives back what was popped but fits no engine with a free
-// slot now. Their fair share was charged once already, so they go in with
-// the least cost.
+// requeueBlocked puts requests that were popped, but for which no engine with a free slot
+// was suitable, back into the queue. Their fair share was charged when they were first
+// queued, so they return at the minimum cost.
 func (p *pool) requeueBlocked(now time.Time) {
 	for _, w := range p.blocked {
 		w.Cost = 0
-		if err := p.queue.Push(w, now, p.drainRate(now)); err != nil {
+		if err := p.queue.Push(w, now, p.expectedStartRate(now)); err != nil {
 			w.Payload.ready(Served{Err: err})
 		}
 	}
@@ -257,8 +259,8 @@
 
 func (p *pool) digest(region string, now time.Time) route.Digest {
 	d := route.Digest{Region: region, At: now}
-	var service time.Duration
-	n, load := 0, 0.0
+	var totalServiceTime time.Duration
+	measured, load := 0, 0.0
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health != route.Healthy || e.Pushback != 0 {
@@ -267,13 +269,13 @@
 		d.Slots += e.Slots
 		load += e.Load()
 		if e.ServiceTime > 0 {
-			service += e.ServiceTime
-			n++
+			totalServiceTime += e.ServiceTime
+			measured++
 		}
 	}
 	d.Load = int(load+0.5) + p.queue.Len()
-	if n > 0 {
-		d.ServiceTime = service / time.Duration(n)
+	if measured > 0 {
+		d.ServiceTime = totalServiceTime / time.Duration(measured)
 	}
 	return d
 }
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -1,4 +1,5 @@
-// This file defines how the fleet keeps to what engines ask of this host in their answers.
+// This file defines how the fleet applies backoff and draining that engines announce in
+// their answers.
 
 package fleet
 
@@ -14,107 +15,112 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// engineKey names an engine among hosts. Declared engines don't say when they were started: what
-// one has asked for before it started again holds until its end, or until its next answer.
+// engineKey identifies an engine on all hosts. It can't include the incarnation, because
+// declared engines don't report when they were started. So the backoff or limit announced
+// by one incarnation remains effective for the next until it expires or the next answer
+// comes.
 func engineKey(service, engine string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + engine)
 }
 
-// markAsked notes which engines may get no request of this host now by their own word. The lock
-// is held.
-func (f *Fleet) markAsked(p *pool, now time.Time) {
+// markExclusions updates, for each engine of the pool, whether its backoff, draining or
+// rate limit excludes it for this host now. f.mu must be held.
+func (f *Fleet) markExclusions(p *pool, now time.Time) {
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		key := engineKey(p.service, e.Name)
-		bar, _ := f.pushback.Exclusion(key, now)
-		e.Pushback, e.RateLimited = bar.Reason, !f.limits.Allows(key, now)
+		exclusion, _ := f.pushback.Exclusion(key, now)
+		e.Pushback, e.RateLimited = exclusion.Reason, !f.limits.Allows(key, now)
 	}
 }
 
-// opens gives how long it takes until an engine that lives may get a request of this host by its
-// own word; 0 where one may now, or nothing tells when. The lock is held.
-func (f *Fleet) opens(p *pool, now time.Time) time.Duration {
-	soonest := time.Duration(math.MaxInt64)
+// availableIn returns the time until the first healthy engine's backoff and rate limit
+// allow this host another request. It returns 0 if one allows it now, or if the time is
+// unknown for all of them. f.mu must be held.
+func (f *Fleet) availableIn(p *pool, now time.Time) time.Duration {
+	earliest := time.Duration(math.MaxInt64)
 	for i := range p.view.Engines {
 		e := &p.view.Engines[i]
 		if e.Health != route.Healthy {
 			continue
 		}
 		key := engineKey(p.service, e.Name)
-		bar, barred := f.pushback.Exclusion(key, now)
-		wait, shares := f.limits.Delay(key, now)
+		exclusion, excluded := f.pushback.Exclusion(key, now)
+		wait, hasShare := f.limits.Delay(key, now)
 		switch {
-		case barred && bar.Reason == pushback.Draining, !shares:
-		case barred:
-			soonest = min(soonest, max(wait, bar.Until.Sub(now)))
+		case excluded && exclusion.Reason == pushback.Draining, !hasShare:
+		case excluded:
+			earliest = min(earliest, max(wait, exclusion.Until.Sub(now)))
 		default:
-			soonest = min(soonest, wait)
+			earliest = min(earliest, wait)
 		}
 	}
-	if soonest == math.MaxInt64 {
+	if earliest == math.MaxInt64 {
 		return 0
 	}
-	return soonest
+	return earliest
 }
 
-// opensRefusal says when to come back where engines that have asked for less are all that is
-// left. The lock is held.
-func (f *Fleet) opensRefusal(p *pool, err error, now time.Time) error {
-	var refused *request.NotRun
-	if !errors.As(err, &refused) || refused.Reason != request.ReasonNoEngine {
+// raiseRetryAfter returns err with RetryAfter raised to availableIn, if err is a rejection
+// because no engine is available. Otherwise, it returns err unchanged. f.mu must be held.
+func (f *Fleet) raiseRetryAfter(p *pool, err error, now time.Time) error {
+	var rejection *request.NotRun
+	if !errors.As(err, &rejection) || rejection.Reason != request.ReasonNoEngine {
 		return err
 	}
-	out := *refused
-	out.RetryAfter = max(out.RetryAfter, f.opens(p, now))
-	return &out
+	raised := *rejection
+	raised.RetryAfter = max(raised.RetryAfter, f.availableIn(p, now))
+	return &raised
 }
 
-// Opens gives how long it takes until an engine of a service may get a request of this host by
-// its own word.
-func (f *Fleet) Opens(service string) time.Duration {
+// AvailableIn returns the time until some engine of a service allows this host another
+// request, as far as backoff and rate limits are concerned; 0 if that is now or unknown.
+func (f *Fleet) AvailableIn(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[service]
 	if !ok {
 		return 0
 	}
-	return f.opens(p, f.clock())
+	return f.availableIn(p, f.clock())
 }
 
-// HeardPushback takes what the head of the engine's answer asks for, and whether the engine says
-// that it leaves. Others in the queue must not be sent there.
-func (t *Ticket) HeardPushback(word pushback.Signal, leaving bool) {
+// ApplyPushback applies the backoff that the engine asks for in the header of its answer,
+// and whether the engine announces that it is draining. It also updates the pool at once,
+// so that no queued request is sent to the engine.
+func (t *Ticket) ApplyPushback(signal pushback.Signal, draining bool) {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key, now := engineKey(t.pool.service, t.Engine), f.clock()
-	f.pushback.ApplySignal(key, word, now)
-	f.hearLeaving(key, leaving, t.began, now)
-	f.markAsked(t.pool, now)
+	f.pushback.ApplySignal(key, signal, now)
+	f.recordDraining(key, draining, t.sentAt, now)
+	f.markExclusions(t.pool, now)
 }
 
-// hearLeaving takes whether an answer to what was sent at a time says that the engine leaves. One
-// that doesn't, of an engine that did before, comes from its next life. The lock is held.
-func (f *Fleet) hearLeaving(key uint64, leaving bool, sent, now time.Time) {
-	if leaving {
+// recordDraining records whether the answer to a request or probe sent at a time announces
+// that the engine is draining. If an engine that announced it no longer does so, in answer
+// to a later request, the answer comes from its next incarnation. f.mu must be held.
+func (f *Fleet) recordDraining(key uint64, draining bool, sent, now time.Time) {
+	if draining {
 		f.pushback.RecordDraining(key, now)
 		return
 	}
 	f.pushback.EndDraining(key, sent)
 }
 
-// Taken notes that the engine has not refused the request.
-func (t *Ticket) Taken() {
+// Accepted records that the engine did not reject the request.
+func (t *Ticket) Accepted() {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pushback.RecordAccepted(engineKey(t.pool.service, t.Engine), t.began)
+	f.pushback.RecordAccepted(engineKey(t.pool.service, t.Engine), t.sentAt)
 }
 
-// ProbedLeaving takes whether the answer to a probe that was sent at a time says that the engine
-// leaves.
-func (f *Fleet) ProbedLeaving(service, engine string, leaving bool, sent time.Time) {
+// ProbedLeaving records whether the answer to a probe, sent at the given time, announces
+// that the engine is draining.
+func (f *Fleet) ProbedLeaving(service, engine string, draining bool, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hearLeaving(engineKey(service, engine), leaving, sent, f.clock())
+	f.recordDraining(engineKey(service, engine), draining, sent, f.clock())
 }
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -1,4 +1,5 @@
-// This file defines what an entry host makes of what an engine's answer says of the engine.
+// This file defines how the backoff, draining and rate limits that engines announce in
+// their answers are passed to the fleet.
 
 package gateway
 
@@ -14,41 +15,42 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// hear tells the fleet what an answer's head says of its engine. Refusals and failures say it as
-// well.
-func (s *Server) hear(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
-	s.hearPushback(x, ticket, resp)
-	s.hearLimit(x, ticket, resp.Header)
+// applySignals passes the signals in the header of an engine's answer to the fleet.
+// Answers that reject the request or report a failure carry them as well.
+func (s *Server) applySignals(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
+	s.applyPushback(x, ticket, resp)
+	s.applyLimit(x, ticket, resp.Header)
 }
 
-// hearPushback takes what the engine asks of this host. Only a refusal of the engine's own asks
-// for rest: a plain service's 429 and 503 are words to its caller.
-func (s *Server) hearPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
-	refused := resp.Header.Get(relay.HeaderNotRun) == "true"
-	word := pushback.Parse(refused, resp.Header, time.Now())
-	leaving := resp.Header.Get(relay.HeaderLeaving) == "true"
-	ticket.HeardPushback(word, leaving)
-	if !refused {
-		ticket.Taken()
+// applyPushback applies backoff and draining. A Retry-After asks this host for backoff
+// only if the engine itself rejected the request. With a plain service's own 429 or 503
+// answer, it is addressed to the caller.
+func (s *Server) applyPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
+	rejected := resp.Header.Get(relay.HeaderNotRun) == "true"
+	signal := pushback.Parse(rejected, resp.Header, time.Now())
+	draining := resp.Header.Get(relay.HeaderLeaving) == "true"
+	ticket.ApplyPushback(signal, draining)
+	if !rejected {
+		ticket.Accepted()
 	}
-	if _, asks := word.(pushback.Backoff); asks {
+	if _, isBackoff := signal.(pushback.Backoff); isBackoff {
 		s.Metrics.Pushback(ticket.Engine, "rest_asked")
 	}
-	if leaving {
+	if draining {
 		s.Metrics.Pushback(ticket.Engine, "leaving_said")
 	}
-	if _, nothing := word.(pushback.NoSignal); !nothing || leaving {
-		s.Log.Info("engine pushes back", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", word), zap.Bool("leaving", leaving))
+	if _, noSignal := signal.(pushback.NoSignal); !noSignal || draining {
+		s.Log.Info("received pushback from engine", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", signal), zap.Bool("leaving", draining))
 	}
 }
 
-// hearLimit tells the fleet what an answer says of how many requests its engine takes.
-func (s *Server) hearLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
-	word := ratelimit.Parse(header.Values(relay.HeaderLimit))
-	ticket.HeardLimit(word)
-	if _, unlimited := word.(ratelimit.Unlimited); unlimited {
+// applyLimit applies the engine's rate limit, if its answer announces one.
+func (s *Server) applyLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
+	signal := ratelimit.Parse(header.Values(relay.HeaderLimit))
+	ticket.ApplyLimit(signal)
+	if _, unlimited := signal.(ratelimit.Unlimited); unlimited {
 		return
 	}
 	s.Metrics.Limited(ticket.Engine, "answered")
-	s.Log.Info("engine named a limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", word))
+	s.Log.Info("engine announced a rate limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", signal))
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -19,47 +19,49 @@
 )
 
 const (
-	leaseTime  = 3 * time.Second
-	decideTime = 5 * time.Second
+	leaseDuration = 3 * time.Second
+	decideTimeout = 5 * time.Second
 )
 
-// host is one entry host with a clock of its own rate.
+// host is one entry host, whose clock runs at a rate of its own.
 type host struct {
-	name, dc string
-	holder   *lease.Holder
-	up       bool
-	rate     float64 // of its clock
-	lives    int
-	round    int
-	sent     time.Time // of the round of grants under way, by its clock
-	seq      uint64
-	grants   []lease.Grant
+	name, dc     string
+	holder       *lease.Holder
+	up           bool
+	rate         float64 // of its clock, relative to real time
+	incarnations int
+	round        int
+	roundSentAt  time.Time // start of the current round of peer requests, by its clock
+	roundSeq     uint64
+	grants       []lease.Grant
 }
 
-// world is two data centres of hosts, one log, and at most one leader at a
-// time, whose tally is new with each election.
-type world struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Duration // real time
-	hosts   []*host
-	state   *control.State
-	tally   *control.Tally // nil while nobody leads
-	leadAt  time.Duration
-	cut     map[string]bool // data centres cut off from the leader
-	alone   map[string]bool // hosts cut off from everybody
-	queue   events
-	serial  int
-	floor   map[string]uint64 // per data centre: what an accepted change demands
-	count   int
-	decided map[control.Status]int
-	peers   int // renewals by peers
+// simulation runs two data centres of hosts, one control log, and at most one leader at a
+// time, in virtual time. Each new leader starts with an empty tally.
+type simulation struct {
+	t               *testing.T
+	random          *rand.Rand
+	now             time.Duration // real time
+	hosts           []*host
+	state           *control.State
+	tally           *control.Tally // nil while there is no leader
+	leaderChangedAt time.Duration
+	partitioned     map[string]bool // data centres partitioned from the leader
+	isolated        map[string]bool // hosts partitioned from all others
+	queue           events
+	lastSerial      int
+	minSeq          map[string]uint64 // by data centre: oldest view under which its hosts may serve
+	changeCount     int
+	decisions       map[control.Status]int
+	peerRenewals    int
 }
 
+// event is a delivery or a fault that runs at a point of virtual time. serial orders events of
+// the same time.
 type event struct {
 	at     time.Duration
 	serial int
-	do     func()
+	run    func()
 }
 
 type events []event
@@ -82,357 +84,364 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// clock gives a host's own time.
+// clock returns the time on the host's own clock.
 func (h *host) clock(now time.Duration) time.Time {
 	return epoch.Add(time.Duration(float64(now) * h.rate))
 }
 
-func (w *world) leaderClock() time.Time { return epoch.Add(w.now) }
+func (s *simulation) leaderClock() time.Time { return epoch.Add(s.now) }
 
-// after runs do after a random delay; some messages are lost, a few are very
-// late.
-func (w *world) after(do func()) {
-	r := w.random.Float64()
-	delay := time.Duration(w.random.Int64N(int64(200 * time.Millisecond)))
+// transmit delivers a message after a random delay. It loses some messages and delays a few
+// by seconds.
+func (s *simulation) transmit(deliver func()) {
+	r := s.random.Float64()
+	delay := time.Duration(s.random.Int64N(int64(200 * time.Millisecond)))
 	switch {
 	case r < 0.05:
 		return
 	case r < 0.1:
-		delay += time.Duration(w.random.Int64N(int64(4 * time.Second)))
+		delay += time.Duration(s.random.Int64N(int64(4 * time.Second)))
 	}
-	w.serial++
-	heap.Push(&w.queue, event{w.now + delay, w.serial, do})
+	s.lastSerial++
+	heap.Push(&s.queue, event{s.now + delay, s.lastSerial, deliver})
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), state: control.NewState(),
-		cut: map[string]bool{}, alone: map[string]bool{}, floor: map[string]uint64{}, decided: map[control.Status]int{},
+		partitioned: map[string]bool{}, isolated: map[string]bool{}, minSeq: map[string]uint64{}, decisions: map[control.Status]int{},
 	}
-	var first declare.Change
-	first.ID = "first"
-	put := func(o declare.Object) { first.Puts = append(first.Puts, declare.Envelope{Object: o}) }
+	var firstChange declare.Change
+	firstChange.ID = "first"
+	put := func(o declare.Object) { firstChange.Puts = append(firstChange.Puts, declare.Envelope{Object: o}) }
 	put(declare.Service{Name: "s", Type: declare.ServicePlain})
 	for _, dc := range []string{"x", "y"} {
 		put(declare.Region{Name: "region-" + dc})
 		put(declare.DataCentre{Name: dc, Region: "region-" + dc})
-		put(engine(dc, 0))
+		put(newEngine(dc, 0))
 		for i := range 3 {
 			name := fmt.Sprintf("%s%d", dc, i)
-			put(hostObject(name, dc))
-			h := &host{name: name, dc: dc, rate: 0.955 + 0.09*w.random.Float64()}
-			w.hosts = append(w.hosts, h)
-			w.start(h)
+			put(newHost(name, dc))
+			h := &host{name: name, dc: dc, rate: 0.955 + 0.09*s.random.Float64()}
+			s.hosts = append(s.hosts, h)
+			s.startHost(h)
 		}
 	}
-	out := w.apply(control.Command{Propose: &control.Propose{Change: first}})
-	must.Eq(t, control.StatusAccepted, out.Status)
-	w.elect()
-	return w
+	outcome := s.apply(control.Command{Propose: &control.Propose{Change: firstChange}})
+	must.Eq(t, control.StatusAccepted, outcome.Status)
+	s.electLeader()
+	return s
 }
 
-func engine(dc string, cost float64) declare.Engine {
+func newEngine(dc string, cost float64) declare.Engine {
 	return declare.Engine{Name: "e-" + dc, Service: "s", DataCentre: dc, Address: "127.0.0.1:1", Slots: 1, Cost: cost}
 }
 
-func hostObject(name, dc string) declare.Host {
-	at := "127.0.0.1:1"
-	return declare.Host{Name: name, DataCentre: dc, Callers: at, Handover: at, Control: at, Operators: at}
+func newHost(name, dc string) declare.Host {
+	address := "127.0.0.1:1"
+	return declare.Host{Name: name, DataCentre: dc, Callers: address, Handover: address, Control: address, Operators: address}
 }
 
-func (w *world) apply(c control.Command) control.Outcome {
+func (s *simulation) apply(c control.Command) control.Outcome {
 	data, err := json.Marshal(c)
-	must.NoError(w.t, err)
-	return w.state.Apply(0, data).(control.Outcome)
+	must.NoError(s.t, err)
+	return s.state.Apply(0, data).(control.Outcome)
 }
 
-// start starts a host's process, which remembers nothing.
-func (w *world) start(h *host) {
-	h.lives++
+// startHost starts a new incarnation of a host, which has no state from earlier ones.
+func (s *simulation) startHost(h *host) {
+	h.incarnations++
 	h.up = true
 	h.grants = nil
-	h.holder = lease.New(h.name, h.dc, fmt.Sprintf("%s/%d", h.name, h.lives), leaseTime)
+	h.holder = lease.New(h.name, h.dc, fmt.Sprintf("%s/%d", h.name, h.incarnations), leaseDuration)
 }
 
-func (w *world) elect() {
-	w.tally = control.NewTally(control.Timing{Lease: leaseTime, Decide: decideTime})
-	w.leadAt = w.now
+func (s *simulation) electLeader() {
+	s.tally = control.NewTally(control.Timing{Lease: leaseDuration, Decide: decideTimeout})
+	s.leaderChangedAt = s.now
 }
 
-// alive tells whether the process that a message was for still runs.
-func (h *host) alive(life int) bool { return h.up && h.lives == life }
+// isRunning reports whether the given incarnation of the host is still running.
+func (h *host) isRunning(incarnation int) bool { return h.up && h.incarnations == incarnation }
 
-// report is what a host does now and then: it reports, and learns what is new.
-func (w *world) report(h *host) {
-	if w.cut[h.dc] || w.alone[h.name] {
+// sendReport sends a host's periodic report to the leader, which renews the host's lease and
+// returns the current view.
+func (s *simulation) sendReport(h *host) {
+	if s.partitioned[h.dc] || s.isolated[h.name] {
 		return
 	}
-	life, sent, report := h.lives, h.clock(w.now), h.holder.Report(h.clock(w.now))
-	w.after(func() {
-		if w.tally == nil || w.cut[h.dc] {
+	incarnation, sentAt, report := h.incarnations, h.clock(s.now), h.holder.Report(h.clock(s.now))
+	s.transmit(func() {
+		if s.tally == nil || s.partitioned[h.dc] {
 			return
 		}
-		view := w.state.View()
-		renewed := w.tally.Report(w.leaderClock(), report, view)
-		w.after(func() {
-			if h.alive(life) && renewed {
-				h.holder.RenewedByLeader(sent, view.Seq)
+		view := s.state.View()
+		renewed := s.tally.Report(s.leaderClock(), report, view)
+		s.transmit(func() {
+			if h.isRunning(incarnation) && renewed {
+				h.holder.RenewedByLeader(sentAt, view.Seq)
 			}
 		})
-		w.after(func() {
-			if h.alive(life) && !w.cut[h.dc] && !w.alone[h.name] {
+		s.transmit(func() {
+			if h.isRunning(incarnation) && !s.partitioned[h.dc] && !s.isolated[h.name] {
 				h.holder.SetView(view)
 			}
 		})
 	})
 }
 
-// ask is what a host does when no leader renews it.
-func (w *world) ask(h *host) {
+// requestPeerGrants asks the hosts of the same data centre to renew a host's lease.
+func (s *simulation) requestPeerGrants(h *host) {
 	h.round++
-	round, life := h.round, h.lives
-	h.sent, h.seq, h.grants = h.clock(w.now), h.holder.View().Seq, nil
-	asked := h.holder.Ask()
-	for _, peer := range w.hosts {
+	round, incarnation := h.round, h.incarnations
+	h.roundSentAt, h.roundSeq, h.grants = h.clock(s.now), h.holder.View().Seq, nil
+	request := h.holder.Ask()
+	for _, peer := range s.hosts {
 		if peer.dc != h.dc || peer == h {
 			continue
 		}
-		w.after(func() {
-			if !peer.up || w.alone[peer.name] || w.alone[h.name] {
+		s.transmit(func() {
+			if !peer.up || s.isolated[peer.name] || s.isolated[h.name] {
 				return
 			}
-			grant, view := peer.holder.Answer(peer.clock(w.now), asked), peer.holder.View()
-			w.after(func() {
-				if !h.alive(life) || h.round != round {
+			grant, view := peer.holder.Answer(peer.clock(s.now), request), peer.holder.View()
+			s.transmit(func() {
+				if !h.isRunning(incarnation) || h.round != round {
 					return
 				}
 				if grant.Seq > h.holder.View().Seq {
 					h.holder.SetView(view)
 				}
 				h.grants = append(h.grants, grant)
-				if h.holder.RenewedByPeers(h.sent, h.seq, h.grants) {
-					w.peers++
+				if h.holder.RenewedByPeers(h.roundSentAt, h.roundSeq, h.grants) {
+					s.peerRenewals++
 				}
 			})
 		})
 	}
 }
 
-// change proposes something that matters to one data centre or to both, or
-// replaces a host.
-func (w *world) change() {
-	if w.tally == nil || w.state.View().Pending != nil {
+// proposeChange proposes a change that affects one data centre or both, or one that replaces
+// a host.
+func (s *simulation) proposeChange() {
+	if s.tally == nil || s.state.View().Pending != nil {
 		return
 	}
-	w.count++
-	c := declare.Change{ID: fmt.Sprint("change-", w.count), Base: w.state.View().Config.Revision()}
-	which := w.random.IntN(4)
+	s.changeCount++
+	c := declare.Change{ID: fmt.Sprint("change-", s.changeCount), Base: s.state.View().Config.Revision()}
+	kind := s.random.IntN(4)
 	for i, dc := range []string{"x", "y"} {
-		if which == i || which == 2 {
-			c.Puts = append(c.Puts, declare.Envelope{Object: engine(dc, float64(w.count))})
+		if kind == i || kind == 2 {
+			c.Puts = append(c.Puts, declare.Envelope{Object: newEngine(dc, float64(s.changeCount))})
 		}
 	}
-	if which == 3 {
-		w.replaceHost(&c)
+	if kind == 3 {
+		s.replaceHost(&c)
 	}
-	w.apply(control.Command{Propose: &control.Propose{Change: c}})
-	if w.random.Float64() < 0.4 {
-		w.ambush()
+	s.apply(control.Command{Propose: &control.Propose{Change: c}})
+	if s.random.Float64() < 0.4 {
+		s.injectFaultsDuringChange()
 	}
 }
 
-// ambush cuts a data centre off while its hosts are about to acknowledge, and
-// takes a host or two from it: the moment at which a mistake would show.
-func (w *world) ambush() {
-	in := func() time.Duration { return time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) }
-	dc := []string{"x", "y"}[w.random.IntN(2)]
-	at := func(delay time.Duration, do func()) {
-		w.serial++
-		heap.Push(&w.queue, event{w.now + delay, w.serial, do})
+// injectFaultsDuringChange partitions a data centre while its hosts are about to acknowledge a
+// change, isolates or restarts up to two hosts, and sometimes stops the leader. An error in
+// the protocol is most likely to show at this moment.
+func (s *simulation) injectFaultsDuringChange() {
+	randomDelay := func() time.Duration { return time.Duration(s.random.Int64N(int64(400 * time.Millisecond))) }
+	dc := []string{"x", "y"}[s.random.IntN(2)]
+	schedule := func(delay time.Duration, run func()) {
+		s.lastSerial++
+		heap.Push(&s.queue, event{s.now + delay, s.lastSerial, run})
 	}
-	at(in(), func() { w.cut[dc] = true })
-	for range w.random.IntN(3) {
-		h := w.hosts[w.random.IntN(len(w.hosts))]
-		if w.random.IntN(2) == 0 {
-			at(in(), func() { w.alone[h.name] = true })
+	schedule(randomDelay(), func() { s.partitioned[dc] = true })
+	for range s.random.IntN(3) {
+		h := s.hosts[s.random.IntN(len(s.hosts))]
+		if s.random.IntN(2) == 0 {
+			schedule(randomDelay(), func() { s.isolated[h.name] = true })
 			continue
 		}
-		at(in(), func() { w.start(h) })
+		schedule(randomDelay(), func() { s.startHost(h) })
 	}
-	if w.random.IntN(3) == 0 {
-		at(in(), func() { w.tally, w.leadAt = nil, w.now })
+	if s.random.IntN(3) == 0 {
+		schedule(randomDelay(), func() { s.tally, s.leaderChangedAt = nil, s.now })
 	}
-	at(6*time.Second+in(), func() {
-		w.cut[dc] = false
-		clear(w.alone)
+	schedule(6*time.Second+randomDelay(), func() {
+		s.partitioned[dc] = false
+		clear(s.isolated)
 	})
 }
 
-// replaceHost ends a host for good and declares another in its place.
-func (w *world) replaceHost(c *declare.Change) {
-	at := w.random.IntN(len(w.hosts))
-	old := w.hosts[at]
+// replaceHost stops a host permanently and adds the declaration of its replacement to c.
+func (s *simulation) replaceHost(c *declare.Change) {
+	index := s.random.IntN(len(s.hosts))
+	old := s.hosts[index]
 	old.up = false
-	gone := hostObject(old.name, old.dc)
-	gone.State = declare.HostGone
-	name := fmt.Sprintf("%s-%d", old.dc, w.count)
-	c.Puts = append(c.Puts, declare.Envelope{Object: gone}, declare.Envelope{Object: hostObject(name, old.dc)})
+	goneHost := newHost(old.name, old.dc)
+	goneHost.State = declare.HostGone
+	name := fmt.Sprintf("%s-%d", old.dc, s.changeCount)
+	c.Puts = append(c.Puts, declare.Envelope{Object: goneHost}, declare.Envelope{Object: newHost(name, old.dc)})
 	h := &host{name: name, dc: old.dc, rate: old.rate}
-	w.hosts[at] = h
-	w.start(h)
+	s.hosts[index] = h
+	s.startHost(h)
 }
 
-func (w *world) decide() {
-	view := w.state.View()
-	if w.tally == nil || view.Pending == nil {
+func (s *simulation) decidePending() {
+	view := s.state.View()
+	if s.tally == nil || view.Pending == nil {
 		return
 	}
-	d := w.tally.Decide(w.leaderClock(), view)
-	if !d.Decided {
+	decision := s.tally.Decide(s.leaderClock(), view)
+	if !decision.Decided {
 		return
 	}
-	out := w.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: d.Accept, Cut: d.Cut}})
-	w.decided[out.Status]++
-	if out.Status == control.StatusAccepted {
+	outcome := s.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Cut}})
+	s.decisions[outcome.Status]++
+	if outcome.Status == control.StatusAccepted {
 		for _, dc := range view.Pending.Matters {
-			w.floor[dc] = view.Seq // every host must have acknowledged this
+			s.minSeq[dc] = view.Seq // no host may serve under an older view from now on
 		}
 	}
 }
 
-func (w *world) faults() {
-	h := w.hosts[w.random.IntN(len(w.hosts))]
-	switch r := w.random.Float64(); {
+func (s *simulation) injectRandomFault() {
+	h := s.hosts[s.random.IntN(len(s.hosts))]
+	switch r := s.random.Float64(); {
 	case r < 0.2:
-		w.start(h) // a restart in no time
+		s.startHost(h) // an immediate restart
 	case r < 0.24:
 		h.up = false
 	case r < 0.4:
 		if !h.up {
-			w.start(h)
+			s.startHost(h)
 		}
 	case r < 0.5:
-		w.cut[h.dc] = true
+		s.partitioned[h.dc] = true
 	case r < 0.75:
-		w.cut[h.dc] = false
+		s.partitioned[h.dc] = false
 	case r < 0.78:
-		w.tally, w.leadAt = nil, w.now // the leader is lost; what it sent is still on its way
+		s.tally, s.leaderChangedAt = nil, s.now // the leader is lost; its messages are still in flight
 	}
-	if w.tally == nil && w.now-w.leadAt > 2*time.Second {
-		w.elect()
+	if s.tally == nil && s.now-s.leaderChangedAt > 2*time.Second {
+		s.electLeader()
 	}
 }
 
-const stepTime = 10 * time.Millisecond
+const stepDuration = 10 * time.Millisecond
 
-func (w *world) step(i int) {
-	w.now += stepTime
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		heap.Pop(&w.queue).(event).do()
+func (s *simulation) step(i int) {
+	s.now += stepDuration
+	for len(s.queue) > 0 && s.queue[0].at <= s.now {
+		heap.Pop(&s.queue).(event).run()
 	}
-	for k, h := range w.hosts {
+	for k, h := range s.hosts {
 		if h.up && (i+k*13)%40 == 0 {
-			w.report(h)
-			if h.holder.Until().Sub(h.clock(w.now)) < leaseTime*2/3 {
-				w.ask(h)
+			s.sendReport(h)
+			if h.holder.Until().Sub(h.clock(s.now)) < leaseDuration*2/3 {
+				s.requestPeerGrants(h)
 			}
 		}
 	}
-	if i%30 == 0 && w.random.Float64() < 0.4 {
-		w.change()
+	if i%30 == 0 && s.random.Float64() < 0.4 {
+		s.proposeChange()
 	}
 	if i%70 == 0 {
-		w.faults()
+		s.injectRandomFault()
 	}
-	w.decide()
+	s.decidePending()
 }
 
-// TestNoHostServesUnderAnOlderConfiguration runs random histories with lost and
-// late messages, cuts, restarts, replaced hosts, lost leaders and clocks of
-// different rates, and checks the promise at each step.
+// TestNoHostServesUnderAnOlderConfiguration runs random histories with lost and delayed
+// messages, partitions, restarts, replaced hosts, lost leaders and clocks of different rates.
+// It checks at each step that no host serves under a view that is older than an accepted
+// change of its data centre.
 func TestNoHostServesUnderAnOlderConfiguration(t *testing.T) {
-	n := uint64(60)
+	seeds := uint64(60)
 	if text := os.Getenv("LINENSCALE_SEEDS"); text != "" {
 		parsed, err := strconv.ParseUint(text, 10, 32)
 		must.NoError(t, err)
-		n = parsed
+		seeds = parsed
 	}
 	var mu sync.Mutex
-	served, peers, decided := 0, 0, map[control.Status]int{}
+	servingChecks, peerRenewals, decisions := 0, 0, map[control.Status]int{}
 	t.Run("seeds", func(t *testing.T) {
-		for seed := range n {
+		for seed := range seeds {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed)
-				looks := w.run(seed)
+				s := newSimulation(t, seed)
+				checks := s.run(seed)
 				mu.Lock()
 				defer mu.Unlock()
-				served += looks
-				peers += w.peers
-				for status, k := range w.decided {
-					decided[status] += k
+				servingChecks += checks
+				peerRenewals += s.peerRenewals
+				for status, k := range s.decisions {
+					decisions[status] += k
 				}
 			})
 		}
 	})
-	t.Logf("%d looks at a serving host, %d renewals by peers, decided: %v", served, peers, decided)
-	must.Greater(t, 5*n, uint64(decided[control.StatusAccepted]))
-	must.Greater(t, n, uint64(decided[control.StatusRefused]))
-	must.Greater(t, n, uint64(peers))
+	t.Logf("%d checks of a serving host, %d renewals by peers, decisions: %v", servingChecks, peerRenewals, decisions)
+	must.Greater(t, 5*seeds, uint64(decisions[control.StatusAccepted]))
+	must.Greater(t, seeds, uint64(decisions[control.StatusRefused]))
+	must.Greater(t, seeds, uint64(peerRenewals))
 }
 
-// run lets two minutes pass and gives how often a serving host was looked at.
-func (w *world) run(seed uint64) int {
-	served := 0
+// run simulates two minutes and returns how often it checked a serving host.
+func (s *simulation) run(seed uint64) int {
+	servingChecks := 0
 	for i := range 12_000 {
-		w.step(i)
-		for _, h := range w.hosts {
-			if !h.up || !h.holder.Serving(h.clock(w.now)) {
+		s.step(i)
+		for _, h := range s.hosts {
+			if !h.up || !h.holder.Serving(h.clock(s.now)) {
 				continue
 			}
-			served++
-			if h.holder.View().Seq < w.floor[h.dc] {
-				w.t.Fatalf("seed %d at %v: host %s serves under view %d, but an accepted change demands %d", seed, w.now, h.name, h.holder.View().Seq, w.floor[h.dc])
+			servingChecks++
+			if h.holder.View().Seq < s.minSeq[h.dc] {
+				s.t.Fatalf("seed %d at %v: host %s serves under view %d, but an accepted change requires %d", seed, s.now, h.name, h.holder.View().Seq, s.minSeq[h.dc])
 			}
 		}
 	}
-	return served
+	return servingChecks
 }
 
-func view(t *testing.T, seq uint64) control.View {
+func newView(t *testing.T, seq uint64) control.View {
 	t.Helper()
 	change := declare.Change{ID: "c", Puts: []declare.Envelope{
 		{Object: declare.Region{Name: "r"}},
 		{Object: declare.DataCentre{Name: "d", Region: "r"}},
-		{Object: hostObject("a", "d")},
-		{Object: hostObject("b", "d")},
-		{Object: hostObject("c", "d")},
+		{Object: newHost("a", "d")},
+		{Object: newHost("b", "d")},
+		{Object: newHost("c", "d")},
 	}}
 	config, err := declare.Config{}.With(change)
 	must.NoError(t, err)
 	return control.View{Seq: seq, Config: config}
 }
 
-func TestRestartedHostRenewsNobody(t *testing.T) {
+// TestRestartedHostDoesNotRenewPeers guards against grants by a host that has lost, by a
+// restart, which views it acknowledged.
+func TestRestartedHostDoesNotRenewPeers(t *testing.T) {
 	now := time.Now()
-	a := lease.New("a", "d", "a/2", leaseTime)
-	a.SetView(view(t, 4))
+	a := lease.New("a", "d", "a/2", leaseDuration)
+	a.SetView(newView(t, 4))
 	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 4}).Granted)
-	must.False(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own word must not count"))
+	must.False(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own grant must not count"))
 	must.True(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true}, {Host: "b", Granted: true}}), must.Sprint("a majority of others may renew it"))
-	must.True(t, a.Serving(now.Add(leaseTime-1)))
-	must.False(t, a.Serving(now.Add(leaseTime)))
+	must.True(t, a.Serving(now.Add(leaseDuration-1)))
+	must.False(t, a.Serving(now.Add(leaseDuration)))
 	a.RenewedByLeader(now, 4)
 	must.True(t, a.Answer(now, lease.Ask{Host: "c", Seq: 4}).Granted, must.Sprint("a leader has established it"))
 	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 3}).Granted, must.Sprint("never under an older view"))
 }
 
-func TestSuspendedMachineLosesItsLease(t *testing.T) {
+// TestSuspendedHostLosesLease guards against a lease that outlives a suspension: the monotonic
+// clock stands still, so only the wall clock shows that the lease has expired.
+func TestSuspendedHostLosesLease(t *testing.T) {
 	now := time.Now()
-	a := lease.New("a", "d", "a/1", leaseTime)
-	a.SetView(view(t, 1))
+	a := lease.New("a", "d", "a/1", leaseDuration)
+	a.SetView(newView(t, 1))
 	a.RenewedByLeader(now, 1)
-	wallOnly := now.Round(0).Add(leaseTime) // the monotonic clock stood still
-	must.False(t, a.Serving(wallOnly))
-	must.True(t, a.Serving(now.Add(leaseTime/2)))
+	afterSuspension := now.Round(0).Add(leaseDuration) // the monotonic clock stood still
+	must.False(t, a.Serving(afterSuspension))
+	must.True(t, a.Serving(now.Add(leaseDuration/2)))
 }
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -1,4 +1,4 @@
-// This file defines what others may ask of a replica, from any goroutine.
+// This file defines the methods of a replica that any goroutine may call.
 
 package replica
 
@@ -11,26 +11,26 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// Status gives the state of the replica as of its last turn.
+// Status returns the state of the replica at the end of its last loop iteration.
 func (r *Replica) Status() raft.Status { return *r.status.Load() }
 
-// Deliver takes a message; it is dropped where the ring is full, as a network
-// may do.
+// Deliver queues a message from another replica. It drops the message if the queue is full;
+// the algorithm tolerates lost messages.
 func (r *Replica) Deliver(e raft.Envelope) {
 	select {
-	case r.ring <- arrived{e}:
+	case r.inputs <- receivedMessage{e}:
 	default:
 	}
 }
 
-// Propose proposes a command and waits until it has been applied here. Of the
-// errors, ErrNotLeader, ErrBusy and ErrReplaced say that it was not and will
-// not be applied; after any other it may be.
+// Propose proposes a command, waits until this replica has applied it, and returns the state
+// machine's result. After ErrNotLeader, ErrBusy and ErrReplaced the command was not and will
+// not be applied; after any other error its outcome is unknown.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
-	return r.submit(ctx, proposal{data: data, done: make(chan outcome, 1)})
+	return r.submit(ctx, proposal{data: data, done: make(chan proposalResult, 1)})
 }
 
-// ProposeJSON is Propose for a command that is written as JSON.
+// ProposeJSON encodes a command as JSON and proposes it as Propose does.
 func (r *Replica) ProposeJSON(ctx context.Context, command any) (any, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -39,73 +39,75 @@
 	return r.Propose(ctx, data)
 }
 
-// ProposeMembers proposes a change of members and waits until it is committed.
+// ProposeMembers proposes a membership change and waits until it is committed. It returns
+// raft.ErrMembershipPending if the change can't be made now.
 func (r *Replica) ProposeMembers(ctx context.Context, members raft.Membership) error {
-	_, err := r.submit(ctx, proposal{members: &members, done: make(chan outcome, 1)})
+	_, err := r.submit(ctx, proposal{members: &members, done: make(chan proposalResult, 1)})
 	return err
 }
 
 func (r *Replica) submit(ctx context.Context, p proposal) (any, error) {
 	select {
-	case r.ring <- p:
-	case <-r.ended:
+	case r.inputs <- p:
+	case <-r.stopped:
 		return nil, ErrStopped
 	default:
 		return nil, ErrBusy
 	}
 	select {
-	case out := <-p.done:
-		return out.result, out.err
+	case result := <-p.done:
+		return result.value, result.err
 	case <-ctx.Done():
 		return nil, errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return nil, ErrStopped
 	}
 }
 
-// Read waits until the state machine holds everything that was committed when
-// Read was called.
+// Read waits until the state machine has applied everything that was committed at the time of
+// the call. What the caller then reads from the state machine is linearizable.
 func (r *Replica) Read(ctx context.Context) error {
-	ask := readAsk{make(chan error, 1)}
+	request := readRequest{make(chan error, 1)}
 	select {
-	case r.ring <- ask:
-	case <-r.ended:
+	case r.inputs <- request:
+	case <-r.stopped:
 		return ErrStopped
 	default:
 		return ErrBusy
 	}
 	select {
-	case err := <-ask.done:
+	case err := <-request.done:
 		return err
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 }
 
-// Transfer asks another voter to lead, before a planned stop.
+// Transfer hands the leadership to another voter, before a planned stop. It has no effect if
+// the queue is full, this replica is not the leader, or the voter's log is not up to date.
 func (r *Replica) Transfer(to raft.ID) {
 	select {
-	case r.ring <- transfer{to}:
+	case r.inputs <- transferRequest{to}:
 	default:
 	}
 }
 
-// Inspect runs do in the replica's goroutine, where the machine may be read.
-func (r *Replica) Inspect(ctx context.Context, do func()) error {
-	in := inspect{do, make(chan struct{})}
+// Inspect runs fn in the replica's goroutine, where it may read the state machine.
+func (r *Replica) Inspect(ctx context.Context, fn func()) error {
+	request := inspectRequest{fn, make(chan struct{})}
 	select {
-	case r.ring <- in:
+	case r.inputs <- request:
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 	select {
-	case <-in.done:
+	case <-request.done:
 		return nil
-	case <-r.ended:
+	case <-r.stopped:
 		return ErrStopped
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica runs one replica of a replicated log: a raft.Node, its
-// durable log and a state machine, in one goroutine that everything else
-// reaches through a bounded ring.
+// Package replica runs one replica of a replicated log: a raft.Node, its durable log and a
+// state machine. They belong to one goroutine; other goroutines reach it through a bounded
+// queue.
 //
-// The order of the duties in each turn is what makes it safe: first what must
-// be durable is saved and synced, then messages are sent, then committed
-// entries are applied, then those who wait are told.
+// Safety depends on the order of the steps in each iteration: save and sync what must be
+// durable, send the messages, apply the committed entries, and then complete the calls that
+// wait for them.
 package replica
 
 import (
@@ -23,30 +23,31 @@
 	"github.com/linenscale/linenscale/wal"
 )
 
-// Machine is a deterministic state machine. It is only called from the
-// replica's goroutine.
+// Machine is a deterministic state machine. Only the replica's goroutine calls its methods.
 type Machine interface {
-	// Apply carries out a command and gives its result.
+	// Apply executes the command at index and returns its result.
 	Apply(index uint64, data []byte) any
+	// Snapshot serializes the whole state.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by one that Snapshot serialized.
 	Restore(data []byte) error
 }
 
-// Errors of proposals and reads.
+// Errors returned for proposals and reads.
 var (
-	// ErrNotLeader says that nothing was proposed: another replica leads.
-	ErrNotLeader = errors.New("this replica doesn't lead")
-	// ErrReplaced says that another entry took the proposal's place: it was
-	// not and will not be applied.
-	ErrReplaced = errors.New("the proposal was replaced by another leader's")
-	// ErrBusy says that nothing was proposed: the ring is full.
-	ErrBusy = errors.New("the replica has too much to do")
-	// ErrStopped says that the replica has ended; a proposal may be applied
-	// all the same.
+	// ErrNotLeader means that nothing was proposed, since this replica is not the leader.
+	ErrNotLeader = errors.New("this replica is not the leader")
+	// ErrReplaced means that an entry of another leader took the index of the proposal, which
+	// was not and will not be applied.
+	ErrReplaced = errors.New("the proposal was replaced by another leader's entry")
+	// ErrBusy means that nothing was proposed, since the queue is full.
+	ErrBusy = errors.New("the replica's queue is full")
+	// ErrStopped means that this replica can't report the outcome, since it has stopped or has
+	// installed a snapshot in place of the entry. A proposal may still be applied.
 	ErrStopped = errors.New("the replica has stopped")
 )
 
-// Options shapes a replica.
+// Options configures a replica.
 type Options struct {
 	ID        raft.ID
 	Election  time.Duration
@@ -55,85 +56,89 @@
 	Folder    disk.Folder
 	Machine   Machine
 	Send      func(raft.Envelope) // must not block
-	// Clock must go on while the machine is suspended: the leader's lease rests on it, and
-	// with it all leases that the leader renews.
+	// Clock must advance while the host is suspended: the leader's lease depends on it, and so
+	// do all leases that the leader renews.
 	Clock func() time.Time
-	// SnapshotEvery is after how many entries a snapshot is made.
+	// SnapshotEvery is the number of applied entries between two snapshots.
 	SnapshotEvery uint64
 	Log           *zap.Logger
-	Seed          uint64
+	Seed          uint64 // of the random election timeouts
 }
 
-// ringSize bounds the inputs that wait.
-const ringSize = 4096
+// maxQueuedInputs is the capacity of the input queue.
+const maxQueuedInputs = 4096
 
-// tickEvery is how often the node is told the time.
-const tickEvery = 25 * time.Millisecond
+// tickInterval is the time between two calls of raft.Node.Tick.
+const tickInterval = 25 * time.Millisecond
 
-// Replica is one replica. Open makes one; Run runs it.
+// Replica is one replica of the log. Open creates it and Run runs it.
 type Replica struct {
-	opts   Options
-	node   *raft.Node
-	log    *wal.Log
-	ring   chan input
-	ended  chan struct{}
-	status atomic.Pointer[raft.Status]
-	marker *marker
+	opts        Options
+	node        *raft.Node
+	log         *wal.Log
+	inputs      chan input
+	stopped     chan struct{}
+	status      atomic.Pointer[raft.Status]
+	commitSaver *commitIndexSaver
 
-	waiting map[uint64]waiter
-	reads   map[uint64]*read
-	nextID  uint64
+	pendingProposals map[uint64]pendingProposal
+	pendingReads     map[uint64]*pendingRead
+	lastReadID       uint64
 }
 
-// input is the sealed set of what reaches the goroutine through the ring.
+// input is the sealed set of values that the queue carries to the replica's goroutine.
 type input interface{ input() }
 
 type (
-	arrived  struct{ envelope raft.Envelope }
-	proposal struct {
+	receivedMessage struct{ envelope raft.Envelope }
+	proposal        struct {
 		data    []byte
 		members *raft.Membership
-		done    chan outcome
+		done    chan proposalResult
 	}
-	readAsk  struct{ done chan error }
-	transfer struct{ to raft.ID }
-	inspect  struct {
-		do   func()
+	readRequest     struct{ done chan error }
+	transferRequest struct{ to raft.ID }
+	inspectRequest  struct {
+		fn   func()
 		done chan struct{}
 	}
 )
 
-func (arrived) input()  {}
-func (proposal) input() {}
-func (readAsk) input()  {}
-func (transfer) input() {}
-func (inspect) input()  {}
+func (receivedMessage) input() {}
+func (proposal) input()        {}
+func (readRequest) input()     {}
+func (transferRequest) input() {}
+func (inspectRequest) input()  {}
 
-type outcome struct {
-	result any
-	err    error
+type proposalResult struct {
+	value any
+	err   error
 }
 
-type waiter struct {
+// pendingProposal is a call that waits until the entry of its index, the key in
+// Replica.pendingProposals, is applied. If that entry has another term, it replaced the
+// proposal.
+type pendingProposal struct {
 	term uint64
-	done chan outcome
+	done chan proposalResult
 }
 
-type read struct {
-	index uint64
-	ready bool
-	done  chan error
+// pendingRead is a call of Read. Once confirmed, it waits until index has been applied.
+type pendingRead struct {
+	index     uint64
+	confirmed bool
+	done      chan error
 }
 
-// Form writes the first state of a voter of a new log. The folder must be
-// empty.
+// Form initializes the folder of a voter of a new log. It returns an error if the folder
+// already contains a log.
 func Form(folder disk.Folder, voters []raft.ID) error {
 	log, state, err := wal.Open(folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if state.Hard.Term > 0 || len(state.Snapshot.Members.Voters) > 0 {
-		return errors.New("the folder holds a log already")
+		return errors.New("the folder already contains a log")
 	}
 	if err := log.Replace(raft.State{Snapshot: raft.Snapshot{Members: raft.Membership{Voters: voters}}}); err != nil {
 		return errors.Trace(err)
@@ -141,7 +146,7 @@
 	return errors.Trace(log.Close())
 }
 
-// Open reads the folder and makes the replica.
+// Open reads the folder and returns a replica in the state that it contains.
 func Open(opts Options) (*Replica, error) {
 	log, state, err := wal.Open(opts.Folder)
 	if err != nil {
@@ -149,33 +154,34 @@
 	}
 	if len(state.Snapshot.Data) > 0 {
 		if err := opts.Machine.Restore(state.Snapshot.Data); err != nil {
-			return nil, errors.Annotate(err, "restore the snapshot")
+			return nil, errors.Annotate(err, "restore the state machine from the stored snapshot")
 		}
 	}
 	r := &Replica{
 		opts: opts, log: log,
-		ring: make(chan input, ringSize), ended: make(chan struct{}),
-		waiting: make(map[uint64]waiter), reads: make(map[uint64]*read),
+		inputs: make(chan input, maxQueuedInputs), stopped: make(chan struct{}),
+		pendingProposals: make(map[uint64]pendingProposal), pendingReads: make(map[uint64]*pendingRead),
 	}
-	r.marker, state.Commit = openMarker(opts.Folder, opts.Log)
+	r.commitSaver, state.Commit = openCommitIndexSaver(opts.Folder, opts.Log)
 	r.node = raft.New(raft.Options{
 		ID: opts.ID, Election: opts.Election, Heartbeat: opts.Heartbeat, NoLease: opts.NoLease,
 		Random: rand.New(rand.NewPCG(opts.Seed, uint64(len(opts.ID)))),
 	}, state, opts.Clock())
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
-// Run runs the replica until ctx ends, or its disk fails.
+// Run runs the replica until ctx is cancelled, and returns an error if it fails. Failed
+// writes are retried. Run may be called once.
 func (r *Replica) Run(ctx context.Context) error {
-	defer close(r.ended)
+	defer close(r.stopped)
 	defer r.log.Close()
 	group := pool.New()
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	group.Go(func() { r.marker.run(ctx) })
-	ticker := time.NewTicker(tickEvery)
+	group.Go(func() { r.commitSaver.run(ctx) })
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -183,42 +189,43 @@
 			return nil
 		case <-ticker.C:
 			r.node.Tick(r.opts.Clock())
-		case in := <-r.ring:
-			r.take(in)
-			r.takeMore()
+		case in := <-r.inputs:
+			r.handle(in)
+			r.handleQueued()
 		}
-		if err := r.work(ctx); err != nil {
+		if err := r.processReady(ctx); err != nil {
 			return errors.Annotate(err, "replica")
 		}
 	}
 }
 
-// takeMore takes what else waits, so that one sync serves many inputs.
-func (r *Replica) takeMore() {
-	for range ringSize {
+// handleQueued handles all queued inputs, so that one sync makes the effects of many inputs
+// durable.
+func (r *Replica) handleQueued() {
+	for range maxQueuedInputs {
 		select {
-		case in := <-r.ring:
-			r.take(in)
+		case in := <-r.inputs:
+			r.handle(in)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Replica) take(in input) {
+func (r *Replica) handle(in input) {
 	switch in := in.(type) {
-	case arrived:
+	case receivedMessage:
 		r.node.Step(r.opts.Clock(), in.envelope)
 	case proposal:
 		r.propose(in)
-	case readAsk:
-		r.nextID++
-		r.reads[r.nextID] = &read{done: in.done}
-		r.node.Read(r.opts.Clock(), r.nextID)
-	case transfer:
+	case readRequest:
+		r.lastReadID++
+		r.pendingReads[r.lastReadID] = &pendingRead{done: in.done}
+		r.node.Read(r.opts.Clock(), r.lastReadID)
+	case transferRequest:
 		r.node.Transfer(r.opts.Clock(), in.to)
-	case inspect:
-		in.do()
+	case inspectRequest:
+		in.fn()
 		close(in.done)
 	}
 }
@@ -235,24 +242,24 @@
 		err = ErrNotLeader
 	}
 	if err != nil {
-		p.done <- outcome{err: err}
+		p.done <- proposalResult{err: err}
 		return
 	}
-	if old, ok := r.waiting[index]; ok {
-		old.done <- outcome{err: ErrReplaced}
+	if replaced, ok := r.pendingProposals[index]; ok {
+		replaced.done <- proposalResult{err: ErrReplaced}
 	}
-	r.waiting[index] = waiter{term, p.done}
+	r.pendingProposals[index] = pendingProposal{term, p.done}
 }
 
-// work does what the node asks, until there is nothing left.
-func (r *Replica) work(ctx context.Context) error {
+// processReady does the work that the node returns, until none is left.
+func (r *Replica) processReady(ctx context.Context) error {
 	for {
 		ready := r.node.Ready()
 		if ready.Empty() {
-			r.publish()
+			r.publishStatus()
 			return nil
 		}
-		if err := r.persistPatiently(ctx, ready); err != nil {
+		if err := r.persistWithRetry(ctx, ready); err != nil {
 			return err
 		}
 		for _, e := range ready.Messages {
@@ -260,27 +267,26 @@
 		}
 		r.apply(ready.Committed)
 		r.node.Done(ready)
-		r.finishReads(ready.Reads)
-		if err := r.maybeSnapshot(); err != nil {
+		r.completeReads(ready.Reads)
+		if err := r.snapshotIfDue(); err != nil {
 			return err
 		}
-		r.marker.note(r.node.Status().Commit)
+		r.commitSaver.save(r.node.Status().Commit)
 	}
 }
 
-// diskPause is the wait before a write is tried again that the disk refused.
-const diskPause = 100 * time.Millisecond
+// diskRetryInterval is the wait before a failed write is retried.
+const diskRetryInterval = 100 * time.Millisecond
 
-// persistPatiently tries until the disk takes what must be durable. Meanwhile
-// this replica sends nothing, so that the others take it for gone and find
-// another leader.
-func (r *Replica) persistPatiently(ctx context.Context, ready raft.Ready) error {
+// persistWithRetry retries until the disk accepts what must be durable. Meanwhile the
+// replica sends nothing, so that the others elect another leader.
+func (r *Replica) persistWithRetry(ctx context.Context, ready raft.Ready) error {
 	failures := 0
 	for {
 		err := r.persist(ready)
 		if err == nil {
 			if failures > 0 {
-				r.opts.Log.Info("disk takes writes again", zap.Int("failures", failures))
+				r.opts.Log.Info("disk accepts writes again", zap.Int("failures", failures))
 			}
 			return nil
 		}
@@ -290,7 +296,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Trace(err)
-		case <-time.After(diskPause):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
@@ -301,19 +307,20 @@
 			return errors.Trace(err)
 		}
 		if err := r.opts.Machine.Restore(ready.Install.Data); err != nil {
-			return errors.Annotate(err, "restore a snapshot from the leader")
+			return errors.Annotate(err, "restore the state machine from the leader's snapshot")
 		}
-		r.failAllWaiting()
+		r.failPendingProposals()
 		return nil
 	}
 	return r.log.Save(ready.Hard, ready.Entries)
 }
 
-// failAllWaiting tells those who wait that their outcome can't be seen here.
-func (r *Replica) failAllWaiting() {
-	for index, w := range r.waiting {
-		w.done <- outcome{err: ErrStopped}
-		delete(r.waiting, index)
+// failPendingProposals fails all pending proposals: a snapshot has replaced their entries, so
+// that this replica can't determine their outcome.
+func (r *Replica) failPendingProposals() {
+	for index, p := range r.pendingProposals {
+		p.done <- proposalResult{err: ErrStopped}
+		delete(r.pendingProposals, index)
 	}
 }
 
@@ -323,50 +330,50 @@
 		if e.Kind == raft.EntryCommand {
 			result = r.opts.Machine.Apply(e.Index, e.Data)
 		}
-		w, ok := r.waiting[e.Index]
+		p, ok := r.pendingProposals[e.Index]
 		if !ok {
 			continue
 		}
-		delete(r.waiting, e.Index)
-		if w.term != e.Term {
-			w.done <- outcome{err: ErrReplaced}
+		delete(r.pendingProposals, e.Index)
+		if p.term != e.Term {
+			p.done <- proposalResult{err: ErrReplaced}
 			continue
 		}
-		w.done <- outcome{result: result}
+		p.done <- proposalResult{value: result}
 	}
 }
 
-// finishReads tells those reads whose index has been applied.
-func (r *Replica) finishReads(ready []raft.Read) {
+// completeReads completes the reads that are confirmed and whose index has been applied, and
+// the reads that have failed.
+func (r *Replica) completeReads(ready []raft.Read) {
 	for _, confirmed := range ready {
-		rd := r.reads[confirmed.ID]
-		if rd == nil {
+		read := r.pendingReads[confirmed.ID]
+		if read == nil {
 			continue
 		}
 		if !confirmed.OK {
-			rd.done <- ErrNotLeader
-			delete(r.reads, confirmed.ID)
+			read.done <- ErrNotLeader
+			delete(r.pendingReads, confirmed.ID)
 			continue
 		}
-		rd.index, rd.ready = confirmed.Index, true
+		read.index, read.confirmed = confirmed.Index, true
 	}
 	applied := r.node.Status().Applied
-	for id, rd := range r.reads {
-		if rd.ready && rd.index <= applied {
-			rd.done <- nil
-			delete(r.reads, id)
+	for id, read := range r.pendingReads {
+		if read.confirmed && read.index <= applied {
+			read.done <- nil
+			delete(r.pendingReads, id)
 		}
 	}
 }
 
-func (r *Replica) maybeSnapshot() error {
+func (r *Replica) snapshotIfDue() error {
 	status := r.node.Status()
 	if status.Applied < status.Snapshot+r.opts.SnapshotEvery {
 		return nil
 	}
-	// The snapshot must be of the state that the machine has now, so it
-	// stands at the applied index; followers that need earlier entries get
-	// the snapshot.
+	// The snapshot is of the state machine's current state, so its index is the applied
+	// index. Followers that need earlier entries receive the snapshot instead.
 	data, err := r.opts.Machine.Snapshot()
 	if err != nil {
 		return errors.Annotate(err, "snapshot")
@@ -377,18 +384,20 @@
 	}
 	r.opts.Log.Debug("snapshot", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(data)))
 	if err := r.log.Replace(raft.State{Hard: r.node.Hard(), Snapshot: snapshot, Entries: r.node.Entries()}); err != nil {
-		// The log stays as long as it was; the next snapshot is tried later.
-		r.opts.Log.Warn("snapshot not written", telemetry.Cause(err))
+		// The durable log keeps all its entries. The next snapshot is due after another
+		// SnapshotEvery entries.
+		r.opts.Log.Warn("snapshot not written, keeping the longer log", telemetry.Cause(err))
 	}
 	return nil
 }
 
-// publish lets Status see the newest state, and logs changes of role.
-func (r *Replica) publish() {
+// publishStatus makes the current state available to Status and logs a change of the role or
+// of the leader.
+func (r *Replica) publishStatus() {
 	status := r.node.Status()
-	old := r.status.Load()
-	if old != nil && (old.Role != status.Role || old.Leader != status.Leader) {
-		r.opts.Log.Info("control role", zap.String("replica", string(status.ID)), zap.String("role", status.Role.String()), zap.Uint64("term", status.Term), zap.String("leader", string(status.Leader)))
+	previous := r.status.Load()
+	if previous != nil && (previous.Role != status.Role || previous.Leader != status.Leader) {
+		r.opts.Log.Info("replica role or leader changed", zap.String("replica", string(status.ID)), zap.String("role", status.Role.String()), zap.Uint64("term", status.Term), zap.String("leader", string(status.Leader)))
 	}
 	r.status.Store(&status)
 }
