--- a/agent/agent.go
+++ b/agent/agent.go
@@ -167,7 +167,7 @@
 	}
 	// The guard and the engines are in place before the acknowledgement.
 	a.guard = guard
-	a.Fleet.Apply(view.Config, heldEngines(view))
+	a.Fleet.ApplyConfig(view.Config, heldEngines(view))
 	a.holder.SetView(view)
 	if by == nil {
 		a.events = nil
@@ -236,7 +236,7 @@
 func (a *Agent) status() leader.HostStatus {
 	status := leader.HostStatus{
 		Host: a.Host.Name, DataCentre: a.Host.DataCentre, Region: a.Host.Region,
-		InFlight: int(a.InFlight()), Replica: a.Replica, Services: a.ownLoads(), Crashes: a.Fleet.TellCrashes(), Limits: a.Fleet.TellLimits(),
+		InFlight: int(a.InFlight()), Replica: a.Replica, Services: a.ownLoads(), Crashes: a.Fleet.OutgoingCrashReports(), Limits: a.Fleet.OutgoingLimitReports(),
 	}
 	status.KeyReplica, status.KeyLeader = a.KeyReplica()
 	a.mu.Lock()
--- a/agent/peers.go
+++ b/agent/peers.go
@@ -50,11 +50,11 @@
 	if status.Host == "" || status.Host == a.Host.Name {
 		return
 	}
-	for _, f := range a.Fleet.HearCrashes(status.Crashes, status.Age) {
+	for _, f := range a.Fleet.ReceiveCrashReports(status.Crashes, status.Age) {
 		a.Log.Warn("request kept from engines", zap.Stringer("fingerprint", f), zap.String("last_crash_seen_by", status.Host))
 	}
 	if status.Region == a.Host.Region {
-		a.Fleet.HearLimits(status.Limits, status.Age)
+		a.Fleet.ReceiveLimitReports(status.Limits, status.Age)
 	}
 	at := steady.Time().Add(-status.Age)
 	a.mu.Lock()
--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -33,9 +33,9 @@
 	return &request.NotRun{Reason: request.ReasonQuarantined, Message: rejection.Error() + "; fingerprint " + fp.String(), RetryAfter: rejection.RetryAfter}
 }
 
-// Refused records that an engine refuses connections, which means that its process has
+// ConnectionRefused records that an engine refuses connections, which means that its process has
 // ended. Requests whose connections to it broke just before are reported as the cause.
-func (f *Fleet) Refused(engine string) {
+func (f *Fleet) ConnectionRefused(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
@@ -44,16 +44,16 @@
 	}
 }
 
-// TellCrashes returns the crash reports to send to the other hosts.
-func (f *Fleet) TellCrashes() []quarantine.CrashReport {
+// OutgoingCrashReports returns the crash reports to send to the other hosts.
+func (f *Fleet) OutgoingCrashReports() []quarantine.CrashReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.Summary(f.clock())
 }
 
-// HearCrashes applies the crash reports of another host, which are age old. It returns
+// ReceiveCrashReports applies the crash reports of another host, which are age old. It returns
 // the fingerprints that are quarantined as a result.
-func (f *Fleet) HearCrashes(reports []quarantine.CrashReport, age time.Duration) []quarantine.Fingerprint {
+func (f *Fleet) ReceiveCrashReports(reports []quarantine.CrashReport, age time.Duration) []quarantine.Fingerprint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
--- a/fleet/crashes_test.go
+++ b/fleet/crashes_test.go
@@ -13,7 +13,7 @@
 )
 
 // crashingRequest returns a request that crashes engines.
-func (c *clock) crashingRequest() fleet.Ask {
+func (c *clock) crashingRequest() fleet.SlotRequest {
 	req := c.request()
 	req.Fingerprint = 77
 	return req
@@ -26,9 +26,9 @@
 	ticket, err := f.Acquire(context.Background(), c.crashingRequest())
 	must.NoError(t, err)
 	ticket.Done(fleet.Result{Outcome: fleet.Broken})
-	f.Refused(ticket.Engine)
+	f.ConnectionRefused(ticket.Engine)
 	c.now = c.now.Add(20 * time.Second)
-	f.Probe("s", ticket.Engine, c.now, true) // the engine has restarted
+	f.RecordProbe("s", ticket.Engine, c.now, true) // the engine has restarted
 }
 
 // rejectionReason returns the reason that f rejects the crashing request, or "" if it
@@ -52,8 +52,8 @@
 	b, bClock := newFleet(t, engine("e", 4))
 	exchange := func() {
 		bClock.now = aClock.now
-		a.HearCrashes(b.TellCrashes(), time.Second)
-		b.HearCrashes(a.TellCrashes(), time.Second)
+		a.ReceiveCrashReports(b.OutgoingCrashReports(), time.Second)
+		b.ReceiveCrashReports(a.OutgoingCrashReports(), time.Second)
 	}
 	crashEngine(t, a, aClock)
 	exchange()
@@ -76,8 +76,8 @@
 		must.NoError(t, err)
 		ticket.Done(fleet.Result{Outcome: fleet.Broken})
 		c.now = c.now.Add(time.Second)
-		f.Probe("s", "e", c.now, true)
-		f.Refused("e") // later, for an unrelated reason
+		f.RecordProbe("s", "e", c.now, true)
+		f.ConnectionRefused("e") // later, for an unrelated reason
 	}
 	must.Eq(t, "", rejectionReason(f, c))
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -63,11 +63,11 @@
 	}
 }
 
-// Apply replaces the declared engines by those of a configuration. An engine that is
+// ApplyConfig replaces the declared engines by those of a configuration. An engine that is
 // still declared keeps its counts. An engine that is no longer declared, or for which
 // isHeld reports that an undecided change affects it, gets no new requests. isHeld may be
 // nil.
-func (f *Fleet) Apply(config declare.Config, isHeld func(engine string) bool) {
+func (f *Fleet) ApplyConfig(config declare.Config, isHeld func(engine string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.setLimitSharers(config)
@@ -96,14 +96,14 @@
 	}
 }
 
-// Ask describes a request that needs a slot. Permitted, if not nil, reports whether the
+// SlotRequest describes a request that needs a slot. Permitted, if not nil, reports whether the
 // request may run at a place on an engine with these labels.
-type Ask struct {
-	Request   request.Request
-	Permitted func(place permit.Place, labels declare.Labels) bool
-	Prefill   time.Duration // estimated time to read the whole prompt without a cached prefix
-	Need      time.Duration // minimum time from getting a slot to the first byte of the answer
-	Tried     []string      // engines of earlier attempts
+type SlotRequest struct {
+	Request        request.Request
+	Permitted      func(place permit.Place, labels declare.Labels) bool
+	PrefillTime    time.Duration // estimated time to read the whole prompt without a cached prefix
+	MinServiceTime time.Duration // minimum time from getting a slot to the first byte of the answer
+	TriedEngines   []string      // engines of earlier attempts
 	// MaxWait is the longest time to wait in the queue; 0 means until the deadline.
 	MaxWait time.Duration
 	// Fingerprint is equal for all repeats of the request; 0 means unknown.
@@ -129,9 +129,9 @@
 
 // Acquire returns a ticket for the best engine. It waits in the queue if no permitted
 // engine has a free slot. The error is a *request.NotRun.
-func (f *Fleet) Acquire(ctx context.Context, req Ask) (*Ticket, error) {
-	served := make(chan Served, 1)
-	cancel := f.Submit(req, func(s Served) { served <- s })
+func (f *Fleet) Acquire(ctx context.Context, req SlotRequest) (*Ticket, error) {
+	served := make(chan SubmitResult, 1)
+	cancel := f.Submit(req, func(s SubmitResult) { served <- s })
 	select {
 	case s := <-served:
 		return s.Ticket, s.Err
@@ -145,8 +145,8 @@
 	return nil, &request.NotRun{Reason: request.ReasonCancelled, Message: "the caller went away, or its deadline passed, while the request waited"}
 }
 
-// Served is the result of Submit: either a ticket, or a *request.NotRun as the error.
-type Served struct {
+// SubmitResult is the result of Submit: either a ticket, or a *request.NotRun as the error.
+type SubmitResult struct {
 	Ticket *Ticket
 	Err    error
 }
@@ -155,28 +155,28 @@
 // returns and possibly with the fleet's lock held, so ready must not call the fleet.
 // cancel removes the request from the queue and reports whether it did so, in which case
 // ready is not called.
-func (f *Fleet) Submit(req Ask, ready func(Served)) (cancel func() bool) {
+func (f *Fleet) Submit(req SlotRequest, ready func(SubmitResult)) (cancel func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[req.Request.Service]
 	if !ok {
-		ready(Served{Err: &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine of the service is known here"}})
+		ready(SubmitResult{Err: &request.NotRun{Reason: request.ReasonNoEngine, Message: "no engine of the service is known here"}})
 		return func() bool { return false }
 	}
 	now := f.clock()
 	if err := f.checkQuarantine(req.Fingerprint, now); err != nil {
-		ready(Served{Err: err})
+		ready(SubmitResult{Err: err})
 		return func() bool { return false }
 	}
 	w := p.newWaiter(req, ready)
 	if p.queue.CountAhead(req.Request.Class.Priority()) == 0 {
 		if t := f.grant(p, w, now); t != nil {
-			ready(Served{Ticket: t})
+			ready(SubmitResult{Ticket: t})
 			return func() bool { return false }
 		}
 	}
 	if err := p.enqueue(w, now); err != nil {
-		ready(Served{Err: f.raiseRetryAfter(p, err, now)})
+		ready(SubmitResult{Err: f.raiseRetryAfter(p, err, now)})
 		return func() bool { return false }
 	}
 	f.serveQueue(p, now)
@@ -220,7 +220,7 @@
 		}
 		if t := f.grant(p, w, now); t != nil {
 			t.Waited = now.Sub(w.Arrived())
-			w.Payload.ready(Served{Ticket: t})
+			w.Payload.ready(SubmitResult{Ticket: t})
 			continue
 		}
 		p.blocked = append(p.blocked, w)
@@ -243,20 +243,20 @@
 	}
 }
 
-// Address identifies an engine and the address at which to probe it.
-type Address struct {
+// EngineAddress identifies an engine and the address at which to probe it.
+type EngineAddress struct {
 	Service, Engine, Address string
 }
 
-// Addresses returns the current engines of all pools, sorted by name.
-func (f *Fleet) Addresses() []Address {
+// EngineAddresses returns the current engines of all pools, sorted by name.
+func (f *Fleet) EngineAddresses() []EngineAddress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var addresses []Address
+	var addresses []EngineAddress
 	for name, p := range f.pools {
 		for i := range p.view.Engines {
 			if e := &p.view.Engines[i]; e.Name != "" {
-				addresses = append(addresses, Address{name, e.Name, e.Address})
+				addresses = append(addresses, EngineAddress{name, e.Name, e.Address})
 			}
 		}
 	}
@@ -287,7 +287,7 @@
 
 // Explain returns, for each engine of the service, its score for the request or the
 // reason that it is excluded.
-func (f *Fleet) Explain(req Ask) []route.EngineScore {
+func (f *Fleet) Explain(req SlotRequest) []route.EngineScore {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[req.Request.Service]
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -42,12 +42,12 @@
 	t.Helper()
 	c := &clock{time.Unix(1_700_000_000, 0)}
 	f := fleet.New("h", "r", c.read, route.PrefixBounded{}, 1)
-	f.Apply(config(t, engines...), nil)
+	f.ApplyConfig(config(t, engines...), nil)
 	return f, c
 }
 
-func (c *clock) request() fleet.Ask {
-	return fleet.Ask{Request: request.Request{Service: "s", Class: request.ClassStandard, Deadline: c.now.Add(time.Minute)}}
+func (c *clock) request() fleet.SlotRequest {
+	return fleet.SlotRequest{Request: request.Request{Service: "s", Class: request.ClassStandard, Deadline: c.now.Add(time.Minute)}}
 }
 
 func acquire(t *testing.T, f *fleet.Fleet, c *clock) *fleet.Ticket {
@@ -60,8 +60,8 @@
 func TestWaiterGetsReleasedSlot(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	first := acquire(t, f, c)
-	served := make(chan fleet.Served, 1)
-	f.Submit(c.request(), func(s fleet.Served) { served <- s })
+	served := make(chan fleet.SubmitResult, 1)
+	f.Submit(c.request(), func(s fleet.SubmitResult) { served <- s })
 	must.Eq(t, 0, len(served))
 	first.Done(fleet.Result{Outcome: fleet.Answered})
 	must.Eq(t, "e", (<-served).Ticket.Engine)
@@ -89,7 +89,7 @@
 		}
 	}
 	before := f.InFlight("a")
-	f.Apply(config(t, engine("a", 8).WithState(declare.EngineStopping), engine("b", 8)), nil)
+	f.ApplyConfig(config(t, engine("a", 8).WithState(declare.EngineStopping), engine("b", 8)), nil)
 	for range 4 {
 		must.Eq(t, "b", acquire(t, f, c).Engine)
 	}
@@ -100,7 +100,7 @@
 
 func TestEngineOfAnUndecidedChangeIsHeld(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8), engine("b", 8))
-	f.Apply(config(t, engine("a", 8), engine("b", 8)), func(name string) bool { return name == "a" })
+	f.ApplyConfig(config(t, engine("a", 8), engine("b", 8)), func(name string) bool { return name == "a" })
 	for range 4 {
 		must.Eq(t, "b", acquire(t, f, c).Engine)
 	}
@@ -108,7 +108,7 @@
 
 func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8))
-	f.SetLeaving(func(string) bool { return true })
+	f.SetDraining(func(string) bool { return true })
 	_, err := f.Acquire(context.Background(), c.request())
 	var refusal *request.NotRun
 	must.True(t, errors.As(err, &refusal))
@@ -120,8 +120,8 @@
 func TestReclaimDuringDrain(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8), engine("b", 8))
 	running := []*fleet.Ticket{acquire(t, f, c), acquire(t, f, c), acquire(t, f, c)}
-	f.Apply(config(t, engine("a", 8).WithState(declare.EngineStopping), engine("b", 8)), nil)
-	f.SetLeaving(func(string) bool { return true })
+	f.ApplyConfig(config(t, engine("a", 8).WithState(declare.EngineStopping), engine("b", 8)), nil)
+	f.SetDraining(func(string) bool { return true })
 	_, err := f.Acquire(context.Background(), c.request())
 	must.ErrorContains(t, err, "no engine here is healthy and permitted")
 	must.Eq(t, 3, f.InFlight("a")+f.InFlight("b"))
@@ -136,8 +136,8 @@
 	acquire(t, f, c)
 	req := c.request()
 	req.Request.Deadline = c.now.Add(3 * time.Second)
-	var got fleet.Served
-	f.Submit(req, func(s fleet.Served) { got = s })
+	var got fleet.SubmitResult
+	f.Submit(req, func(s fleet.SubmitResult) { got = s })
 	f.Tick()
 	must.Nil(t, got.Err)
 	c.now = c.now.Add(3*time.Second + 1)
@@ -148,7 +148,7 @@
 func TestTicketOfReplacedEngineStaysValid(t *testing.T) {
 	f, c := newFleet(t, engine("a", 8))
 	ticket := acquire(t, f, c)
-	f.Apply(config(t, engine("b", 8)), nil)
+	f.ApplyConfig(config(t, engine("b", 8)), nil)
 	must.Eq(t, "b", acquire(t, f, c).Engine)
 	must.Eq(t, 1, f.InFlight("a"))
 	ticket.Done(fleet.Result{Outcome: fleet.Answered})
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -30,15 +30,15 @@
 	f.limits.ApplySignal(engineKey(t.pool.service, t.Engine), signal, t.sentAt, f.clock())
 }
 
-// TellLimits returns the limit reports to send to the other hosts of this region.
-func (f *Fleet) TellLimits() []ratelimit.LimitReport {
+// OutgoingLimitReports returns the limit reports to send to the other hosts of this region.
+func (f *Fleet) OutgoingLimitReports() []ratelimit.LimitReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.limits.LatestReports(f.clock())
 }
 
-// HearLimits applies the limit reports of another host of this region, which are age old.
-func (f *Fleet) HearLimits(reports []ratelimit.LimitReport, age time.Duration) {
+// ReceiveLimitReports applies the limit reports of another host of this region, which are age old.
+func (f *Fleet) ReceiveLimitReports(reports []ratelimit.LimitReport, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.limits.Receive(ratelimit.AddAge(reports, age), f.clock())
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -36,7 +36,7 @@
 	var fleets []*fleet.Fleet
 	for i, name := range names {
 		f := fleet.New(name, "r", c.read, route.PrefixBounded{}, uint64(i))
-		f.Apply(config, nil)
+		f.ApplyConfig(config, nil)
 		fleets = append(fleets, f)
 	}
 	return fleets
@@ -64,7 +64,7 @@
 		ticket.Done(fleet.Result{Outcome: fleet.Answered})
 		if i%10 == 0 {
 			for _, to := range fleets {
-				to.HearLimits(f.TellLimits(), time.Second)
+				to.ReceiveLimitReports(f.OutgoingLimitReports(), time.Second)
 			}
 		}
 	}
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -25,8 +25,8 @@
 
 // Result describes how a ticket's request ended.
 type Result struct {
-	Outcome Outcome
-	First   time.Duration // time to the first byte of the answer, if Answered
+	Outcome         Outcome
+	TimeToFirstByte time.Duration // time to the first byte of the answer, if Answered
 }
 
 // serviceTimeSmoothing is the weight of the latest sample in the moving average of the
@@ -57,7 +57,7 @@
 	switch result.Outcome {
 	case Answered:
 		f.crashDetector.RecordAnswer(t.Engine, t.sentAt)
-		engineHealth.RecordOutcome(health.Succeeded, result.First)
+		engineHealth.RecordOutcome(health.Succeeded, result.TimeToFirstByte)
 		e.ServiceTime = smooth(e.ServiceTime, now.Sub(t.sentAt))
 	case Failed, Broken:
 		engineHealth.RecordOutcome(health.Failed, 0)
@@ -86,16 +86,16 @@
 // is exhausted.
 func (t *Ticket) Retry() bool { return t.pool.budget.TryRetry() }
 
-// Report is a load report of an engine: its running and waiting requests.
-type Report struct {
+// LoadReport is a load report of an engine: its running and waiting requests.
+type LoadReport struct {
 	Running int       `json:"running"`
 	Waiting int       `json:"waiting"`
 	At      time.Time `json:"at"` // time of the measurement
 }
 
-// SetReport applies a load report of an engine. A report older than the latest one is
+// ApplyLoadReport applies a load report of an engine. A report older than the latest one is
 // ignored.
-func (f *Fleet) SetReport(service, engine string, report Report) {
+func (f *Fleet) ApplyLoadReport(service, engine string, report LoadReport) {
 	f.withEngine(service, engine, func(p *pool, i int) {
 		e := &p.view.Engines[i]
 		if report.At.Before(e.ReportedAt) {
@@ -105,8 +105,8 @@
 	})
 }
 
-// Probe records whether a probe, sent at the given time, succeeded.
-func (f *Fleet) Probe(service, engine string, sent time.Time, ok bool) {
+// RecordProbe records whether a probe, sent at the given time, succeeded.
+func (f *Fleet) RecordProbe(service, engine string, sent time.Time, ok bool) {
 	f.withEngine(service, engine, func(p *pool, i int) {
 		if ok {
 			f.crashDetector.RecordAnswer(engine, sent)
@@ -116,14 +116,14 @@
 	})
 }
 
-// Evicted records that an engine evicted a prefix from its cache.
-func (f *Fleet) Evicted(service, engine string, prefix uint64) {
+// RecordEviction records that an engine evicted a prefix from its cache.
+func (f *Fleet) RecordEviction(service, engine string, prefix uint64) {
 	f.withEngine(service, engine, func(p *pool, i int) { p.view.Prefixes.Remove(prefix, i) })
 }
 
-// SetLeaving marks the engines whose addresses are draining according to the platform's
+// SetDraining marks the engines whose addresses are draining according to the platform's
 // list of instances. They get no new requests.
-func (f *Fleet) SetLeaving(draining func(address string) bool) {
+func (f *Fleet) SetDraining(draining func(address string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.pools {
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -25,7 +25,7 @@
 // waiterTag is the fleet's data in an entry of the queue.
 type waiterTag struct {
 	req         route.Request
-	ready       func(Served)
+	ready       func(SubmitResult)
 	fingerprint quarantine.Fingerprint
 }
 
@@ -122,21 +122,21 @@
 	}
 }
 
-func (p *pool) newWaiter(req Ask, ready func(Served)) *waiter {
+func (p *pool) newWaiter(req SlotRequest, ready func(SubmitResult)) *waiter {
 	r := req.Request
 	w := &waiter{
 		Account:     r.Account,
 		Priority:    r.Class.Priority(),
 		Cost:        float64(1 + len(r.PrefixChain)),
 		Deadline:    r.Deadline,
-		ServiceTime: req.Need,
+		ServiceTime: req.MinServiceTime,
 		MaxWait:     req.MaxWait,
 	}
 	w.Payload = waiterTag{ready: ready, fingerprint: req.Fingerprint, req: route.Request{
 		Model:       r.Model,
 		PrefixChain: r.PrefixChain,
-		PrefillTime: req.Prefill,
-		Tried:       p.indexes(req.Tried),
+		PrefillTime: req.PrefillTime,
+		Tried:       p.indexes(req.TriedEngines),
 	}}
 	if req.Permitted != nil {
 		w.Payload.req.Permitted = func(e *route.Engine) bool { return req.Permitted(e.Place, e.Labels) }
@@ -237,7 +237,7 @@
 }
 
 func (p *pool) rejectLate(w *waiter) {
-	w.Payload.ready(Served{Err: &request.NotRun{
+	w.Payload.ready(SubmitResult{Err: &request.NotRun{
 		Reason:     request.ReasonDeadline,
 		Message:    "no slot was free in time",
 		RetryAfter: time.Second,
@@ -251,7 +251,7 @@
 	for _, w := range p.blocked {
 		w.Cost = 0
 		if err := p.queue.Push(w, now, p.expectedStartRate(now)); err != nil {
-			w.Payload.ready(Served{Err: err})
+			w.Payload.ready(SubmitResult{Err: err})
 		}
 	}
 	p.blocked = p.blocked[:0]
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -117,9 +117,9 @@
 	f.pushback.RecordAccepted(engineKey(t.pool.service, t.Engine), t.sentAt)
 }
 
-// ProbedLeaving records whether the answer to a probe, sent at the given time, announces
+// RecordProbeDraining records whether the answer to a probe, sent at the given time, announces
 // that the engine is draining.
-func (f *Fleet) ProbedLeaving(service, engine string, draining bool, sent time.Time) {
+func (f *Fleet) RecordProbeDraining(service, engine string, draining bool, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recordDraining(engineKey(service, engine), draining, sent, f.clock())
--- a/fleet/pushback_test.go
+++ b/fleet/pushback_test.go
@@ -38,7 +38,7 @@
 	must.Eq(t, 0, f.Digests()[0].Digest.Slots, must.Sprint("no capacity for other regions"))
 	c.now = c.now.Add(2 * time.Second)
 	for i := range 20 { // one report without load is not trusted after the overload
-		f.SetReport("s", "e", fleet.Report{At: c.now.Add(time.Duration(i-20) * time.Millisecond)})
+		f.ApplyLoadReport("s", "e", fleet.LoadReport{At: c.now.Add(time.Duration(i-20) * time.Millisecond)})
 	}
 	f.Tick()
 	first := acquire(t, f, c)
@@ -53,11 +53,11 @@
 func TestWaiterIsRejectedWhenBackoffOutlastsItsDeadline(t *testing.T) {
 	f, c := newFleet(t, engine("e", 1))
 	ticket := acquire(t, f, c)
-	var shortDeadline, longDeadline fleet.Served
+	var shortDeadline, longDeadline fleet.SubmitResult
 	req := c.request()
 	req.Request.Deadline = c.now.Add(2 * time.Second)
-	f.Submit(req, func(s fleet.Served) { shortDeadline = s })
-	f.Submit(c.request(), func(s fleet.Served) { longDeadline = s })
+	f.Submit(req, func(s fleet.SubmitResult) { shortDeadline = s })
+	f.Submit(c.request(), func(s fleet.SubmitResult) { longDeadline = s })
 	ticket.ApplyPushback(pushback.Backoff{Duration: 5 * time.Second}, false)
 	ticket.Done(fleet.Result{Outcome: fleet.Shed})
 	f.Tick()
@@ -76,12 +76,12 @@
 	ticket := acquire(t, f, c)
 	ticket.ApplyPushback(pushback.NoSignal{}, true)
 	ticket.Done(fleet.Result{Outcome: fleet.Answered})
-	f.ProbedLeaving("s", "e", false, probed)
+	f.RecordProbeDraining("s", "e", false, probed)
 	mustReject(t, f, c)
 	must.Eq(t, route.ExcludedDraining.String(), f.Explain(c.request())[0].Exclusion)
 	c.now = c.now.Add(time.Second)
-	f.ProbedLeaving("s", "e", true, c.now)
+	f.RecordProbeDraining("s", "e", true, c.now)
 	mustReject(t, f, c)
-	f.ProbedLeaving("s", "e", false, c.now.Add(time.Millisecond))
+	f.RecordProbeDraining("s", "e", false, c.now.Add(time.Millisecond))
 	acquire(t, f, c)
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -163,12 +163,12 @@
 
 // attemptLocal sends the request to an engine of this region.
 func (s *Server) attemptLocal(x *exchange, p *payload, state *attemptState) (mayRetry bool, err error) {
-	ticket, err := s.Fleet.Acquire(x.r.Context(), fleet.Ask{
-		Request:   x.req,
-		Permitted: func(place permit.Place, labels declare.Labels) bool { return x.guard.Engine(x.req, place, labels) },
-		Prefill:   p.prefill,
-		Need:      minEngineTime,
-		Tried:     state.tried,
+	ticket, err := s.Fleet.Acquire(x.r.Context(), fleet.SlotRequest{
+		Request:        x.req,
+		Permitted:      func(place permit.Place, labels declare.Labels) bool { return x.guard.Engine(x.req, place, labels) },
+		PrefillTime:    p.prefill,
+		MinServiceTime: minEngineTime,
+		TriedEngines:   state.tried,
 
 		Fingerprint: p.fingerprint,
 	})
@@ -192,7 +192,7 @@
 	}
 	d := s.deliver(x, p, resp, "http://"+ticket.Address, sentAt, ticket.Waited)
 	if d.err == nil {
-		ticket.Done(fleet.Result{Outcome: fleet.Answered, First: d.timeToFirstByte})
+		ticket.Done(fleet.Result{Outcome: fleet.Answered, TimeToFirstByte: d.timeToFirstByte})
 		s.Metrics.Attempt(x.req.Service, "answered")
 		return false, nil
 	}
@@ -265,7 +265,7 @@
 	notRun := isFailure && failure.NotRun
 	outcome := fleet.Failed
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		s.Fleet.Refused(ticket.Engine)
+		s.Fleet.ConnectionRefused(ticket.Engine)
 	}
 	switch {
 	case x.r.Context().Err() != nil, isCallerError(err):
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -177,7 +177,7 @@
 	must.NoError(t, err)
 	host.guard = permit.Guard{Current: rules}
 	host.fleet = fleet.New("host-"+region, region, time.Now, route.PrefixBounded{}, 1)
-	host.fleet.Apply(host.config, nil)
+	host.fleet.ApplyConfig(host.config, nil)
 	metrics, err := telemetry.NewMetrics()
 	must.NoError(t, err)
 	limits := settings.DefaultLimits
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -151,7 +151,7 @@
 		}
 		for h := range hosts {
 			f := fleet.New(fmt.Sprintf("%s-%d", r.Name, h), r.Name, func() time.Time { return w.time.Now() }, opts.Policy, opts.Seed+uint64(i*100+h))
-			f.Apply(config, nil)
+			f.ApplyConfig(config, nil)
 			w.hosts[r.Name] = append(w.hosts[r.Name], f)
 		}
 	}
@@ -197,8 +197,8 @@
 	for _, e := range w.engines {
 		l := e.reported(w)
 		for _, f := range w.hosts[w.regionOf[e.name]] {
-			f.Probe(service, e.name, l.at, !e.down)
-			f.SetReport(service, e.name, fleet.Report{Running: l.running, Waiting: l.waiting, At: l.at})
+			f.RecordProbe(service, e.name, l.at, !e.down)
+			f.ApplyLoadReport(service, e.name, fleet.LoadReport{Running: l.running, Waiting: l.waiting, At: l.at})
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	}
 	w.at(w.opts.ReportLag, func() {
 		for _, f := range w.hosts[w.regionOf[e.name]] {
-			f.Evicted(service, e.name, block)
+			f.RecordEviction(service, e.name, block)
 		}
 	})
 }
@@ -287,9 +287,9 @@
 		class = request.ClassBatch
 	}
 	a.attempts++
-	ask := fleet.Ask{
-		Request: request.Request{Service: service, Class: class, Account: a.acct, PrefixChain: a.chain, Deadline: a.at.Add(w.opts.Deadline)},
-		Prefill: time.Duration(a.bytes) * prefillByte, Need: 20 * time.Millisecond, Tried: a.tried,
+	ask := fleet.SlotRequest{
+		Request:     request.Request{Service: service, Class: class, Account: a.acct, PrefixChain: a.chain, Deadline: a.at.Add(w.opts.Deadline)},
+		PrefillTime: time.Duration(a.bytes) * prefillByte, MinServiceTime: 20 * time.Millisecond, TriedEngines: a.tried,
 	}
 	if !a.long {
 		ask.MaxWait = 3 * w.opts.FirstToken
@@ -297,12 +297,12 @@
 	if w.opts.NoQueue {
 		ask.Request.Deadline = a.at.Add(time.Hour)
 	}
-	f.Submit(ask, func(s fleet.Served) {
+	f.Submit(ask, func(s fleet.SubmitResult) {
 		w.at(0, func() { w.served(f, a, s) })
 	})
 }
 
-func (w *world) served(f *fleet.Fleet, a *arrival, s fleet.Served) {
+func (w *world) served(f *fleet.Fleet, a *arrival, s fleet.SubmitResult) {
 	if s.Err != nil {
 		a.refused = true
 		return
@@ -321,7 +321,7 @@
 	}, done: func(at time.Time, ok bool) {
 		if ok {
 			a.end = at
-			s.Ticket.Done(fleet.Result{Outcome: fleet.Answered, First: first})
+			s.Ticket.Done(fleet.Result{Outcome: fleet.Answered, TimeToFirstByte: first})
 			return
 		}
 		s.Ticket.Done(fleet.Result{Outcome: fleet.Failed})
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -182,7 +182,7 @@
 	}
 	before := heap()
 	f := fleet.New("h", "r", time.Now, route.PrefixBounded{}, 1)
-	f.Apply(full, nil)
+	f.ApplyConfig(full, nil)
 	used := heap() - before
 	runtime.KeepAlive(f)
 	runtime.KeepAlive(full)
--- a/operator/server.go
+++ b/operator/server.go
@@ -244,7 +244,7 @@
 		ok, _ := guard.Region(asked, permit.Place{Region: d.Region})
 		out.Regions = append(out.Regions, ExplainedRegion{d, ok})
 	}
-	out.Engines = s.fleet.Explain(fleet.Ask{
+	out.Engines = s.fleet.Explain(fleet.SlotRequest{
 		Request:   asked,
 		Permitted: func(place permit.Place, labels declare.Labels) bool { return guard.Engine(asked, place, labels) },
 	})
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -82,38 +82,38 @@
 	p.rounds++
 	events := p.rounds%eventsEvery == 0
 	group := pool.New().WithMaxGoroutines(parallel)
-	for _, e := range p.fleet.Addresses() {
+	for _, e := range p.fleet.EngineAddresses() {
 		group.Go(func() { p.engine(ctx, e, events) })
 	}
 	group.Wait()
 }
 
-func (p *Prober) engine(ctx context.Context, e fleet.Address, events bool) {
-	var report fleet.Report
+func (p *Prober) engine(ctx context.Context, e fleet.EngineAddress, events bool) {
+	var report fleet.LoadReport
 	sent := time.Now()
 	head, err := p.get(ctx, "http://"+e.Address+"/engine/load", &report)
 	if ctx.Err() != nil {
 		return
 	}
-	p.fleet.Probe(e.Service, e.Engine, sent, err == nil)
+	p.fleet.RecordProbe(e.Service, e.Engine, sent, err == nil)
 	if head != nil {
-		p.fleet.ProbedLeaving(e.Service, e.Engine, head.Get(relay.HeaderLeaving) == "true", sent)
+		p.fleet.RecordProbeDraining(e.Service, e.Engine, head.Get(relay.HeaderLeaving) == "true", sent)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		p.fleet.Refused(e.Engine)
+		p.fleet.ConnectionRefused(e.Engine)
 	}
 	if err != nil {
 		p.log.Debug("probe failed", zap.String("engine", e.Engine), telemetry.Cause(err))
 		return
 	}
-	p.fleet.SetReport(e.Service, e.Engine, report)
+	p.fleet.ApplyLoadReport(e.Service, e.Engine, report)
 	if events {
 		p.cacheEvents(ctx, e)
 	}
 }
 
 // cacheEvents takes an engine's word of what it has evicted.
-func (p *Prober) cacheEvents(ctx context.Context, e fleet.Address) {
+func (p *Prober) cacheEvents(ctx context.Context, e fleet.EngineAddress) {
 	var events struct {
 		Evicted []uint64 `json:"evicted"`
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	for _, prefix := range events.Evicted {
-		p.fleet.Evicted(e.Service, e.Engine, prefix)
+		p.fleet.RecordEviction(e.Service, e.Engine, prefix)
 	}
 }
 
@@ -173,7 +173,7 @@
 		listed[h.IP] = h.State
 	}
 	missing := p.noteMissing(listed, now)
-	p.fleet.SetLeaving(func(address string) bool {
+	p.fleet.SetDraining(func(address string) bool {
 		ip, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return false
@@ -192,7 +192,7 @@
 func (p *Prober) noteMissing(listed map[string]string, now time.Time) map[string]bool {
 	ours := map[string]bool{}
 	gone := 0
-	for _, e := range p.fleet.Addresses() {
+	for _, e := range p.fleet.EngineAddresses() {
 		ip, _, err := net.SplitHostPort(e.Address)
 		if err != nil || ours[ip] {
 			continue
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -30,7 +30,7 @@
 	config, err := declare.Config{}.With(change)
 	must.NoError(t, err)
 	f := fleet.New("h", "r", func() time.Time { return now }, route.Random{}, 1)
-	f.Apply(config, nil)
+	f.ApplyConfig(config, nil)
 	return probe.New(f, http.DefaultTransport, "", zap.NewNop()), f
 }
 
