--- a/agent/peers.go
+++ b/agent/peers.go
@@ -65,8 +65,8 @@
 	a.members[status.Host] = member{status, at}
 }
 
-// Regions implements gateway.Peers. Of each region the newest word counts.
-func (a *Agent) Regions(service string) []route.Digest {
+// RegionDigests implements gateway.Peers. Of each region the newest word counts.
+func (a *Agent) RegionDigests(service string) []route.Digest {
 	var out []route.Digest
 	for _, d := range a.Fleet.Digests() {
 		if d.Service == service {
@@ -116,9 +116,9 @@
 	return route.Digest{}, false
 }
 
-// Entries implements gateway.Peers: hosts that have said lately that they take
+// EntryHosts implements gateway.Peers: hosts that have said lately that they take
 // requests, near ones first.
-func (a *Agent) Entries() []declare.Host {
+func (a *Agent) EntryHosts() []declare.Host {
 	serving := a.isServing() && !a.Stopping()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -196,7 +196,7 @@
 	d.away = relay.New(d.deployment().Dialer(d.dialer), relay.Options{AnswerTime: d.settings.Limits.RequestTime})
 	d.gateway = gateway.New(gateway.Deps{
 		Host: d.host, Limits: d.settings.Limits, Authority: d.agent, Peers: d.agent,
-		Keys: keyhome.NewClient(d.agent, d.near), Fleet: d.fleet, Engines: d.client, Away: d.away,
+		IdempotencyStore: keyhome.NewClient(d.agent, d.near), Fleet: d.fleet, EngineClient: d.client, HandoverClient: d.away,
 		Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
 	})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -126,7 +126,7 @@
 // chooseRegion chooses a region for the request by the service's policy, which prefers the
 // request's home region. It also returns the digests that the choice refers to.
 func (s *Server) chooseRegion(x *exchange, p *payload) (route.RegionChoice, []route.Digest) {
-	digests := s.Peers.Regions(x.req.Service)
+	digests := s.Peers.RegionDigests(x.req.Service)
 	home := -1
 	for i := range digests {
 		if digests[i].Region == x.req.Home {
@@ -186,7 +186,7 @@
 		return false, err
 	}
 	sentAt := time.Now()
-	resp, err := s.Engines.Send(x.r.Context(), s.engineCall(x, p, ticket))
+	resp, err := s.EngineClient.Send(x.r.Context(), s.engineCall(x, p, ticket))
 	if err != nil {
 		return s.recordAttemptFailure(x, p, state, ticket, err)
 	}
@@ -305,7 +305,7 @@
 	}}
 	switch {
 	case isStream(resp) && x.service.Type == declare.ServiceModel:
-		d.err = s.Engines.Stream(x.r.Context(), writer, resp, base, s.Limits.SlowCallerTime)
+		d.err = s.EngineClient.Stream(x.r.Context(), writer, resp, base, s.Limits.SlowCallerTime)
 	case x.service.Type == declare.ServiceModel:
 		d.err = s.deliverBuffered(writer, resp)
 	default:
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -53,7 +53,7 @@
 		req.Home = s.place.Region
 	}
 	list := EntryList{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
-	for _, host := range shuffleWithinDataCentres(s.Peers.Entries(), s.Random) {
+	for _, host := range shuffleWithinDataCentres(s.Peers.EntryHosts(), s.Random) {
 		place := permit.Place{Region: config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
 		if ok, _ := guard.Region(req, place); req.Service != "" && !ok {
 			continue
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,10 +51,10 @@
 type Peers interface {
 	// Regions returns a digest of the service's engines for each region, including
 	// this host's own.
-	Regions(service string) []route.Digest
+	RegionDigests(service string) []route.Digest
 	// Entries returns the entry hosts that accept requests now. Those of this data
 	// centre come first, then those of this region, then the others.
-	Entries() []declare.Host
+	EntryHosts() []declare.Host
 }
 
 // IdempotencyStore records calls with idempotency keys, at the home region of each key, so
@@ -73,17 +73,17 @@
 
 // Deps are the dependencies of a Server.
 type Deps struct {
-	Host      settings.Host
-	Limits    settings.Limits
-	Authority Authority
-	Peers     Peers
-	Keys      IdempotencyStore
-	Fleet     *fleet.Fleet
-	Engines   *relay.Client // for engines of this region
-	Away      *relay.Client // for entry hosts of other regions
-	Log       *zap.Logger
-	Metrics   *telemetry.Metrics
-	Random    func() uint64
+	Host             settings.Host
+	Limits           settings.Limits
+	Authority        Authority
+	Peers            Peers
+	IdempotencyStore IdempotencyStore
+	Fleet            *fleet.Fleet
+	EngineClient     *relay.Client // for engines of this region
+	HandoverClient   *relay.Client // for entry hosts of other regions
+	Log              *zap.Logger
+	Metrics          *telemetry.Metrics
+	Random           func() uint64
 }
 
 // Server serves callers and other entry hosts. New creates one.
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -34,7 +34,7 @@
 		header.Set("Expect", "100-continue")
 	}
 	sentAt := time.Now()
-	resp, err := s.Away.Send(x.r.Context(), relay.Call{
+	resp, err := s.HandoverClient.Send(x.r.Context(), relay.Call{
 		Method:  x.r.Method,
 		URL:     "http://" + host.Reach(host.Handover) + x.r.URL.RequestURI(),
 		Header:  header,
@@ -111,7 +111,7 @@
 // pickEntryHost returns a random entry host of a region.
 func (s *Server) pickEntryHost(x *exchange, region string) (declare.Host, bool) {
 	var hosts []declare.Host
-	for _, host := range s.Peers.Entries() {
+	for _, host := range s.Peers.EntryHosts() {
 		if x.config.RegionOf(host.DataCentre) == region {
 			hosts = append(hosts, host)
 		}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -68,7 +68,7 @@
 		Key:  once.Key{Service: x.req.Service, Account: x.req.Account, Key: x.req.Key},
 		Home: x.req.Home, Digest: digest, Attempt: uuid.NewString(), Until: x.req.Deadline,
 	}
-	verdict, err := s.Keys.Begin(x.r.Context(), call)
+	verdict, err := s.IdempotencyStore.Begin(x.r.Context(), call)
 	if err != nil {
 		return err
 	}
@@ -142,11 +142,11 @@
 	var recordErr error
 	switch {
 	case p.recorder.complete:
-		recordErr = s.Keys.Finish(ctx, call, s.storableAnswer(x, p))
+		recordErr = s.IdempotencyStore.Finish(ctx, call, s.storableAnswer(x, p))
 	case completed && errors.As(err, &rejection):
-		recordErr = s.Keys.Release(ctx, call)
+		recordErr = s.IdempotencyStore.Release(ctx, call)
 	default:
-		recordErr = s.Keys.Lose(ctx, call)
+		recordErr = s.IdempotencyStore.Lose(ctx, call)
 	}
 	if recordErr != nil {
 		s.Log.Warn("failed to record outcome of call with idempotency key", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -116,7 +116,7 @@
 	if x.handedOver {
 		return ""
 	}
-	for _, host := range s.Peers.Entries() {
+	for _, host := range s.Peers.EntryHosts() {
 		place := permit.Place{Region: x.config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
 		if ok, _ := x.guard.Region(x.req, place); ok && place != s.place {
 			return "http://" + host.Callers + x.r.URL.RequestURI()
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -56,9 +56,9 @@
 	return h.guard, h.config, nil
 }
 
-func (h *testHost) Entries() []declare.Host { return h.peers }
+func (h *testHost) EntryHosts() []declare.Host { return h.peers }
 
-func (h *testHost) Regions(string) []route.Digest {
+func (h *testHost) RegionDigests(string) []route.Digest {
 	own := route.Digest{Region: h.host.Region, Slots: 8, At: time.Now()}
 	return append([]route.Digest{own}, h.remoteDigests...)
 }
@@ -187,7 +187,7 @@
 	t.Cleanup(client.Close)
 	var random atomic.Uint64
 	host.server = gateway.New(gateway.Deps{
-		Host: host.host, Limits: limits, Authority: host, Peers: host, Keys: host.keys, Fleet: host.fleet, Engines: client, Away: client,
+		Host: host.host, Limits: limits, Authority: host, Peers: host, IdempotencyStore: host.keys, Fleet: host.fleet, EngineClient: client, HandoverClient: client,
 		Log: zap.NewNop(), Metrics: metrics, Random: func() uint64 { return random.Add(0x9e3779b97f4a7c15) },
 	})
 	host.startListeners(t)
--- a/operator/server.go
+++ b/operator/server.go
@@ -240,7 +240,7 @@
 	if ok, why := guard.Region(asked, here); !ok {
 		out.Here = why
 	}
-	for _, d := range s.agent.Regions(asked.Service) {
+	for _, d := range s.agent.RegionDigests(asked.Service) {
 		ok, _ := guard.Region(asked, permit.Place{Region: d.Region})
 		out.Regions = append(out.Regions, ExplainedRegion{d, ok})
 	}
