--- a/control/tally.go
+++ b/control/tally.go
@@ -37,7 +37,7 @@
 
 // Wait is how long a lease must be waited out, by any other clock.
 func (t Timing) Wait() time.Duration {
-	return time.Duration(float64(t.Lease) * (1 + raft.DriftShare))
+	return time.Duration(float64(t.Lease) * (1 + raft.MaxClockDrift))
 }
 
 // Tally is what a leader knows of the hosts. A new leader begins with an empty
@@ -184,7 +184,7 @@
 			continue
 		}
 		for _, g := range h.report.Granted {
-			left := time.Duration(float64(g.Left) * (1 + raft.DriftShare))
+			left := time.Duration(float64(g.Left) * (1 + raft.MaxClockDrift))
 			if g.Incarnation != t.hosts[g.Host].report.Incarnation && now.Before(h.heard.Add(left)) {
 				return false
 			}
--- a/internal/simlog/simlog.go
+++ b/internal/simlog/simlog.go
@@ -126,7 +126,7 @@
 	state.Commit = n.mark
 	n.waiting, n.reads = map[uint64]pending{}, map[uint64]*Read{}
 	n.Raft = raft.New(raft.Options{
-		ID: n.ID, Election: c.Opts.Election, Heartbeat: c.Opts.Heartbeat, NoLease: c.Opts.NoLease,
+		ID: n.ID, ElectionTimeout: c.Opts.Election, HeartbeatInterval: c.Opts.Heartbeat, SkipLeaseWait: c.Opts.NoLease,
 		Random: rand.New(rand.NewPCG(c.Random.Uint64(), 3)),
 	}, state, c.Now)
 	n.Up, n.Paused = true, false
@@ -268,7 +268,7 @@
 func (c *Cluster) Read(n *Node, done func(ok bool)) {
 	n.nextID++
 	n.reads[n.nextID] = &Read{done: done}
-	n.Raft.Read(c.Now, n.nextID)
+	n.Raft.ReadIndex(c.Now, n.nextID)
 	c.work(n)
 }
 
@@ -288,7 +288,7 @@
 			c.send(n.Index, e)
 		}
 		c.apply(n, ready.Committed)
-		n.Raft.Done(ready)
+		n.Raft.Advance(ready)
 		c.finishReads(n, ready.Reads)
 		c.snapshot(n)
 		if c.Random.Float64() < markShare {
@@ -318,7 +318,7 @@
 	}
 }
 
-func (c *Cluster) finishReads(n *Node, ready []raft.Read) {
+func (c *Cluster) finishReads(n *Node, ready []raft.ReadResult) {
 	for _, r := range ready {
 		if !r.OK {
 			n.reads[r.ID].done(false)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,7 +12,7 @@
 // renews it, but it renews no other host and doesn't count towards a majority.
 //
 // A lease is measured on the holder's own clock from the time of the request, which is before
-// the time of the grant. Clock rates may differ by raft.DriftShare. A lease also expires by
+// the time of the grant. Clock rates may differ by raft.MaxClockDrift. A lease also expires by
 // the wall clock, because the monotonic clock stands still while a machine is suspended.
 package lease
 
--- a/raft/node.go
+++ b/raft/node.go
@@ -9,20 +9,20 @@
 
 // Options configures a Node.
 type Options struct {
-	ID        ID
-	Election  time.Duration // minimum time without a message from a leader before an election
-	Heartbeat time.Duration // interval between a leader's heartbeats
-	// NoLease states that nothing relies on LeaseUntil. A replica that has just started then
+	ID                ID
+	ElectionTimeout   time.Duration // minimum time without a message from a leader before an election
+	HeartbeatInterval time.Duration // interval between a leader's heartbeats
+	// SkipLeaseWait states that nothing relies on LeaseUntil. A replica that has just started then
 	// doesn't wait for the end of a leader's lease that it may have supported before. If all
 	// replicas are killed at once, this brings back a leader that can confirm reads after
 	// 0.8 s instead of 2.1 s (five voters in three regions, 80 ms one-way delay).
-	NoLease bool
-	Random  *rand.Rand
+	SkipLeaseWait bool
+	Random        *rand.Rand
 }
 
-// DriftShare is the largest tolerated relative difference between the rates of two hosts'
+// MaxClockDrift is the largest tolerated relative difference between the rates of two hosts'
 // clocks. A host that relies on another host's timed promise adds this margin to its wait.
-const DriftShare = 0.1
+const MaxClockDrift = 0.1
 
 // maxAppendEntries is the maximum number of entries in one Append message.
 const maxAppendEntries = 256
@@ -78,7 +78,7 @@
 	durableIndex     uint64
 	appliedIndex     uint64
 	pendingInstall   *Snapshot
-	finishedReads    []Read
+	finishedReads    []ReadResult
 }
 
 // sentRound is one broadcast of a leader. An acknowledgement of the round extends the lease
@@ -95,9 +95,9 @@
 	round uint64
 }
 
-// Read is the result of Node.Read: the read may be served once Index has been applied. OK is
+// ReadResult is the result of Node.Read: the read may be served once Index has been applied. OK is
 // false if the replica is not the leader or lost the leadership before the confirmation.
-type Read struct {
+type ReadResult struct {
 	ID    uint64
 	Index uint64
 	OK    bool
@@ -113,7 +113,7 @@
 	n.durableIndex = n.log.lastIndex()
 	n.membership, n.membershipIndex = n.log.latestMembership()
 	n.resetElectionDeadline()
-	if opts.NoLease {
+	if opts.SkipLeaseWait {
 		n.lastLeaderContact = time.Time{}
 		n.electionDeadline = now.Add(n.firstElectionDelay())
 	}
@@ -125,7 +125,7 @@
 // be back, plus a slot by position among the voters. The slots are two round trips between
 // regions apart, so that one candidate wins before the next starts.
 func (n *Node) firstElectionDelay() time.Duration {
-	step := n.opts.Election / 10
+	step := n.opts.ElectionTimeout / 10
 	position := max(0, slices.Index(n.membership.Voters, n.opts.ID))
 	slot := (uint64(position) + n.hard.Term) % uint64(max(1, len(n.membership.Voters)))
 	return step + 3*step*time.Duration(slot) + time.Duration(n.opts.Random.Int64N(int64(step)))
@@ -136,7 +136,7 @@
 // retry shortens the time without a leader after a split vote or a healed partition. Other
 // voters wait for a slot by position among the voters, which rotates with the term.
 func (n *Node) resetElectionDeadline() {
-	minDelay := n.opts.Election
+	minDelay := n.opts.ElectionTimeout
 	jitter := minDelay
 	if n.role == PreCandidate || n.role == Candidate {
 		minDelay /= 3
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) tickLeader() {
-	if n.quorumAckTime().Add(n.opts.Election).Before(n.now) {
+	if n.quorumAckTime().Add(n.opts.ElectionTimeout).Before(n.now) {
 		n.changeRole(Follower, n.hard.Term, None)
 		return
 	}
@@ -249,7 +249,7 @@
 // syncProgress makes peers hold exactly one progress for each other member.
 func (n *Node) syncProgress() {
 	for id := range n.peers {
-		if !n.membership.Has(id) {
+		if !n.membership.Contains(id) {
 			delete(n.peers, id)
 		}
 	}
@@ -267,7 +267,7 @@
 	if len(n.recentRounds) > maxRecentRounds {
 		n.recentRounds = n.recentRounds[1:]
 	}
-	n.nextHeartbeat = n.now.Add(n.opts.Heartbeat)
+	n.nextHeartbeat = n.now.Add(n.opts.HeartbeatInterval)
 	// Follow the order of the membership, not of the map, so that equal inputs produce equal
 	// messages.
 	for _, id := range slices.Concat(n.membership.Voters, n.membership.Learners) {
@@ -318,7 +318,7 @@
 		return 0, 0, ErrNotLeader
 	}
 	if n.membershipIndex > n.commitIndex || n.commitIndex < n.termStartIndex || !atMostOneChanged(n.membership.Voters, members.Voters) {
-		return 0, 0, ErrMembershipPending
+		return 0, 0, ErrMembershipChangeRejected
 	}
 	return n.propose(Entry{Kind: EntryMembership, Members: &members})
 }
@@ -360,11 +360,11 @@
 	}
 }
 
-// Read requests a linearizable read. A later Ready returns the result under the same id.
-func (n *Node) Read(now time.Time, id uint64) {
+// ReadIndex requests a linearizable read. A later Ready returns the result under the same id.
+func (n *Node) ReadIndex(now time.Time, id uint64) {
 	n.advanceClock(now)
 	if n.role != Leader {
-		n.finishedReads = append(n.finishedReads, Read{ID: id})
+		n.finishedReads = append(n.finishedReads, ReadResult{ID: id})
 		return
 	}
 	n.broadcast()
@@ -376,7 +376,7 @@
 
 func (n *Node) failReads() {
 	for _, r := range n.pendingReads {
-		n.finishedReads = append(n.finishedReads, Read{ID: r.id})
+		n.finishedReads = append(n.finishedReads, ReadResult{ID: r.id})
 	}
 	n.pendingReads = nil
 }
@@ -385,14 +385,14 @@
 func (n *Node) confirmReads() {
 	round := n.quorumAckedRound()
 	for len(n.pendingReads) > 0 && n.pendingReads[0].round <= round {
-		n.finishedReads = append(n.finishedReads, Read{n.pendingReads[0].id, n.pendingReads[0].index, true})
+		n.finishedReads = append(n.finishedReads, ReadResult{n.pendingReads[0].id, n.pendingReads[0].index, true})
 		n.pendingReads = n.pendingReads[1:]
 	}
 }
 
-// Transfer hands the leadership to another voter and steps down. It returns false, and
+// TransferLeadership hands the leadership to another voter and steps down. It returns false, and
 // changes nothing, if this replica is not the leader or the voter's log is not up to date.
-func (n *Node) Transfer(now time.Time, to ID) bool {
+func (n *Node) TransferLeadership(now time.Time, to ID) bool {
 	n.advanceClock(now)
 	p := n.peers[to]
 	if n.role != Leader || p == nil || !n.membership.IsVoter(to) || p.matchIndex != n.log.lastIndex() {
@@ -410,7 +410,7 @@
 	if n.role != Leader || n.commitIndex < n.termStartIndex {
 		return time.Time{}
 	}
-	safeDuration := time.Duration(float64(n.opts.Election) * (1 - DriftShare))
+	safeDuration := time.Duration(float64(n.opts.ElectionTimeout) * (1 - MaxClockDrift))
 	return n.quorumAckTime().Add(safeDuration)
 }
 
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -55,7 +55,7 @@
 
 func newNode(id raft.ID, now time.Time, hard raft.HardState) *raft.Node {
 	members := raft.Membership{Voters: []raft.ID{"a#1", "b#1", "c#1"}}
-	return raft.New(raft.Options{ID: id, Election: election, Heartbeat: heartbeat, Random: rand.New(rand.NewPCG(1, 1))},
+	return raft.New(raft.Options{ID: id, ElectionTimeout: election, HeartbeatInterval: heartbeat, Random: rand.New(rand.NewPCG(1, 1))},
 		raft.State{Hard: hard, Snapshot: raft.Snapshot{Members: members}}, now)
 }
 
@@ -63,7 +63,7 @@
 func requestVote(n *raft.Node, now time.Time, from raft.ID, term uint64) bool {
 	n.Step(now, raft.Envelope{From: from, To: "a#1", Term: term, Message: raft.Vote{}})
 	r := n.Ready()
-	defer n.Done(r)
+	defer n.Advance(r)
 	for _, e := range r.Messages {
 		if v, ok := e.Message.(raft.VoteReply); ok {
 			return v.Granted
@@ -206,7 +206,7 @@
 		first := c.Nodes[(c.Leader().Index+1)%3]
 		lostID := first.ID
 		c.LoseDisk(first)
-		replaceLostVoters(t, c, func(m raft.Membership) bool { return !m.Has(lostID) && len(m.Voters) == 3 })
+		replaceLostVoters(t, c, func(m raft.Membership) bool { return !m.Contains(lostID) && len(m.Voters) == 3 })
 		mustCommit(t, c, "after the repair")
 		second := c.Leader()
 		c.LoseDisk(second)
@@ -230,7 +230,7 @@
 	oldID := n.ID
 	c.LoseDisk(n)
 	c.Start(n)
-	replaceLostVoters(t, c, func(m raft.Membership) bool { return m.IsVoter(n.ID) && !m.Has(oldID) })
+	replaceLostVoters(t, c, func(m raft.Membership) bool { return m.IsVoter(n.ID) && !m.Contains(oldID) })
 	c.Run(2 * time.Second)
 	must.SliceLen(t, 25, n.Machine.(*recordingMachine).commands)
 }
@@ -265,7 +265,7 @@
 }
 
 // TestFastElectionAfterRestartWithoutLease kills all replicas and restarts them within 100 ms,
-// on hosts that get CPU time only once per 100 ms. With NoLease a leader must exist within
+// on hosts that get CPU time only once per 100 ms. With SkipLeaseWait a leader must exist within
 // 0.9 s in nine of ten runs; the wait for a lease takes at least 1.4 s.
 func TestFastElectionAfterRestartWithoutLease(t *testing.T) {
 	const runs = 100
@@ -307,17 +307,17 @@
 	n := newNode("a#1", start, raft.HardState{})
 	now := start.Add(2 * election)
 	n.Step(now, raft.Envelope{From: "b#1", To: "a#1", Message: raft.TimeoutNow{}})
-	n.Done(n.Ready())
+	n.Advance(n.Ready())
 	n.Step(now, raft.Envelope{From: "b#1", To: "a#1", Term: 1, Message: raft.VoteReply{Granted: true}})
-	n.Read(now, 7)
+	n.ReadIndex(now, 7)
 	r := n.Ready()
 	must.SliceEmpty(t, r.Reads)
-	n.Done(r)
+	n.Advance(r)
 	for _, e := range r.Messages {
 		if a, ok := e.Message.(raft.Append); ok && e.To == "b#1" {
 			n.Step(now, raft.Envelope{From: "b#1", To: "a#1", Term: 1, Message: raft.AppendReply{Match: 1, Round: a.Round}})
 		}
 	}
 	r = n.Ready()
-	must.Eq(t, []raft.Read{{ID: 7, Index: 1, OK: true}}, r.Reads)
+	must.Eq(t, []raft.ReadResult{{ID: 7, Index: 1, OK: true}}, r.Reads)
 }
--- a/raft/ready.go
+++ b/raft/ready.go
@@ -15,10 +15,10 @@
 	Entries   []Entry    // to append, after truncating the log before the first one's index
 	Messages  []Envelope
 	Committed []Entry
-	Reads     []Read // reads that were confirmed or have failed
+	Reads     []ReadResult // reads that were confirmed or have failed
 }
 
-// Ready returns the pending work and clears it. The caller must do the work and call Done
+// Ready returns the pending work and clears it. The caller must do the work and call Advance
 // before it calls Ready again.
 func (n *Node) Ready() Ready {
 	r := Ready{Messages: n.outgoing, Install: n.pendingInstall, Reads: n.finishedReads}
@@ -35,8 +35,8 @@
 	return r
 }
 
-// Done records that the work of r has been done.
-func (n *Node) Done(r Ready) {
+// Advance records that the work of r has been done.
+func (n *Node) Advance(r Ready) {
 	if k := len(r.Entries); k > 0 {
 		last := r.Entries[k-1]
 		if term, ok := n.log.term(last.Index); ok && term == last.Term {
--- a/raft/step.go
+++ b/raft/step.go
@@ -83,7 +83,7 @@
 // received a message from the leader within the last election timeout. The start of the
 // replica counts as such a message, since contacts before it are forgotten.
 func (n *Node) leaderLeaseMayRun() bool {
-	return n.role == Leader || n.now.Before(n.lastLeaderContact.Add(n.opts.Election))
+	return n.role == Leader || n.now.Before(n.lastLeaderContact.Add(n.opts.ElectionTimeout))
 }
 
 func (n *Node) isUpToDate(lastIndex, lastTerm uint64) bool {
--- a/raft/types.go
+++ b/raft/types.go
@@ -42,8 +42,8 @@
 // IsVoter reports whether the replica is a voter.
 func (m Membership) IsVoter(id ID) bool { return slices.Contains(m.Voters, id) }
 
-// Has reports whether the replica is a member: a voter or a learner.
-func (m Membership) Has(id ID) bool {
+// Contains reports whether the replica is a member: a voter or a learner.
+func (m Membership) Contains(id ID) bool {
 	return m.IsVoter(id) || slices.Contains(m.Learners, id)
 }
 
@@ -171,8 +171,8 @@
 var (
 	// ErrNotLeader means that this replica is not the leader. Nothing was proposed.
 	ErrNotLeader = errors.New("this replica is not the leader")
-	// ErrMembershipPending means that the membership can't be changed in this way now: an
+	// ErrMembershipChangeRejected means that the membership can't be changed in this way now: an
 	// earlier change or the first entry of the leader's term is not committed yet, or the
 	// change adds or removes more than one voter. Nothing was proposed.
-	ErrMembershipPending = errors.New("a membership change is not committed yet")
+	ErrMembershipChangeRejected = errors.New("a membership change is not committed yet")
 )
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -40,7 +40,7 @@
 }
 
 // ProposeMembers proposes a membership change and waits until it is committed. It returns
-// raft.ErrMembershipPending if the change can't be made now.
+// raft.ErrMembershipChangeRejected if the change can't be made now.
 func (r *Replica) ProposeMembers(ctx context.Context, members raft.Membership) error {
 	_, err := r.submit(ctx, proposal{members: &members, done: make(chan proposalResult, 1)})
 	return err
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -164,7 +164,7 @@
 	}
 	r.commitSaver, state.Commit = openCommitIndexSaver(opts.Folder, opts.Log)
 	r.node = raft.New(raft.Options{
-		ID: opts.ID, Election: opts.Election, Heartbeat: opts.Heartbeat, NoLease: opts.NoLease,
+		ID: opts.ID, ElectionTimeout: opts.Election, HeartbeatInterval: opts.Heartbeat, SkipLeaseWait: opts.NoLease,
 		Random: rand.New(rand.NewPCG(opts.Seed, uint64(len(opts.ID)))),
 	}, state, opts.Clock())
 	r.publishStatus()
@@ -221,9 +221,9 @@
 	case readRequest:
 		r.lastReadID++
 		r.pendingReads[r.lastReadID] = &pendingRead{done: in.done}
-		r.node.Read(r.opts.Clock(), r.lastReadID)
+		r.node.ReadIndex(r.opts.Clock(), r.lastReadID)
 	case transferRequest:
-		r.node.Transfer(r.opts.Clock(), in.to)
+		r.node.TransferLeadership(r.opts.Clock(), in.to)
 	case inspectRequest:
 		in.fn()
 		close(in.done)
@@ -266,7 +266,7 @@
 			r.opts.Send(e)
 		}
 		r.apply(ready.Committed)
-		r.node.Done(ready)
+		r.node.Advance(ready)
 		r.completeReads(ready.Reads)
 		if err := r.snapshotIfDue(); err != nil {
 			return err
@@ -345,7 +345,7 @@
 
 // completeReads completes the reads that are confirmed and whose index has been applied, and
 // the reads that have failed.
-func (r *Replica) completeReads(ready []raft.Read) {
+func (r *Replica) completeReads(ready []raft.ReadResult) {
 	for _, confirmed := range ready {
 		read := r.pendingReads[confirmed.ID]
 		if read == nil {
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -102,7 +102,7 @@
 	bound, cancel := context.WithTimeout(ctx, memberTime)
 	defer cancel()
 	err := k.replica.ProposeMembers(bound, next)
-	if errors.Is(err, raft.ErrMembershipPending) {
+	if errors.Is(err, raft.ErrMembershipChangeRejected) {
 		return
 	}
 	k.log.Info("members changed", zap.String("why", why), zap.Strings("voters", names(next.Voters)), zap.Strings("learners", names(next.Learners)), telemetry.Cause(err))
@@ -207,7 +207,7 @@
 	}
 	best := raft.None
 	for _, s := range spares {
-		if members.Has(s.ID) {
+		if members.Contains(s.ID) {
 			continue
 		}
 		if s.Region == region || (region == "" && !held[s.Region]) {
