--- a/controller/controller.go
+++ b/controller/controller.go
@@ -139,7 +139,7 @@
 	c.machine = ledger.New(c.ledgerChanged)
 	var err error
 	c.replica, err = replica.Open(replica.Options{
-		ID: deps.Replica, Election: electionTimeout, Heartbeat: heartbeatInterval, NoLease: true, Folder: deps.Folder, Machine: c.machine,
+		ID: deps.Replica, ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval, SkipLeaseWait: true, Folder: deps.Folder, Machine: c.machine,
 		Send: deps.Send, Clock: deps.Clock, SnapshotEvery: snapshotInterval, Log: deps.Log, Seed: deps.Seed,
 	})
 	if err != nil {
@@ -189,7 +189,7 @@
 		}
 	}
 	if best.ID != raft.None {
-		c.replica.Transfer(best.ID)
+		c.replica.TransferLeadership(best.ID)
 	}
 }
 
--- a/controller/hosts_test.go
+++ b/controller/hosts_test.go
@@ -180,7 +180,7 @@
 		for _, seed := range seeds {
 			voters = append(voters, raft.ID(seed+"#1"))
 		}
-		must.NoError(t, replica.Form(h.folder, voters))
+		must.NoError(t, replica.Initialize(h.folder, voters))
 		h.start()
 		hosts = append(hosts, h)
 	}
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -124,7 +124,7 @@
 	for i, host := range hosts {
 		ids[i] = raft.ID(host + firstIdentity)
 	}
-	return errors.Trace(replica.Form(folder, ids))
+	return errors.Trace(replica.Initialize(folder, ids))
 }
 
 // readIdentity gives a folder's identity, or raft.None where it has none yet.
--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -84,7 +84,7 @@
 	h := &Home{table: &machine{table: once.NewTable(once.MaxKeys)}}
 	var err error
 	h.replica, err = replica.Open(replica.Options{
-		ID: opts.ID, Election: election, Heartbeat: heartbeat, Folder: opts.Folder, Machine: h.table,
+		ID: opts.ID, ElectionTimeout: election, HeartbeatInterval: heartbeat, Folder: opts.Folder, Machine: h.table,
 		Send: opts.Send, Clock: steady.Time, SnapshotEvery: snapshotEvery, Log: opts.Log.Named("keys"), Seed: opts.Seed,
 	})
 	if err != nil {
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -67,7 +67,7 @@
 	}
 	var err error
 	l.replica, err = replica.Open(replica.Options{
-		ID: opts.ID, Election: opts.Timing.Election, Heartbeat: opts.Timing.Heartbeat, Folder: opts.Folder,
+		ID: opts.ID, ElectionTimeout: opts.Timing.Election, HeartbeatInterval: opts.Timing.Heartbeat, Folder: opts.Folder,
 		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEvery, Log: opts.Log, Seed: opts.Seed,
 	})
 	l.tally = control.NewTally(l.timing())
@@ -104,7 +104,7 @@
 		}
 	}
 	if best.ID != raft.None {
-		l.replica.Transfer(best.ID)
+		l.replica.TransferLeadership(best.ID)
 	}
 }
 
@@ -334,7 +334,7 @@
 
 // State gives the state of the control log, confirmed by a quorum.
 func (l *Leader) State(ctx context.Context, args StateArgs) (StateReply, error) {
-	err := l.replica.Read(ctx)
+	err := l.replica.ReadBarrier(ctx)
 	if errors.Is(err, replica.ErrNotLeader) {
 		return StateReply{NotLeader: &NotLeader{voters.HostOf(l.replica.Status().Leader)}}, nil
 	}
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// Read waits until the state machine has applied everything that was committed at the time of
+// ReadBarrier waits until the state machine has applied everything that was committed at the time of
 // the call. What the caller then reads from the state machine is linearizable.
-func (r *Replica) Read(ctx context.Context) error {
+func (r *Replica) ReadBarrier(ctx context.Context) error {
 	request := readRequest{make(chan error, 1)}
 	select {
 	case r.inputs <- request:
@@ -85,9 +85,9 @@
 	}
 }
 
-// Transfer hands the leadership to another voter, before a planned stop. It has no effect if
+// TransferLeadership hands the leadership to another voter, before a planned stop. It has no effect if
 // the queue is full, this replica is not the leader, or the voter's log is not up to date.
-func (r *Replica) Transfer(to raft.ID) {
+func (r *Replica) TransferLeadership(to raft.ID) {
 	select {
 	case r.inputs <- transferRequest{to}:
 	default:
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -49,13 +49,13 @@
 
 // Options configures a replica.
 type Options struct {
-	ID        raft.ID
-	Election  time.Duration
-	Heartbeat time.Duration
-	NoLease   bool // see raft.Options
-	Folder    disk.Folder
-	Machine   Machine
-	Send      func(raft.Envelope) // must not block
+	ID                raft.ID
+	ElectionTimeout   time.Duration
+	HeartbeatInterval time.Duration
+	SkipLeaseWait     bool // see raft.Options
+	Folder            disk.Folder
+	Machine           Machine
+	Send              func(raft.Envelope) // must not block
 	// Clock must advance while the host is suspended: the leader's lease depends on it, and so
 	// do all leases that the leader renews.
 	Clock func() time.Time
@@ -123,16 +123,16 @@
 	done chan proposalResult
 }
 
-// pendingRead is a call of Read. Once confirmed, it waits until index has been applied.
+// pendingRead is a call of ReadBarrier. Once confirmed, it waits until index has been applied.
 type pendingRead struct {
 	index     uint64
 	confirmed bool
 	done      chan error
 }
 
-// Form initializes the folder of a voter of a new log. It returns an error if the folder
+// Initialize initializes the folder of a voter of a new log. It returns an error if the folder
 // already contains a log.
-func Form(folder disk.Folder, voters []raft.ID) error {
+func Initialize(folder disk.Folder, voters []raft.ID) error {
 	log, state, err := wal.Open(folder)
 	if err != nil {
 		return errors.Trace(err)
@@ -164,7 +164,7 @@
 	}
 	r.commitSaver, state.Commit = openCommitIndexSaver(opts.Folder, opts.Log)
 	r.node = raft.New(raft.Options{
-		ID: opts.ID, ElectionTimeout: opts.Election, HeartbeatInterval: opts.Heartbeat, SkipLeaseWait: opts.NoLease,
+		ID: opts.ID, ElectionTimeout: opts.ElectionTimeout, HeartbeatInterval: opts.HeartbeatInterval, SkipLeaseWait: opts.SkipLeaseWait,
 		Random: rand.New(rand.NewPCG(opts.Seed, uint64(len(opts.ID)))),
 	}, state, opts.Clock())
 	r.publishStatus()
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	machine := &counter{}
 	r, err := replica.Open(replica.Options{
-		ID: id, Election: 100 * time.Millisecond, Heartbeat: 25 * time.Millisecond, Folder: folder, Machine: machine,
+		ID: id, ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 25 * time.Millisecond, Folder: folder, Machine: machine,
 		Send: func(raft.Envelope) {}, Clock: time.Now, SnapshotEvery: 1000, Log: zap.NewNop(), Seed: 1,
 	})
 	must.NoError(t, err)
@@ -77,7 +77,7 @@
 // apply its log up to the stored commit index.
 func TestAppliesCommittedEntriesWithoutLeader(t *testing.T) {
 	folder := disk.NewMemory()
-	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
+	must.NoError(t, replica.Initialize(folder, []raft.ID{"a#1"}))
 	r, _, stop := startReplica(t, "a#1", folder)
 	for range 5 {
 		proposeWithRetry(t, r)
@@ -112,9 +112,9 @@
 	group := pool.New()
 	for i, id := range ids {
 		folder := disk.NewMemory()
-		must.NoError(t, replica.Form(folder, ids))
+		must.NoError(t, replica.Initialize(folder, ids))
 		r, err := replica.Open(replica.Options{
-			ID: id, Election: 100 * time.Millisecond, Heartbeat: 25 * time.Millisecond, Folder: folder, Machine: &counter{},
+			ID: id, ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 25 * time.Millisecond, Folder: folder, Machine: &counter{},
 			Send:  func(e raft.Envelope) { c.deliver(i, slices.Index(ids, e.To), e) },
 			Clock: func() time.Time { return time.Now().Add(time.Duration(c.clockOffsets[i].Load())) }, SnapshotEvery: 1000, Log: zap.NewNop(), Seed: uint64(i),
 		})
@@ -169,7 +169,7 @@
 // part before a crash.
 func TestIgnoresTornCommitIndexFile(t *testing.T) {
 	folder := disk.NewMemory()
-	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
+	must.NoError(t, replica.Initialize(folder, []raft.ID{"a#1"}))
 	for _, name := range []string{"commit-a", "commit-b"} {
 		file, err := folder.Create(name)
 		must.NoError(t, err)
@@ -185,7 +185,7 @@
 // once the disk accepts writes again.
 func TestRetriesUntilDiskAcceptsWrites(t *testing.T) {
 	folder := disk.NewMemory()
-	must.NoError(t, replica.Form(folder, []raft.ID{"a#1"}))
+	must.NoError(t, replica.Initialize(folder, []raft.ID{"a#1"}))
 	r, machine, stop := startReplica(t, "a#1", folder)
 	defer stop()
 	proposeWithRetry(t, r)
