--- a/agent/agent.go
+++ b/agent/agent.go
@@ -115,7 +115,7 @@
 func (a *Agent) Serving() (permit.Guard, declare.Config, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.holder.Serving(steady.Time()) {
+	if !a.holder.MayServe(steady.Time()) {
 		return permit.Guard{}, declare.Config{}, &request.NotRun{
 			Reason:     request.ReasonNoLease,
 			Message:    "this host has no lease on the configuration",
@@ -168,7 +168,7 @@
 	// The guard and the engines are in place before the acknowledgement.
 	a.guard = guard
 	a.Fleet.ApplyConfig(view.Config, heldEngines(view))
-	a.holder.SetView(view)
+	a.holder.AdoptView(view)
 	if by == nil {
 		a.events = nil
 	} else {
@@ -229,7 +229,7 @@
 func (a *Agent) isServing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Serving(steady.Time())
+	return a.holder.MayServe(steady.Time())
 }
 
 // status gives what this host tells others of itself.
@@ -241,7 +241,7 @@
 	status.KeyReplica, status.KeyLeader = a.KeyReplica()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	status.Ready = a.holder.Serving(steady.Time()) && !a.Stopping() && status.InFlight < a.Settings.Limits.InFlight
+	status.Ready = a.holder.MayServe(steady.Time()) && !a.Stopping() && status.InFlight < a.Settings.Limits.InFlight
 	status.Revision = a.holder.View().Config.Revision()
 	return status
 }
@@ -254,9 +254,9 @@
 	view := a.holder.View()
 	s := Standing{
 		Host: a.Host.Name, Seq: view.Seq, Revision: view.Config.Revision(), Pending: view.Pending != nil,
-		Serving: a.holder.Serving(now), Established: a.holder.Established(), Lease: max(0, a.holder.Until().Sub(now)), Leader: a.leader,
+		Serving: a.holder.MayServe(now), Established: a.holder.IsEstablished(), Lease: max(0, a.holder.ExpiresAt().Sub(now)), Leader: a.leader,
 	}
-	s.ByPeers = s.Serving && now.Sub(a.holder.ByLeader()) > a.Settings.Control.Lease
+	s.ByPeers = s.Serving && now.Sub(a.holder.LastLeaderRenewal()) > a.Settings.Control.Lease
 	return s
 }
 
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -95,7 +95,7 @@
 	defer a.mu.Unlock()
 	if r.Renewed {
 		a.behind = 0
-		a.holder.RenewedByLeader(sent, r.Seq)
+		a.holder.ApplyLeaderRenewal(sent, r.Seq)
 		return true
 	}
 	a.behind++
@@ -134,14 +134,14 @@
 func (a *Agent) byPeersDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Until().Sub(steady.Time()) < a.Settings.Control.Lease/2
+	return a.holder.ExpiresAt().Sub(steady.Time()) < a.Settings.Control.Lease/2
 }
 
 // askPeers asks the other hosts of the data centre for a renewal, and takes
 // over the newest view that any of them has.
 func (a *Agent) askPeers(ctx context.Context) bool {
 	a.mu.Lock()
-	ask := a.holder.Ask()
+	ask := a.holder.RenewalRequest()
 	peers := a.dataCentreHosts()
 	a.mu.Unlock()
 	sent := steady.Time()
@@ -162,9 +162,9 @@
 	return a.takeGrants(ctx, sent, ask, replies)
 }
 
-func (a *Agent) takeGrants(ctx context.Context, sent time.Time, ask lease.Ask, replies []GrantReply) bool {
-	var grants []lease.Grant
-	newest := lease.Grant{Seq: ask.Seq}
+func (a *Agent) takeGrants(ctx context.Context, sent time.Time, ask lease.RenewalRequest, replies []GrantReply) bool {
+	var grants []lease.RenewalReply
+	newest := lease.RenewalReply{Seq: ask.Seq}
 	for _, r := range replies {
 		if r.Grant.Host == "" {
 			continue
@@ -181,7 +181,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.RenewedByPeers(sent, ask.Seq, grants)
+	return a.holder.ApplyPeerGrants(sent, ask.Seq, grants)
 }
 
 // catchUp takes the view of a peer that is ahead.
--- a/agent/service.go
+++ b/agent/service.go
@@ -17,13 +17,13 @@
 
 // GrantArgs asks a peer of the same data centre for a renewal.
 type GrantArgs struct {
-	Ask    lease.Ask
+	Ask    lease.RenewalRequest
 	Status leader.HostStatus
 }
 
 // GrantReply answers it.
 type GrantReply struct {
-	Grant  lease.Grant
+	Grant  lease.RenewalReply
 	Status leader.HostStatus
 }
 
@@ -167,7 +167,7 @@
 	reply.Status = s.agent.status()
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
-	reply.Grant = s.agent.holder.Answer(steady.Time(), args.Ask)
+	reply.Grant = s.agent.holder.HandleRenewalRequest(steady.Time(), args.Ask)
 	return nil
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -51,23 +51,23 @@
 // View returns the view under which the host serves.
 func (h *Holder) View() control.View { return h.view }
 
-// Established reports whether a leader has renewed this incarnation of the host.
-func (h *Holder) Established() bool { return h.established }
+// IsEstablished reports whether a leader has renewed this incarnation of the host.
+func (h *Holder) IsEstablished() bool { return h.established }
 
-// Until returns when the lease expires, on the host's monotonic clock.
-func (h *Holder) Until() time.Time { return h.expiresAt }
+// ExpiresAt returns when the lease expires, on the host's monotonic clock.
+func (h *Holder) ExpiresAt() time.Time { return h.expiresAt }
 
-// ByLeader returns the request time of the last renewal by a leader.
-func (h *Holder) ByLeader() time.Time { return h.lastLeaderRenewal }
+// LastLeaderRenewal returns the request time of the last renewal by a leader.
+func (h *Holder) LastLeaderRenewal() time.Time { return h.lastLeaderRenewal }
 
-// Serving reports whether the lease is valid, so that the host may serve.
-func (h *Holder) Serving(now time.Time) bool {
+// MayServe reports whether the lease is valid, so that the host may serve.
+func (h *Holder) MayServe(now time.Time) bool {
 	return now.Before(h.expiresAt) && now.Round(0).Before(h.wallExpiresAt)
 }
 
-// SetView adopts view if it is newer than the current one, and reports whether it did. From
+// AdoptView adopts view if it is newer than the current one, and reports whether it did. From
 // then on the host serves under it, which counts as the host's acknowledgement.
-func (h *Holder) SetView(view control.View) bool {
+func (h *Holder) AdoptView(view control.View) bool {
 	if view.Seq <= h.view.Seq {
 		return false
 	}
@@ -99,9 +99,9 @@
 	return grants
 }
 
-// RenewedByLeader applies a leader's renewal under the view with number seq. sentAt is when
+// ApplyLeaderRenewal applies a leader's renewal under the view with number seq. sentAt is when
 // the host sent the request.
-func (h *Holder) RenewedByLeader(sentAt time.Time, seq uint64) {
+func (h *Holder) ApplyLeaderRenewal(sentAt time.Time, seq uint64) {
 	if seq > h.view.Seq {
 		return // impossible for this incarnation, which has not requested it
 	}
@@ -117,38 +117,40 @@
 	}
 }
 
-// Ask is a host's request to a peer of its data centre to renew its lease.
-type Ask struct {
+// RenewalRequest is a host's request to a peer of its data centre to renew its lease.
+type RenewalRequest struct {
 	Host        string
 	Incarnation string
 	Seq         uint64
 }
 
-// Grant is the reply of a peer to a renewal request.
-type Grant struct {
+// RenewalReply is the reply of a peer to a renewal request.
+type RenewalReply struct {
 	Host    string
 	Granted bool
 	Seq     uint64 // of the peer's view; a host with an older view fetches the peer's
 }
 
-// Ask returns the host's request for a renewal by its peers.
-func (h *Holder) Ask() Ask { return Ask{h.host, h.incarnation, h.view.Seq} }
+// RenewalRequest returns the host's request for a renewal by its peers.
+func (h *Holder) RenewalRequest() RenewalRequest {
+	return RenewalRequest{h.host, h.incarnation, h.view.Seq}
+}
 
-// Answer decides on a peer's request. It grants a renewal only if this host is established
+// HandleRenewalRequest decides on a peer's request. It grants a renewal only if this host is established
 // and the peer's view is not older than its own.
-func (h *Holder) Answer(now time.Time, request Ask) Grant {
+func (h *Holder) HandleRenewalRequest(now time.Time, request RenewalRequest) RenewalReply {
 	granted := h.established && request.Seq >= h.view.Seq
 	if granted {
 		h.peerLeases[request.Host] = peerLease{request.Incarnation, now}
 	}
-	return Grant{h.host, granted, h.view.Seq}
+	return RenewalReply{h.host, granted, h.view.Seq}
 }
 
-// RenewedByPeers renews the lease if the grants of one round of requests, together with this
+// ApplyPeerGrants renews the lease if the grants of one round of requests, together with this
 // host if it is established, are a majority of the data centre's hosts, in the current
 // configuration and also in the pending one, if any. It reports whether it renewed the lease.
 // All requests were sent at sentAt or later under the view with number seq.
-func (h *Holder) RenewedByPeers(sentAt time.Time, seq uint64, grants []Grant) bool {
+func (h *Holder) ApplyPeerGrants(sentAt time.Time, seq uint64, grants []RenewalReply) bool {
 	if seq != h.view.Seq {
 		return false
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -33,7 +33,7 @@
 	round        int
 	roundSentAt  time.Time // start of the current round of peer requests, by its clock
 	roundSeq     uint64
-	grants       []lease.Grant
+	grants       []lease.RenewalReply
 }
 
 // simulation runs two data centres of hosts, one control log, and at most one leader at a
@@ -179,12 +179,12 @@
 		renewed := s.tally.Report(s.leaderClock(), report, view)
 		s.transmit(func() {
 			if h.isRunning(incarnation) && renewed {
-				h.holder.RenewedByLeader(sentAt, view.Seq)
+				h.holder.ApplyLeaderRenewal(sentAt, view.Seq)
 			}
 		})
 		s.transmit(func() {
 			if h.isRunning(incarnation) && !s.partitioned[h.dc] && !s.isolated[h.name] {
-				h.holder.SetView(view)
+				h.holder.AdoptView(view)
 			}
 		})
 	})
@@ -195,7 +195,7 @@
 	h.round++
 	round, incarnation := h.round, h.incarnations
 	h.roundSentAt, h.roundSeq, h.grants = h.clock(s.now), h.holder.View().Seq, nil
-	request := h.holder.Ask()
+	request := h.holder.RenewalRequest()
 	for _, peer := range s.hosts {
 		if peer.dc != h.dc || peer == h {
 			continue
@@ -204,16 +204,16 @@
 			if !peer.up || s.isolated[peer.name] || s.isolated[h.name] {
 				return
 			}
-			grant, view := peer.holder.Answer(peer.clock(s.now), request), peer.holder.View()
+			grant, view := peer.holder.HandleRenewalRequest(peer.clock(s.now), request), peer.holder.View()
 			s.transmit(func() {
 				if !h.isRunning(incarnation) || h.round != round {
 					return
 				}
 				if grant.Seq > h.holder.View().Seq {
-					h.holder.SetView(view)
+					h.holder.AdoptView(view)
 				}
 				h.grants = append(h.grants, grant)
-				if h.holder.RenewedByPeers(h.roundSentAt, h.roundSeq, h.grants) {
+				if h.holder.ApplyPeerGrants(h.roundSentAt, h.roundSeq, h.grants) {
 					s.peerRenewals++
 				}
 			})
@@ -337,7 +337,7 @@
 	for k, h := range s.hosts {
 		if h.up && (i+k*13)%40 == 0 {
 			s.sendReport(h)
-			if h.holder.Until().Sub(h.clock(s.now)) < leaseDuration*2/3 {
+			if h.holder.ExpiresAt().Sub(h.clock(s.now)) < leaseDuration*2/3 {
 				s.requestPeerGrants(h)
 			}
 		}
@@ -392,7 +392,7 @@
 	for i := range 12_000 {
 		s.step(i)
 		for _, h := range s.hosts {
-			if !h.up || !h.holder.Serving(h.clock(s.now)) {
+			if !h.up || !h.holder.MayServe(h.clock(s.now)) {
 				continue
 			}
 			servingChecks++
@@ -423,15 +423,15 @@
 func TestRestartedHostDoesNotRenewPeers(t *testing.T) {
 	now := time.Now()
 	a := lease.New("a", "d", "a/2", leaseDuration)
-	a.SetView(newView(t, 4))
-	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 4}).Granted)
-	must.False(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own grant must not count"))
-	must.True(t, a.RenewedByPeers(now, 4, []lease.Grant{{Host: "c", Granted: true}, {Host: "b", Granted: true}}), must.Sprint("a majority of others may renew it"))
-	must.True(t, a.Serving(now.Add(leaseDuration-1)))
-	must.False(t, a.Serving(now.Add(leaseDuration)))
-	a.RenewedByLeader(now, 4)
-	must.True(t, a.Answer(now, lease.Ask{Host: "c", Seq: 4}).Granted, must.Sprint("a leader has established it"))
-	must.False(t, a.Answer(now, lease.Ask{Host: "c", Seq: 3}).Granted, must.Sprint("never under an older view"))
+	a.AdoptView(newView(t, 4))
+	must.False(t, a.HandleRenewalRequest(now, lease.RenewalRequest{Host: "c", Seq: 4}).Granted)
+	must.False(t, a.ApplyPeerGrants(now, 4, []lease.RenewalReply{{Host: "c", Granted: true, Seq: 4}}), must.Sprint("its own grant must not count"))
+	must.True(t, a.ApplyPeerGrants(now, 4, []lease.RenewalReply{{Host: "c", Granted: true}, {Host: "b", Granted: true}}), must.Sprint("a majority of others may renew it"))
+	must.True(t, a.MayServe(now.Add(leaseDuration-1)))
+	must.False(t, a.MayServe(now.Add(leaseDuration)))
+	a.ApplyLeaderRenewal(now, 4)
+	must.True(t, a.HandleRenewalRequest(now, lease.RenewalRequest{Host: "c", Seq: 4}).Granted, must.Sprint("a leader has established it"))
+	must.False(t, a.HandleRenewalRequest(now, lease.RenewalRequest{Host: "c", Seq: 3}).Granted, must.Sprint("never under an older view"))
 }
 
 // TestSuspendedHostLosesLease guards against a lease that outlives a suspension: the monotonic
@@ -439,9 +439,9 @@
 func TestSuspendedHostLosesLease(t *testing.T) {
 	now := time.Now()
 	a := lease.New("a", "d", "a/1", leaseDuration)
-	a.SetView(newView(t, 1))
-	a.RenewedByLeader(now, 1)
+	a.AdoptView(newView(t, 1))
+	a.ApplyLeaderRenewal(now, 1)
 	afterSuspension := now.Round(0).Add(leaseDuration) // the monotonic clock stood still
-	must.False(t, a.Serving(afterSuspension))
-	must.True(t, a.Serving(now.Add(leaseDuration/2)))
+	must.False(t, a.MayServe(afterSuspension))
+	must.True(t, a.MayServe(now.Add(leaseDuration/2)))
 }
