--- a/controller/commands.go
+++ b/controller/commands.go
@@ -59,7 +59,7 @@
 // submit sends a command to the leader, and waits until it is applied or requestTimeout
 // has passed.
 func (c *Controller) submit(ctx context.Context, command ledger.Command) (ledger.Result, error) {
-	data, err := ledger.Encode(command)
+	data, err := ledger.EncodeCommand(command)
 	if err != nil {
 		return ledger.Result{}, errors.Trace(err)
 	}
--- a/controller/remember.go
+++ b/controller/remember.go
@@ -34,7 +34,7 @@
 		return
 	}
 	var saved []follow.EngineUpdate
-	if err := ledger.Unpack(data, &saved); err != nil {
+	if err := ledger.DecodeCompressed(data, &saved); err != nil {
 		c.Log.Warn("saved engines are unreadable, starting without them", telemetry.Cause(err))
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 func (c *Controller) saveOnce() {
-	data, err := ledger.Pack(follow.NewEngineUpdates(c.engines.All(), c.Clock()))
+	data, err := ledger.EncodeCompressed(follow.NewEngineUpdates(c.engines.All(), c.Clock()))
 	if err == nil {
 		err = c.savedEngines.Write(data)
 	}
--- a/controller/service.go
+++ b/controller/service.go
@@ -173,7 +173,7 @@
 	if c.encoded.State != nil && c.encoded.Index == state.Index {
 		return c.encoded, nil
 	}
-	data, err := ledger.Pack(state.WithoutSource())
+	data, err := ledger.EncodeCompressed(state.WithoutSource())
 	if err != nil {
 		return follow.StateReply{}, errors.Trace(err)
 	}
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -268,7 +268,7 @@
 		return
 	}
 	var state ledger.State
-	if err := ledger.Unpack(reply.State, &state); err != nil {
+	if err := ledger.DecodeCompressed(reply.State, &state); err != nil {
 		f.Log.Error("ledger state can't be decoded, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
 		return
 	}
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -40,7 +40,7 @@
 
 // State implements the method of follow.Service. The state is empty.
 func (c *ledgerHost) State(_ follow.StateArgs, reply *follow.StateReply) error {
-	data, err := ledger.Pack(ledger.State{Index: 5})
+	data, err := ledger.EncodeCompressed(ledger.State{Index: 5})
 	*reply = follow.StateReply{Index: 5, State: data}
 	return err
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -113,8 +113,8 @@
 	SetEvacuation *SetEvacuation `json:"evacuate,omitempty"`
 }
 
-// Encode encodes a command for the log.
-func Encode(c Command) ([]byte, error) {
+// EncodeCommand encodes a command for the log.
+func EncodeCommand(c Command) ([]byte, error) {
 	var e envelope
 	switch c := c.(type) {
 	case PutCatalog:
@@ -122,12 +122,12 @@
 	case SetEvacuation:
 		e.SetEvacuation = &c
 	}
-	return Pack(e)
+	return EncodeCompressed(e)
 }
 
-// Pack encodes a value as compressed JSON. Catalogs are sent between regions, and are large
+// EncodeCompressed encodes a value as compressed JSON. Catalogs are sent between regions, and are large
 // and repetitive.
-func Pack(value any) ([]byte, error) {
+func EncodeCompressed(value any) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return buf.Bytes(), nil
 }
 
-// Unpack decodes the output of Pack into the variable that value points to.
-func Unpack(data []byte, value any) error {
+// DecodeCompressed decodes the output of EncodeCompressed into the variable that value points to.
+func DecodeCompressed(data []byte, value any) error {
 	decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
 		return errors.Annotate(err, "uncompress")
@@ -180,7 +180,7 @@
 // decoded.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	var e envelope
-	if err := Unpack(data, &e); err != nil {
+	if err := DecodeCompressed(data, &e); err != nil {
 		return errors.Annotatef(err, "decode the ledger command at index %d", index)
 	}
 	current := m.State()
@@ -213,12 +213,12 @@
 }
 
 // Snapshot implements replica.Machine.
-func (m *Machine) Snapshot() ([]byte, error) { return Pack(m.State()) }
+func (m *Machine) Snapshot() ([]byte, error) { return EncodeCompressed(m.State()) }
 
 // Restore implements replica.Machine.
 func (m *Machine) Restore(data []byte) error {
 	var s State
-	if err := Unpack(data, &s); err != nil {
+	if err := DecodeCompressed(data, &s); err != nil {
 		return errors.Annotate(err, "restore the ledger from a snapshot")
 	}
 	m.replaceState(s)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 
 func mustApply(t *testing.T, m *ledger.Machine, index uint64, c ledger.Command) ledger.Result {
 	t.Helper()
-	data, err := ledger.Encode(c)
+	data, err := ledger.EncodeCommand(c)
 	must.NoError(t, err)
 	result, ok := m.Apply(index, data).(ledger.Result)
 	must.True(t, ok)
@@ -158,7 +158,7 @@
 }
 
 func (h *history) put(n *simlog.Node, version int64) {
-	data, err := ledger.Encode(newPutCatalog(version, ""))
+	data, err := ledger.EncodeCommand(newPutCatalog(version, ""))
 	if err != nil || !n.Up || n.Paused {
 		return
 	}
