--- a/controller/commands.go
+++ b/controller/commands.go
@@ -1,5 +1,5 @@
-// This file defines commands and reads. Every control host accepts them; the ledger's
-// leader decides them.
+// This file defines commands and reads. Every control host accepts them and forwards them
+// to the ledger's leader.
 
 package controller
 
@@ -76,7 +76,7 @@
 }
 
 // callLeader calls local if this host leads, or remote with the leader's address, and
-// retries until ctx ends. Commands may be applied twice, so a retry does no harm.
+// retries until ctx ends. Applying a command a second time changes nothing, so a retry is safe.
 func (c *Controller) callLeader(ctx context.Context, local func() error, remote func(address string) error) error {
 	lastErr := follow.ErrNoLeader
 	for ctx.Err() == nil {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -42,13 +42,14 @@
 	// snapshotInterval is the number of commands after which the log is compacted. It is
 	// small because catalogs are large and disks are small.
 	snapshotInterval = 64
-	// hostTimeout is how long after its last Sync call a host is removed from the roster:
-	// the time of three calls.
+	// hostTimeout is how long after its last Sync call a host is removed from the roster.
+	// Three calls fit into it.
 	hostTimeout = 2 * time.Second
-	// hostTimeoutSlack is how much longer than the wait of its Sync calls a host may be
-	// silent.
+	// hostTimeoutSlack is added to the wait of a host's Sync calls if that gives a timeout
+	// longer than hostTimeout.
 	hostTimeoutSlack = 1500 * time.Millisecond
-	// voterTimeout is how long a voter may be unresponsive before a spare replaces it.
+	// voterTimeout is how long a voter may be unresponsive before a spare control host
+	// replaces it.
 	voterTimeout = 2 * time.Second
 	// expiryInterval is how often hosts and engines are checked for timeouts.
 	expiryInterval = 250 * time.Millisecond
@@ -60,7 +61,7 @@
 	// DefaultGatherTime is the default time during which changes are batched before a waiting
 	// host is answered. Without batching, when the whole system starts, each of about a
 	// hundred hosts would be sent every other host separately, which keeps a control host
-	// with half a core busy for seconds. It is short compared with the 450 ms within
+	// with half a CPU core busy for seconds. It is short compared with the 450 ms within
 	// which gateways must acknowledge a draining engine.
 	DefaultGatherTime = 50 * time.Millisecond
 	// DefaultDrainTimeout is the default limit on the wait until the gateways have acknowledged
@@ -79,7 +80,7 @@
 
 // Deps are the dependencies and settings of a Controller.
 type Deps struct {
-	Self         roster.Host // without the replica, which the controller adds
+	Self         roster.Host // without Replica and Stopping, which the controller sets
 	Replica      raft.ID
 	Folder       disk.Folder
 	Voters       int                 // number of voters to maintain
@@ -94,7 +95,7 @@
 	Log          *zap.Logger
 	Clock        func() time.Time
 	SteadyClock  func() time.Duration // a clock that keeps running while the host is suspended
-	ConfirmState bool                 // keys must be revoked in time: confirm the state regularly
+	ConfirmState bool                 // confirm the state periodically; key revocation needs it
 	Seed         uint64
 }
 
@@ -109,7 +110,7 @@
 	stopping     atomic.Bool
 	startedAt    time.Time
 	table        atomic.Pointer[catalog.Table] // of the ledger's current catalog
-	savedEngines *disk.Pair                    // copy on disk, read after a restart
+	savedEngines *disk.Pair                    // the engines on disk, read after a restart
 	freshness    freshness
 
 	encodeMu sync.Mutex
@@ -117,14 +118,14 @@
 
 	mu           sync.Mutex
 	acknowledged map[string]acknowledgement // by gateway
-	changed      chan struct{}              // closed when the ledger changes
+	changed      chan struct{}              // closed by notifyChanged
 }
 
 // acknowledgement records up to which change number a gateway has received the engines.
 type acknowledgement struct {
 	number  uint64
 	region  string
-	expires time.Time // when the gateway counts as out of touch, unless it calls again
+	expires time.Time // when the gateway counts as disconnected, unless it calls again
 }
 
 // New opens the ledger's replica and returns a controller that isn't running yet.
@@ -215,7 +216,7 @@
 func (c *Controller) ledgerChanged(s ledger.State) {
 	c.table.Store(catalog.NewTable(s.Catalog))
 	c.notifyChanged()
-	c.Log.Info("ledger applied", zap.Uint64("index", s.Index), zap.Int64("version", s.Catalog.Version), zap.Strings("evacuated", s.Evacuated))
+	c.Log.Info("ledger state applied", zap.Uint64("index", s.Index), zap.Int64("version", s.Catalog.Version), zap.Strings("evacuated", s.Evacuated))
 }
 
 // notifyChanged wakes the Sync calls that wait for a change of the ledger, or for the
@@ -228,7 +229,7 @@
 }
 
 // expireHostsAndEngines periodically removes hosts that have timed out from the roster,
-// and marks engines without recent heartbeats as silent.
+// and marks engines without recent heartbeats as unresponsive.
 func (c *Controller) expireHostsAndEngines(ctx context.Context) error {
 	duty.Every(ctx, expiryInterval, func() {
 		c.roster.Hear(c.self())
@@ -242,6 +243,6 @@
 	return nil
 }
 
-// PeerAddress returns the net/rpc address of the host that a replica runs on: its ID begins
-// with it.
+// PeerAddress returns the net/rpc address of the host that a replica runs on. The replica's
+// ID begins with it.
 func PeerAddress(id raft.ID) string { return voters.HostOf(id) }
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -31,7 +31,7 @@
 }
 
 // Leave records that an engine has left, and returns once the gateways have acknowledged
-// it. born is the start time of the engine's incarnation, or 0 if the engine didn't say.
+// it. born is the start time of the engine's incarnation, or 0 if the engine didn't state it.
 func (c *Controller) Leave(ctx context.Context, id string, born int64) {
 	c.engines.MarkLeft(id, born)
 	e, _ := c.engines.Get(id)
@@ -66,7 +66,7 @@
 		c.Log.Warn("engine answered before all gateways acknowledged its state", zap.String("engine", engine), zap.String("through", host.Name), telemetry.Cause(err))
 		return
 	}
-	c.Log.Info("gateways acknowledged the engine's state", zap.String("engine", engine), zap.String("through", host.Name))
+	c.Log.Info("gateways of another control host acknowledged the engine's state", zap.String("engine", engine), zap.String("through", host.Name))
 }
 
 // awaitLocalAcknowledgements is awaitAcknowledgements for the gateways that follow this
@@ -82,10 +82,10 @@
 	}
 	fields := []zap.Field{zap.String("engine", engine), zap.Uint64("number", number), zap.Duration("waited", c.Clock().Sub(started))}
 	if len(unacknowledged) > 0 {
-		c.Log.Warn("engine answered before all gateways acknowledged its state", append(fields, zap.Int("gateways", len(unacknowledged)), zap.String("one", unacknowledged[0]))...)
+		c.Log.Warn("engine answered before all gateways that follow this host acknowledged its state", append(fields, zap.Int("gateways", len(unacknowledged)), zap.String("one", unacknowledged[0]))...)
 		return
 	}
-	c.Log.Info("gateways acknowledged the engine's state", fields...)
+	c.Log.Info("gateways that follow this host acknowledged the engine's state", fields...)
 }
 
 // unacknowledged lists the connected gateways of the region (of all regions if it is "")
@@ -104,8 +104,8 @@
 }
 
 // closerControlHost returns the operators' address of a control host closer to an engine
-// than this one: in its data centre, else in its region, else "". Without it, heartbeats
-// of 3,000 engines were a quarter of the traffic between data centres.
+// than this one: in its data centre, else in its region; "" if there is none. Without it, the
+// heartbeats of 3,000 engines were a quarter of the traffic between data centres.
 func (c *Controller) closerControlHost(dataCentre string) string {
 	region := c.Regions[dataCentre]
 	if region == "" || dataCentre == c.Self.DataCentre {
--- a/controller/entries.go
+++ b/controller/entries.go
@@ -12,12 +12,12 @@
 )
 
 // rosterSettleTime is how long after its start a control host names no gateways to
-// callers of other regions. Hosts of its own region call it at once, those of other
-// regions only after a round trip and a Sync call.
+// callers of other regions. By then the gateways have called it: those of its own region
+// at once, those of other regions only after a round trip and a Sync call.
 const rosterSettleTime = time.Second
 
 // Entries returns the addresses of the gateways that a caller in a data centre should use
-// for a host name, or none if this control host doesn't know enough gateways yet.
+// for the host name, or none if this control host doesn't know enough gateways yet.
 func (c *Controller) Entries(name, region, dataCentre string) []string {
 	gateways := c.roster.Hosts(roster.RoleGateway)
 	homes := c.table.Load().Homes(name)
@@ -39,19 +39,19 @@
 const (
 	SameDataCentre Proximity = iota // in the caller's data centre
 	SameRegion                      // in the caller's region
-	HomeRegion                      // in a region where most of the bound routes may run
+	HomeRegion                      // in a region where most of the routes with home regions may run
 	AnyGateway                      // anywhere
 )
 
-// String returns the word used in logs.
+// String returns the value used in logs.
 func (p Proximity) String() string {
 	return [...]string{"data_centre", "region", "home", "none"}[p]
 }
 
 // ChooseGateways returns the addresses of the gateways for a caller: those in its data
 // centre, else those in its region, else those in the regions where most of the host
-// name's bound routes may run, else all. homes counts the bound routes by region.
-// Gateways that are stopping are left out.
+// name's routes with home regions may run, else all. homes counts those routes by region.
+// Gateways that are stopping are excluded.
 func ChooseGateways(gateways []roster.Host, homes map[string]int, region, dataCentre string) ([]string, Proximity) {
 	eligible := slices.DeleteFunc(slices.Clone(gateways), func(h roster.Host) bool { return h.Stopping || h.Callers == "" })
 	most := 0
--- a/controller/entries_test.go
+++ b/controller/entries_test.go
@@ -28,7 +28,7 @@
 func TestChooseGateways(t *testing.T) {
 	cases := []struct {
 		stopping []string
-		homes    map[string]int // bound routes by region
+		homes    map[string]int // routes with home regions, by region
 		want     []string
 		why      controller.Proximity
 	}{
@@ -36,7 +36,7 @@
 		{nil, map[string]int{"kano": 1}, []string{"a"}, controller.SameDataCentre},
 		{[]string{"a"}, nil, []string{"b", "c"}, controller.AnyGateway},
 		{[]string{"a"}, map[string]int{"lagos": 1, "abuja": 1}, []string{"b"}, controller.HomeRegion},
-		// Two bound routes without a common region.
+		// Two routes with home regions, none in common.
 		{[]string{"a"}, map[string]int{"lagos": 2, "abuja": 1}, []string{"b"}, controller.HomeRegion},
 		{[]string{"a"}, map[string]int{"kano": 2, "abuja": 1}, []string{"c"}, controller.HomeRegion},
 		{[]string{"a", "c"}, map[string]int{"kano": 2, "abuja": 1}, []string{"b"}, controller.HomeRegion},
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -27,7 +27,7 @@
 	self       roster.Host
 	brief      bool
 	last       follow.SyncReply
-	introduced bool
+	introduced bool // the control host has the whole of self, so name and incarnation are enough
 	buffer     bytes.Buffer
 	encoder    *gob.Encoder
 	bytes      int
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// newScaledSystem returns a control host in a system with that many gateways in three
-// regions and ten times as many engines, a sixth of which send their heartbeats to it.
+// newScaledSystem returns a control host in a system with the given number of gateways in
+// three regions and ten times as many engines, a sixth of which send their heartbeats to it.
 // full are the sessions of the gateways in its data centre, which are sent engines and
 // hosts; brief are those of the others, which make brief calls.
 func newScaledSystem(t *testing.T, gateways int) (service *controller.Service, full, brief []*session) {
@@ -76,7 +76,7 @@
 	must.NoError(t, err)
 	service = controller.NewService(context.Background(), c)
 	for i := range gateways * 10 / 6 {
-		e := beat(fmt.Sprintf("i-%08d", i), "a", 1)
+		e := testEngine(fmt.Sprintf("i-%08d", i), "a", 1)
 		e.Address = fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)
 		c.Beat(context.Background(), e)
 	}
--- a/controller/service.go
+++ b/controller/service.go
@@ -33,20 +33,22 @@
 	received := c.SteadyClock()
 	wait := min(args.Wait, follow.BriefSyncWait)
 	if args.Known {
+		// The call contains only the name and incarnation of a host that is in the roster.
 		if args.Self = c.roster.Known(args.Self.Name, args.Self.Life); args.Self.Name == "" {
 			*reply = follow.SyncReply{Stranger: true}
 			return nil
 		}
 	}
-	if c.roster.HearFor(args.Self, timeoutFor(wait)) {
+	if c.roster.HearFor(args.Self, rosterTimeout(wait)) {
 		c.Log.Info("host joined or restarted", zap.String("host", args.Self.Name), zap.String("role", string(args.Self.Role)), zap.String("life", args.Self.Life), zap.String("replica", args.Self.Replica))
 	}
 	if args.Life != c.Self.Life {
+		// The change numbers are those of another incarnation of this host.
 		args.Engines, args.Roster = 0, 0
 	}
 	c.recordAcknowledgement(args)
 	deadline := time.Now().Add(wait)
-	gathered := args.Wait == 0
+	gathered := args.Wait == 0 // a call that doesn't wait is answered without batching
 	for {
 		changes := c.changes(args.Brief)
 		*reply = c.buildReply(args, received)
@@ -61,8 +63,8 @@
 		select {
 		case <-s.ctx.Done():
 			return nil
-		case <-time.After(time.Until(deadline)):
-			c.roster.HearFor(args.Self, timeoutFor(wait))
+		case <-time.After(time.Until(deadline)): // the caller was connected until now
+			c.roster.HearFor(args.Self, rosterTimeout(wait))
 			return nil
 		case <-changes.roster:
 		case <-changes.engines:
@@ -71,9 +73,9 @@
 	}
 }
 
-// timeoutFor returns the roster timeout of a host whose Sync calls wait that long. It
-// allows for the loss of one call.
-func timeoutFor(wait time.Duration) time.Duration { return max(hostTimeout, wait+hostTimeoutSlack) }
+// rosterTimeout returns the roster timeout of a host whose Sync calls wait for the given time.
+// It allows for the loss of one call.
+func rosterTimeout(wait time.Duration) time.Duration { return max(hostTimeout, wait+hostTimeoutSlack) }
 
 // changeChannels are channels that are closed at the next change of each kind.
 type changeChannels struct{ roster, engines, ledger <-chan struct{} }
@@ -102,7 +104,7 @@
 		delete(c.acknowledged, args.Self.Name)
 		return
 	}
-	c.acknowledged[args.Self.Name] = acknowledgement{args.Engines, args.Self.Region, c.Clock().Add(timeoutFor(args.Wait))}
+	c.acknowledged[args.Self.Name] = acknowledgement{args.Engines, args.Self.Region, c.Clock().Add(rosterTimeout(args.Wait))}
 }
 
 // buildReply returns what has changed for the caller.
@@ -130,7 +132,8 @@
 	reply.Engines, reply.Number = follow.NewEngineUpdates(engines, now), number
 	for i := range reply.Engines {
 		if reply.Engines[i].Engine.Source == c.Self.Life {
-			// The reply's Life implies it; it takes a third of an encoded engine.
+			// Omitted to save traffic: it takes a third of an encoded engine, and the
+			// reply's Life implies it.
 			reply.Engines[i].Engine.Source = ""
 		}
 	}
@@ -141,6 +144,7 @@
 		reply.Hosts = slices.DeleteFunc(reply.Hosts, func(h roster.Host) bool { return h.Role != roster.RoleControl })
 	}
 	for i := range reply.Hosts {
+		// It is a time of this host's clock.
 		reply.Hosts[i].Heard = time.Time{}
 	}
 	return reply
--- a/controller/surety.go
+++ b/controller/surety.go
@@ -17,8 +17,8 @@
 const (
 	// confirmInterval is how often a control host confirms that its state is current.
 	// Since a Sync call waits for up to 0.5 s, a gateway's state is known to be current
-	// as of at most 1.2 s ago. Of a bound of five seconds that leaves more than 3 s for
-	// the loss of a leader, which takes 2.3 s.
+	// as of at most 1.2 s ago. If keys must be revoked within 5 s, that leaves more than
+	// 3 s for the loss of a leader, which takes 2.3 s.
 	confirmInterval = 400 * time.Millisecond
 	// confirmRetryInterval is the wait after a failure; a new leader is found within a
 	// second or two.
@@ -36,7 +36,7 @@
 }
 
 // confirmPeriodically confirms with the leader that this host's state is current, until
-// ctx ends. It does nothing if keys needn't be revoked in time.
+// ctx ends. It does nothing if ConfirmState is false.
 func (c *Controller) confirmPeriodically(ctx context.Context) error {
 	if !c.ConfirmState {
 		return nil
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// report returns the latest confirmation with its times as durations, which are valid on
-// any host. received is when the call arrived.
+// report returns the latest confirmation with its time as durations, which are valid on
+// any host. received is when the Sync call arrived.
 func (f *freshness) report(received, now time.Duration) follow.Freshness {
 	latest := f.latest.Load()
 	if latest == nil {
--- a/ingress/accounts.go
+++ b/ingress/accounts.go
@@ -26,9 +26,9 @@
 
 // keyLeaseFraction is the fraction of RevokedWithin for which a gateway serves keys after
 // its catalog was last confirmed. The rest allows for clock drift between hosts. A host
-// that can't reach the control hosts for 0.6 of the bound isn't expected to serve. With
-// 0.95 it still serves for 4.7 s of a bound of 5 s. That is longer than the loss of a
-// leader (2.3 s) plus the usual interval between confirmations (1.2 s).
+// need not serve keys once it has been unable to reach the control hosts for 0.6 of the
+// bound. With 0.95 it serves them for 4.7 s of a bound of 5 s, which is longer than the
+// loss of a leader (2.3 s) plus the usual interval between confirmations (1.2 s).
 const keyLeaseFraction = 0.95
 
 // keyLeaseRetryAfter is the Retry-After of a gateway without a key lease. Network
@@ -50,7 +50,7 @@
 	return now - freshAsOf, float64(now-freshAsOf) < keyLeaseFraction*float64(k.RevokedWithin)
 }
 
-// unknownAge is the age of a catalog that was never confirmed.
+// unknownAge stands for the age of a catalog that was never confirmed.
 const unknownAge = -1
 
 func describeAge(age time.Duration) string {
@@ -63,7 +63,8 @@
 // checkAccount finds the client account by the request's key, checks that the request may
 // run in some region, and charges the account's allowance. For a request that was handed
 // over, this gateway authenticates the key again, against its own catalog, but only the
-// entry host charges the allowance.
+// entry host charges the allowance. Requests of public routes need no key and aren't
+// charged.
 func (s *Server) checkAccount(x *exchange) error {
 	if !x.catalog.table.HasAccounts() {
 		return nil
@@ -103,7 +104,7 @@
 	return len(regions) > 0
 }
 
-// chargeAllowance charges the request to the account's allowance: its rate limit, given
+// chargeAllowance charges the request to the account's allowance: its rate limit, stated
 // as a rate, a burst and a window. A request is charged once, however often it is sent to
 // engines.
 func (s *Server) chargeAllowance(x *exchange) error {
--- a/ingress/accounts_test.go
+++ b/ingress/accounts_test.go
@@ -89,7 +89,8 @@
 
 // TestKeysAreServedUnderALease guards against serving a revoked key after the bound
 // RevokedWithin. If the catalog was not confirmed recently enough, requests with keys are
-// rejected as not run, and public routes continue. A revoked key is unknown at once.
+// rejected as not run, and public routes are still served. A revoked key is unknown as soon
+// as the catalog without it is applied.
 func TestKeysAreServedUnderALease(t *testing.T) {
 	g, _ := setUp(t)
 	var now, confirmedAt atomic.Int64
@@ -146,7 +147,7 @@
 	declareAccounts(kano, accounts[:1])
 	kano.server.ApplyState(ledger.State{Index: 9, Catalog: catalog.Catalog{Version: 9, Routes: testCatalog.Routes, Services: testCatalog.Services, Accounts: accounts[:1]}})
 	result = do(t, lagos, requestWithKeys("/safe/1", "k-away"))
-	must.True(t, result.Promised(), must.Sprint("the other gateway's catalog has the key revoked"))
+	must.True(t, result.Promised(), must.Sprint("the key is revoked in the other gateway's catalog"))
 }
 
 // TestAllowanceIsRefundedIfNoEngineRan checks that a request that no engine ran doesn't
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -21,7 +21,7 @@
 // buffered completely before any of it is sent, so that a truncated one can be retried.
 const maxBufferedAnswer = 256 << 10
 
-// relayAnswer sends an engine's or a peer gateway's answer to the caller. If it fails
+// relayAnswer sends an engine's or another gateway's answer to the caller. If it fails
 // before x.answerStarted is set, the caller has received nothing and another attempt is
 // possible. onFirstByte is called once the first bytes of the body have arrived; it may
 // be nil.
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -26,7 +26,7 @@
 	unreachable  int      // attempts that reached none
 	mayHaveRun   bool     // an engine may have run the request
 	lastErr      error
-	lastEventID  string // of the last stream event sent to the caller
+	lastEventID  string // of the last stream event that the caller has
 }
 
 // runAttempts sends the request to engines of the local region until one answers or no
@@ -62,7 +62,7 @@
 	return &request.NotRun{Reason: request.ReasonNoEngine, Message: p.lastErr.Error(), RetryAfter: wait}
 }
 
-// engineRetryAfter is the least Retry-After when engines rejected the request or could not
+// engineRetryAfter is the minimum Retry-After when engines rejected the request or could not
 // be reached. Other engines replace them within that time.
 const engineRetryAfter = 200 * time.Millisecond
 
@@ -153,8 +153,8 @@
 	return s.relayAnswer(x, resp, func() { x.firstByteAfter = ticket.FirstByte(succeeded) })
 }
 
-// misdirectedAnswer is the error for an engine that has taken over the address of the
-// engine that the request was meant for.
+// misdirectedAnswer is the error for an answer from another engine than the one that the
+// request was sent to: it has taken over that engine's address.
 type misdirectedAnswer struct{ engine string }
 
 // Error implements error.
@@ -163,15 +163,15 @@
 // checkAnswer inspects the head of an engine's answer. It records what the engine signals
 // and returns an error unless the answer can be relayed.
 func (s *Server) checkAnswer(x *exchange, p *progress, ticket *dispatch.Ticket, resp *http.Response) error {
-	v := s.Dialect.DecodeAnswer(resp)
-	s.recordSignals(x, ticket, resp, v)
+	answer := s.Dialect.DecodeAnswer(resp)
+	s.recordSignals(x, ticket, resp, answer)
 	switch {
-	case v.Misdirected:
-		return &misdirectedAnswer{v.Engine}
-	case v.NotRun:
+	case answer.Misdirected:
+		return &misdirectedAnswer{answer.Engine}
+	case answer.NotRun:
 		return relay.NewFailure(true, true, errors.Errorf("engine rejected the request with status %d", resp.StatusCode))
-	case v.ID != x.meta.ID:
-		return relay.NewFailure(false, false, errors.Errorf("the engine answered request %q", v.ID))
+	case answer.ID != x.meta.ID:
+		return relay.NewFailure(false, false, errors.Errorf("the engine answered request %q", answer.ID))
 	case x.answerStarted && resp.StatusCode != http.StatusOK, s.retriesServerError(x, p, resp):
 		return relay.NewFailure(false, false, errors.Errorf("engine failed with status %d", resp.StatusCode))
 	default:
@@ -212,11 +212,11 @@
 	var misdirect *misdirectedAnswer
 	var failure *relay.Failure
 	var callerErr *relay.CallerError
-	var unwanted *dispatch.EngineUnusable
+	var unusable *dispatch.EngineUnusable
 	switch {
 	case err == nil:
 		return dispatch.Answered, false
-	case errors.As(err, &unwanted):
+	case errors.As(err, &unusable):
 		p.unreachable++
 		return dispatch.Unsent, true
 	case errors.As(err, &misdirect):
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -15,8 +15,8 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// crashingProxy is a proxy in front of an engine that simulates a loss of power: open
-// connections are reset at the next write, and new ones fail.
+// crashingProxy is a proxy in front of an engine that simulates the engine's crash: open
+// connections are reset at the next write, and new ones are refused.
 type crashingProxy struct {
 	listener net.Listener
 	upstream string
@@ -85,7 +85,7 @@
 }
 
 // TestUnreachableEnginesDontCountAsSends guards against losing a request when two of three
-// engines lose power while the gateway has pooled connections to them. The first engine
+// engines crash while the gateway has pooled connections to them. The first engine
 // resets the request, which uses up one of two sends. The second send opens a new
 // connection, so the other crashed engine is known not to have received the request, and
 // the third engine answers.
--- a/ingress/dialect.go
+++ b/ingress/dialect.go
@@ -23,7 +23,7 @@
 	Key         catalog.KeyDigest // digest of the API key; "" for none
 }
 
-// TokensUnknown is the number of tokens of a request that doesn't state it.
+// TokensUnknown is the value of RequestMetadata.Tokens if the caller didn't state it.
 const TokensUnknown = -1
 
 // EngineRequest is what the gateway adds to the caller's headers when it sends a request to an
@@ -39,7 +39,7 @@
 
 // AnswerMetadata is the metadata in the head of an engine's answer.
 type AnswerMetadata struct {
-	ID          string           // of the request that it answers
+	ID          string           // of the request that is answered
 	Engine      string           // incarnation that answered; "" if not stated
 	NotRun      bool             // the engine states that it did not run the request
 	Misdirected bool             // another engine answers at this address
@@ -52,16 +52,16 @@
 // Dialect encodes and decodes the platform's headers of callers and engines. This package
 // does not depend on their names.
 type Dialect interface {
-	// Identify decodes a caller's headers. The error is a *request.NotRun.
+	// DecodeRequest decodes a caller's headers. The error is a *request.NotRun.
 	DecodeRequest(header http.Header) (RequestMetadata, error)
-	// Outgoing returns the headers for an engine: the caller's, without those that only
+	// EngineHeader returns the headers for an engine: the caller's, without those that only
 	// the gateway may set, plus those for send. It may modify caller.
 	EngineHeader(caller http.Header, send EngineRequest) http.Header
-	// Continue returns the headers of a caller that resumes the stream after the event
+	// ResumeHeader returns the headers of a caller that resumes the stream after the event
 	// with the ID lastEvent. It may modify caller.
 	ResumeHeader(caller http.Header, lastEvent string) http.Header
-	// Judge decodes the head of an engine's answer.
+	// DecodeAnswer decodes the head of an engine's answer.
 	DecodeAnswer(resp *http.Response) AnswerMetadata
-	// Refuse returns the status and headers of a rejection by the gateway itself.
-	EncodeRejection(refusal request.Refusal) (status int, header http.Header)
+	// EncodeRejection returns the status and headers of a rejection by the gateway itself.
+	EncodeRejection(rejection request.Refusal) (status int, header http.Header)
 }
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -3,9 +3,10 @@
 //
 // A request passes through these stages, each of which may reject it:
 //
-//	receive   decode the headers, then read the body, within the catalog's limits
+//	decode    decode the caller's headers
 //	match     find the route by host and path, and pick a service
 //	account   authenticate the API key and charge the account's allowance
+//	body      read the body into memory, within the catalog's limits
 //	region    run locally, or hand over to a gateway of another region
 //	engine    choose one, by package dispatch
 //	send      by package relay
--- a/ingress/examine.go
+++ b/ingress/examine.go
@@ -30,8 +30,8 @@
 	maxConcurrentProbes = 16
 )
 
-// ProbeSuspects probes the engines that the dispatcher suspects, until ctx ends, and reports
-// those that refuse connections to the dispatcher.
+// ProbeSuspects probes the engines that the dispatcher suspects, until ctx ends. It reports
+// to the dispatcher which of them refuse connections.
 func (s *Server) ProbeSuspects(ctx context.Context) error {
 	group := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	defer group.Wait()
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// regionRetryAfter is the Retry-After if no region can be reached. Network partitions
-	// last for seconds.
+	// regionRetryAfter is the Retry-After if no gateway of a region can be reached.
+	// Network partitions last for seconds.
 	regionRetryAfter = time.Second
 	// maxGatewaysPerRegion bounds the gateways of one region that are tried for one
 	// request.
@@ -28,7 +28,7 @@
 
 // acceptsHandover reports whether requests may be handed over to gateway h.
 func (s *Server) acceptsHandover(h roster.Host) bool {
-	return h.Region != s.Self.Region && !h.Stopping && h.Handover != "" && !s.peerPaths.isExcluded(h, s.Clock())
+	return h.Region != s.Self.Region && !h.Stopping && h.Handover != "" && !s.remotePaths.isExcluded(h, s.Clock())
 }
 
 // runInRegion runs the request locally, or hands it over to a gateway of another region.
@@ -46,7 +46,7 @@
 		if pathBroken, err = s.handOver(x, gateway); !pathBroken {
 			return err
 		}
-		s.peerPaths.markBroken(gateway, s.Clock())
+		s.remotePaths.markBroken(gateway, s.Clock())
 		if !x.mayRetryElsewhere(err) {
 			return err
 		}
@@ -85,14 +85,14 @@
 	resp, err := s.Peers.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + gateway.Handover + x.r.URL.RequestURI(), Host: x.r.Host,
 		Header: header, Body: x.bodyReader(), Length: int64(len(x.body)),
-		Echoes: true, Fresh: !x.route.Repeatable() && !s.peerPaths.answeredRecently(gateway, s.Clock()),
-		Judge:    func(resp *http.Response) error { return x.checkPeerAnswer(resp) },
+		Echoes: true, Fresh: !x.route.Repeatable() && !s.remotePaths.answeredRecently(gateway, s.Clock()),
+		Judge:    func(resp *http.Response) error { return x.checkRemoteAnswer(resp) },
 		Informed: func(header http.Header) { announcedSends.Store(int64(parseSends(header))) },
 	})
 	remote.End()
 	x.progress.sends = max(x.progress.sends, int(announcedSends.Load()))
 	if err == nil {
-		s.peerPaths.recordAnswer(gateway, s.Clock())
+		s.remotePaths.recordAnswer(gateway, s.Clock())
 		defer resp.Body.Close()
 		err = s.relayAnswer(x, resp, nil)
 	}
@@ -107,8 +107,8 @@
 	return pathBroken, err
 }
 
-// classifyHandOverError turns the error of a hand-over into a rejection. The path is not
-// broken if the other gateway itself rejected the request, or if the caller has
+// classifyHandOverError turns the error of a hand-over into the one for the caller. The
+// path is not broken if the other gateway itself rejected the request, or if the caller has
 // disconnected. sendsBefore is how often the request had been sent to engines before the
 // hand-over.
 func (x *exchange) classifyHandOverError(err error, sendsBefore int) (pathBroken bool, final error) {
@@ -126,8 +126,9 @@
 	return x.r.Context().Err() == nil, &request.OutcomeUnknown{Message: err.Error()}
 }
 
-// checkPeerAnswer turns a rejection by another gateway into one by this gateway.
-func (x *exchange) checkPeerAnswer(resp *http.Response) error {
+// checkRemoteAnswer turns a rejection or failure that another gateway reports into an error
+// of this gateway.
+func (x *exchange) checkRemoteAnswer(resp *http.Response) error {
 	x.mergeSends(resp.Header)
 	switch resp.Header.Get(request.HeaderOutcome) {
 	case "":
@@ -140,16 +141,16 @@
 		if err != nil {
 			wait = regionRetryAfter
 		}
-		return &request.NotRun{Reason: peerReason(resp.Header), Message: "the gateway of the other region refused it", RetryAfter: wait}
+		return &request.NotRun{Reason: remoteReason(resp.Header), Message: "the gateway of the other region refused it", RetryAfter: wait}
 	default:
 		return &request.OutcomeUnknown{Message: "the gateway of the other region could not tell"}
 	}
 }
 
-// peerReason maps the reason of another gateway's rejection to one for this gateway. Most
+// remoteReason maps the reason of another gateway's rejection to one for this gateway. Most
 // reasons apply to that region only, so another region may be tried. A request that
 // crashes engines would crash those of the other regions as well.
-func peerReason(header http.Header) request.Reason {
+func remoteReason(header http.Header) request.Reason {
 	if reason := request.Reason(header.Get(request.HeaderReason)); reason == request.ReasonQuarantined {
 		return reason
 	}
@@ -172,9 +173,10 @@
 	return sends
 }
 
-// announceSend tells the gateway that handed the request over, in an informational
+// announceSend announces to the gateway that handed the request over, in an informational
 // response, that this gateway is about to send it to one more engine. If this gateway is
-// lost, the other one has still counted the send.
+// then lost, the other one has still counted the send. A first send needs no announcement:
+// the other gateway counts one if a hand-over that may have arrived fails without an answer.
 func (x *exchange) announceSend() {
 	if !x.handedOver || x.answerStarted || x.progress.sends == 0 {
 		return
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -52,14 +52,14 @@
 	Gateways   func() []roster.Host
 	Engines    *relay.Client
 	Peers      *relay.Client // sends requests to gateways of other regions
-	Dialer     relay.Dialer  // opens connections to suspected engines
+	Dialer     relay.Dialer  // opens connections that probe suspected engines
 	Log        *zap.Logger
 	Metrics    *telemetry.Metrics
 	Random     func() uint64
 	// Clock is the clock for deadlines and estimates. It continues while the host is
 	// suspended, so that no engine gets more time than its caller has left.
 	Clock       func() time.Time
-	StopTimeout time.Duration // for requests in flight after Run's context ends
+	StopTimeout time.Duration // time for requests in flight to finish after Run's context ends
 	KeyLease    KeyLease
 	Allowances  *allowance.Meter // nil if allowances are not enforced
 	Regions     []string         // all regions of the deployment
@@ -73,7 +73,7 @@
 	inFlight      atomic.Int64
 	stopping      atomic.Bool
 
-	peerPaths pathTable
+	remotePaths pathTable
 }
 
 // catalogSnapshot is the catalog as of one index of the ledger.
--- a/ingress/left.go
+++ b/ingress/left.go
@@ -21,7 +21,7 @@
 }
 
 // callerDisconnected reports whether the caller has already closed its connection. An
-// overloaded gateway reads requests of callers that have long since gone to another one.
+// overloaded gateway reads requests of callers that have long since retried elsewhere.
 // net/http notices this only some time after it has read the request, when an engine may
 // have received it. If the state can't be determined, the result is false.
 func callerDisconnected(r *http.Request) bool {
--- a/ingress/paths.go
+++ b/ingress/paths.go
@@ -17,15 +17,16 @@
 	// answerFreshFor is how recent a gateway's last answer must be for a request that is
 	// not repeatable to reuse a connection. In a network partition a request sent on a
 	// pooled connection is lost, while opening a new connection fails safely. But that
-	// takes a round trip: 110 ms of a target of 300 to 800 ms between the users' regions.
+	// takes a round trip: 110 ms between the users' regions, of a latency target of 300 to
+	// 800 ms.
 	answerFreshFor = 500 * time.Millisecond
 )
 
 // pathTable holds the state of the network paths to gateways of other regions. The zero
 // value is empty and ready to use. It is safe for concurrent use.
 type pathTable struct {
-	mu     sync.Mutex
-	byPeer map[string]*path // by the gateway's name and incarnation
+	mu        sync.Mutex
+	byGateway map[string]*path // by the gateway's name and incarnation
 }
 
 // path is the network path to one gateway.
@@ -34,24 +35,24 @@
 	lastAnswer    time.Time
 }
 
-// entry returns the path to a gateway, creating it if needed. A restarted gateway has a new
-// entry. The caller holds the lock.
+// entry returns the path to a gateway. If there is none, as after a restart of the gateway,
+// it creates one and removes the outdated ones. The caller holds the lock.
 func (p *pathTable) entry(h roster.Host, now time.Time) *path {
 	key := h.Name + "/" + h.Life
-	found, ok := p.byPeer[key]
+	found, ok := p.byGateway[key]
 	if ok {
 		return found
 	}
-	if p.byPeer == nil {
-		p.byPeer = make(map[string]*path)
+	if p.byGateway == nil {
+		p.byGateway = make(map[string]*path)
 	}
-	for otherKey, other := range p.byPeer {
+	for otherKey, other := range p.byGateway {
 		if now.After(other.excludedUntil) && now.Sub(other.lastAnswer) > answerFreshFor {
-			delete(p.byPeer, otherKey)
+			delete(p.byGateway, otherKey)
 		}
 	}
 	found = &path{}
-	p.byPeer[key] = found
+	p.byGateway[key] = found
 	return found
 }
 
@@ -74,7 +75,7 @@
 func (p *pathTable) isExcluded(h roster.Host, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found, ok := p.byPeer[h.Name+"/"+h.Life]
+	found, ok := p.byGateway[h.Name+"/"+h.Life]
 	return ok && now.Before(found.excludedUntil)
 }
 
@@ -82,6 +83,6 @@
 func (p *pathTable) answeredRecently(h roster.Host, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found, ok := p.byPeer[h.Name+"/"+h.Life]
+	found, ok := p.byGateway[h.Name+"/"+h.Life]
 	return ok && now.Sub(found.lastAnswer) <= answerFreshFor
 }
--- a/ingress/place.go
+++ b/ingress/place.go
@@ -93,7 +93,7 @@
 	}
 	choice := s.Dispatcher.ChooseRegion(x.dispatchRequest(nil), local, reachable)
 	if !local && choice.Region == s.Self.Region {
-		// No state of the other regions is known: choose a random one.
+		// The state of the other regions is unknown: choose a random one.
 		choice.Region = reachable[s.Random()%uint64(len(reachable))]
 	}
 	s.Log.Info("region chosen", x.logFields(zap.String("region", choice.Region), zap.Duration("here", choice.LocalCost), zap.Duration("there", choice.Cost), zap.Duration("queue", choice.Queue), zap.Bool("home", choice.IsHome))...)
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -1,4 +1,5 @@
-// This file defines the first stages: receive and match.
+// This file defines the first stages: decoding the headers, matching the route and reading
+// the body.
 
 package ingress
 
@@ -21,7 +22,7 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// exchange is one request and its state on the way through the stages.
+// exchange is one request and its state as it passes through the stages.
 type exchange struct {
 	w        http.ResponseWriter
 	r        *http.Request
@@ -30,14 +31,14 @@
 	route    catalog.Route
 	service  string
 	account  catalog.Account
-	keyValid bool             // the request has a key of account
-	charged  *allowance.Grant // what was charged to the account's allowance
+	keyValid bool             // the request carries a valid key of account
+	charged  *allowance.Grant // the charge to the account's allowance; nil for none
 	body     []byte
 	// fingerprint is the same for each repeat of the request.
 	fingerprint    quarantine.Fingerprint
 	startedAt      time.Time
 	deadline       time.Time
-	handedOver     bool // by another gateway: it runs in the local region
+	handedOver     bool // by another gateway; the request runs in the local region
 	triedRegions   []string
 	answerStarted  bool // the answer's head was sent to the caller
 	chunked        bool // the answer's head stated no length
@@ -71,7 +72,7 @@
 	}
 }
 
-// receive decodes the headers, finds the route, checks the account and reads the body.
+// receive decodes the headers, matches the route, checks the account and reads the body.
 func (s *Server) receive(x *exchange) error {
 	remaining := time.Duration(0)
 	if !x.handedOver {
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// writeRejection writes the final answer of a request that no engine has answered.
+// writeRejection ends a request that was rejected or has failed: it writes the final
+// answer, or truncates the one that has begun.
 func (s *Server) writeRejection(x *exchange, rejection request.Refusal) {
 	outcome := request.OutcomeUnknownValue
 	reason := "outcome_unknown"
--- a/ingress/suspension_test.go
+++ b/ingress/suspension_test.go
@@ -14,7 +14,7 @@
 
 // TestDeadlineIncludesTimeSuspended guards against granting an engine more time than the
 // caller has left. A gateway is suspended after the first send of a request, while the clock
-// of contexts stands still. The second engine gets the time that the caller then has left,
+// of contexts stops. The second engine gets the time that the caller then has left,
 // and none is tried if there is none. By the clock of contexts it would get a whole second
 // again.
 func TestDeadlineIncludesTimeSuspended(t *testing.T) {
--- a/pushback/table.go
+++ b/pushback/table.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// trialTimeout is how long a trial request without a response keeps other requests
-	// away. A rejection arrives within a round trip, so a server that hasn't answered by
+	// trialTimeout is how long a trial request without a response excludes other
+	// requests. A rejection arrives within a round trip, so a server that hasn't answered by
 	// then has accepted the request and may get another one.
 	trialTimeout = 200 * time.Millisecond
 	// entryTTL is how long an entry is kept after the server's last signal and the end of
@@ -24,7 +24,7 @@
 	Draining                     // it announced that it is draining
 )
 
-// String returns the word used in logs.
+// String returns the value used in logs.
 func (r Reason) String() string { return [...]string{"", "resting", "trying", "leaving"}[r] }
 
 // Exclusion says why a server is excluded, since when and until when.
@@ -164,8 +164,9 @@
 	}
 }
 
-// Expire drops the servers that have asked for nothing for entryTTL, and the draining
-// ones among them only if known returns false. The owner calls it periodically.
+// Expire drops the servers whose last signal and backoff ended more than entryTTL ago. It
+// keeps draining servers as long as known reports that they are registered. The owner calls
+// it periodically.
 func (t *Table) Expire(known func(id uint64) bool, now time.Time) {
 	for id, s := range t.servers {
 		last := s.lastSeen
--- a/pushback/table_test.go
+++ b/pushback/table_test.go
@@ -12,7 +12,7 @@
 
 const server = 7 // the server of most tests
 
-// at returns the time so many milliseconds after the start.
+// at returns the time ms milliseconds after the start.
 func at(ms int) time.Time { return noon.Add(time.Duration(ms) * time.Millisecond) }
 
 func backoff(ms int) pushback.Signal {
@@ -89,9 +89,9 @@
 	must.Eq(t, pushback.Counts{Backoffs: 1, Overridden: 1, Excluded: 1}, table.Counts(server))
 }
 
-// TestForget guards against dropping a server that is draining or backing off, and
+// TestExpire guards against dropping a server that is draining or backing off, and
 // against keeping one that is unknown.
-func TestForget(t *testing.T) {
+func TestExpire(t *testing.T) {
 	known := func(uint64) bool { return true }
 	gone := func(uint64) bool { return false }
 	table := pushback.New()
--- a/pushback/word_test.go
+++ b/pushback/word_test.go
@@ -14,8 +14,8 @@
 // noon is the gateway's time of day in every test.
 var noon = time.Date(2026, time.March, 1, 12, 0, 0, 0, time.UTC)
 
-// TestRead checks every form of Retry-After, on rejections and on other responses.
-func TestRead(t *testing.T) {
+// TestParse checks every form of Retry-After, on rejections and on other responses.
+func TestParse(t *testing.T) {
 	date := func(t time.Time) string { return t.Format(http.TimeFormat) }
 	cases := []struct {
 		name     string
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -27,8 +27,8 @@
 	// quarantined requests are also resent periodically, see repeatsPerMessage.
 	localSends  = 3
 	remoteSends = 2
-	// maxReports limits the reports of one message, to some 600 bytes. A crashing engine
-	// typically runs about ten requests of one gateway.
+	// maxReports is the number of reports, some 600 bytes, at which a message gets no
+	// further changes. A crashing engine typically runs about ten requests of one gateway.
 	maxReports = 32
 	// maxQueued limits the requests whose changes wait to be sent. When many engines
 	// crash at once, the requests with the most crashes are sent first.
@@ -49,7 +49,7 @@
 
 func newQueue(sends int) queue { return queue{sends: sends, remaining: make(map[Fingerprint]int)} }
 
-// push schedules a request for sending. When the queue is full, the oldest request is
+// push schedules a request for sending. When the queue is full, the request at its head is
 // dropped.
 func (q *queue) push(f Fingerprint) {
 	if _, queued := q.remaining[f]; !queued {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// Summary returns as many reports as one message holds, for hosts that are polled
+// Summary returns the reports that fill one message, for hosts that are polled
 // periodically: the requests with the most crashes first, and of those the ones with the
 // latest crash.
 func (t *Table) Summary(now time.Time) []CrashReport {
@@ -161,7 +161,7 @@
 const maxAge = 1<<16 - 1
 
 // AddAge returns reports that were received earlier, with the time since then added to
-// their ages. It drops those that become older than a report can say.
+// their ages. It drops those that become older than a report can represent.
 func AddAge(reports []CrashReport, d time.Duration) []CrashReport {
 	var out []CrashReport
 	for _, r := range reports {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// crashThreshold is how many engines may crash under a request before it is
-	// quarantined. Few requests that merely ran next to the cause, or on hosts that lost
-	// power, see a second crash, let alone a third (TestPowerLossQuarantinesNothing).
+	// crashThreshold is the number of engine crashes at which a request is quarantined.
+	// Few requests that merely ran next to the cause, or on hosts that lost power, see a
+	// second crash, let alone a third (TestPowerLossQuarantinesNothing).
 	crashThreshold = 3
 	// A request is quarantined for baseQuarantine after the third crash; the time doubles
 	// with each further crash, up to maxQuarantine. Faults that crash engines are fixed
@@ -123,7 +123,7 @@
 	if until, quarantined := e.quarantinedUntil(); quarantined && now.Before(until) {
 		return &RejectedError{Crashes: len(e.crashes), RetryAfter: until.Sub(now)}
 	}
-	// Only one at a time: a caller that sends the request ten times a second would
+	// Only one may run at a time: a caller that sends the request ten times a second would
 	// otherwise crash as many engines before the next crash is detected.
 	if t.running[f] > 0 {
 		return &RejectedError{Crashes: len(e.crashes), RetryAfter: concurrentRetryAfter, Running: true}
@@ -139,7 +139,7 @@
 	}
 }
 
-// End records that a request's send is over. If an engine answered, the request isn't the
+// End records that a request's send has ended. If an engine answered, the request isn't the
 // cause of the earlier crashes, and they are cleared.
 func (t *Table) End(f Fingerprint, answered bool, now time.Time) {
 	if f == 0 {
@@ -227,9 +227,9 @@
 	return e
 }
 
-// evictIfFull makes room for an entry. If the table is full, it removes expired entries,
-// and if there are none, the entry with the fewest crashes; of those the one whose last
-// crash is the oldest. Thus quarantined requests survive a burst of unrelated crashes.
+// evictIfFull ensures that an entry can be added. If the table is full, it removes expired
+// entries, and if there are none, the entry with the fewest crashes; of those the one whose
+// last crash is the oldest. Thus quarantined requests survive a burst of unrelated crashes.
 func (t *Table) evictIfFull(now time.Time) {
 	if len(t.entries) < maxEntries {
 		return
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// suspicionTTL is how long an engine stays suspected after a connection broke. A
-	// crashed engine is removed from the registry after 3.5 missed heartbeats, or about
-	// 4 s.
+	// suspicionTTL is how long an engine stays suspected after a connection broke. It
+	// exceeds the 3.5 missed heartbeats, about 4 s, after which the registry removes a
+	// crashed engine.
 	suspicionTTL = 10 * time.Second
 	// maxRequestsPerSuspect limits the requests recorded per suspected engine. An engine
 	// runs fewer at once for one gateway.
@@ -42,16 +42,16 @@
 func NewCrashDetector() *CrashDetector { return &CrashDetector{suspects: make(map[string]*suspect)} }
 
 // RecordBreak records that the connection of a request to an engine broke. It reports whether
-// the engine wasn't suspected before, so that the caller should check on it.
-func (w *CrashDetector) RecordBreak(engine string, f Fingerprint, now time.Time) (first bool) {
-	w.expire(now)
-	s, ok := w.suspects[engine]
+// the engine wasn't suspected before, so that the caller should probe it.
+func (d *CrashDetector) RecordBreak(engine string, f Fingerprint, now time.Time) (first bool) {
+	d.expire(now)
+	s, ok := d.suspects[engine]
 	if !ok {
-		if len(w.suspects) >= maxSuspects {
+		if len(d.suspects) >= maxSuspects {
 			return false
 		}
 		s = &suspect{}
-		w.suspects[engine] = s
+		d.suspects[engine] = s
 	}
 	s.lastBreak = now
 	if len(s.requests) < maxRequestsPerSuspect {
@@ -62,32 +62,32 @@
 
 // RecordAnswer records that an engine answered a request sent at the given time. If all
 // connections broke before that, the engine didn't crash and is no longer suspected.
-func (w *CrashDetector) RecordAnswer(engine string, sent time.Time) {
-	if s, ok := w.suspects[engine]; ok && s.lastBreak.Before(sent) {
-		delete(w.suspects, engine)
+func (d *CrashDetector) RecordAnswer(engine string, sent time.Time) {
+	if s, ok := d.suspects[engine]; ok && s.lastBreak.Before(sent) {
+		delete(d.suspects, engine)
 	}
 }
 
-// ConfirmCrash reports that an engine has crashed. It returns the requests whose connections
+// ConfirmCrash records that an engine has crashed. It returns the requests whose connections
 // broke with it, once.
-func (w *CrashDetector) ConfirmCrash(engine string) []Fingerprint {
-	s, ok := w.suspects[engine]
+func (d *CrashDetector) ConfirmCrash(engine string) []Fingerprint {
+	s, ok := d.suspects[engine]
 	if !ok {
 		return nil
 	}
-	delete(w.suspects, engine)
+	delete(d.suspects, engine)
 	return s.requests
 }
 
 // Suspects lists the suspected engines.
-func (w *CrashDetector) Suspects() []string { return slices.Collect(maps.Keys(w.suspects)) }
+func (d *CrashDetector) Suspects() []string { return slices.Collect(maps.Keys(d.suspects)) }
 
 // expire removes the suspects that neither crashed nor answered in time: they are still
 // registered, but get no request that would show whether they are alive.
-func (w *CrashDetector) expire(now time.Time) {
-	for engine, s := range w.suspects {
+func (d *CrashDetector) expire(now time.Time) {
+	for engine, s := range d.suspects {
 		if now.Sub(s.lastBreak) > suspicionTTL {
-			delete(w.suspects, engine)
+			delete(d.suspects, engine)
 		}
 	}
 }
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -47,34 +47,34 @@
 // the event didn't show that the engine was alive.
 func TestBreakCountsOnlyIfEngineCrashes(t *testing.T) {
 	for name, test := range map[string]struct {
-		event   func(w *quarantine.CrashDetector)
+		event   func(d *quarantine.CrashDetector)
 		crashed []quarantine.Fingerprint
 	}{
 		"no event": {func(*quarantine.CrashDetector) {}, []quarantine.Fingerprint{1, 2}},
-		"answers a request sent after the breaks":  {func(w *quarantine.CrashDetector) { w.RecordAnswer("e", start.Add(2*time.Second)) }, nil},
-		"answers a request sent before the breaks": {func(w *quarantine.CrashDetector) { w.RecordAnswer("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"another engine answers":                   {func(w *quarantine.CrashDetector) { w.RecordAnswer("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
-		"no answer or crash for a minute":          {func(w *quarantine.CrashDetector) { w.RecordBreak("f", 3, start.Add(time.Minute)) }, nil},
+		"answers a request sent after the breaks":  {func(d *quarantine.CrashDetector) { d.RecordAnswer("e", start.Add(2*time.Second)) }, nil},
+		"answers a request sent before the breaks": {func(d *quarantine.CrashDetector) { d.RecordAnswer("e", start.Add(-time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"another engine answers":                   {func(d *quarantine.CrashDetector) { d.RecordAnswer("f", start.Add(2*time.Second)) }, []quarantine.Fingerprint{1, 2}},
+		"no answer or crash for a minute":          {func(d *quarantine.CrashDetector) { d.RecordBreak("f", 3, start.Add(time.Minute)) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := quarantine.NewCrashDetector()
-			must.True(t, w.RecordBreak("e", 1, start))
-			must.False(t, w.RecordBreak("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
-			test.event(w)
-			must.Eq(t, test.crashed, w.ConfirmCrash("e"))
-			must.SliceEmpty(t, w.ConfirmCrash("e"), must.Sprint("each crash returns its requests once"))
+			d := quarantine.NewCrashDetector()
+			must.True(t, d.RecordBreak("e", 1, start))
+			must.False(t, d.RecordBreak("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
+			test.event(d)
+			must.Eq(t, test.crashed, d.ConfirmCrash("e"))
+			must.SliceEmpty(t, d.ConfirmCrash("e"), must.Sprint("each crash returns its requests once"))
 		})
 	}
 }
 
 // TestSuspectsAreBounded breaks more connections than the detector records.
 func TestSuspectsAreBounded(t *testing.T) {
-	w := quarantine.NewCrashDetector()
+	d := quarantine.NewCrashDetector()
 	for engine := range 1000 {
 		for f := range quarantine.Fingerprint(200) {
-			w.RecordBreak(fmt.Sprint(engine), f, start)
+			d.RecordBreak(fmt.Sprint(engine), f, start)
 		}
 	}
-	must.SliceLen(t, 128, w.Suspects())
-	must.SliceLen(t, 128, w.ConfirmCrash("0"))
+	must.SliceLen(t, 128, d.Suspects())
+	must.SliceLen(t, 128, d.ConfirmCrash("0"))
 }
