--- a/controller/engines.go
+++ b/controller/engines.go
@@ -82,7 +82,7 @@
 	}
 	fields := []zap.Field{zap.String("engine", engine), zap.Uint64("number", number), zap.Duration("waited", c.Clock().Sub(started))}
 	if len(unacknowledged) > 0 {
-		c.Log.Warn("engine answered before all gateways that follow this host acknowledged its state", append(fields, zap.Int("gateways", len(unacknowledged)), zap.String("one", unacknowledged[0]))...)
+		c.Log.Warn("engine answered before all gateways acknowledged its state", append(fields, zap.Int("gateways", len(unacknowledged)), zap.String("one", unacknowledged[0]))...)
 		return
 	}
 	c.Log.Info("gateways that follow this host acknowledged the engine's state", fields...)
