--- a/control/matters.go
+++ b/control/matters.go
@@ -8,10 +8,10 @@
 	"github.com/linenscale/linenscale/permit"
 )
 
-// Matters lists the data centres whose hosts or engines may serve something
+// AffectedDataCentres lists the data centres whose hosts or engines may serve something
 // else after a change. Hosts send requests to engines of their whole region, so
 // an engine matters to each data centre of its region.
-func Matters(before, after declare.Config, change declare.Change) []string {
+func AffectedDataCentres(before, after declare.Config, change declare.Change) []string {
 	m := &matters{before: before, after: after, found: map[string]bool{}, services: map[string]bool{}}
 	for _, ref := range refsOf(change) {
 		old, _ := before.Get(ref)
--- a/control/state.go
+++ b/control/state.go
@@ -253,7 +253,7 @@
 		}
 		return s.remember(p.Change.ID, digest, out)
 	}
-	matters := Matters(s.view.Config, next, p.Change)
+	matters := AffectedDataCentres(s.view.Config, next, p.Change)
 	if now == 0 {
 		matters = nil // nobody can serve under an earlier configuration
 	}
--- a/control/tally.go
+++ b/control/tally.go
@@ -35,8 +35,8 @@
 	Decide time.Duration // longest wait for acknowledgements
 }
 
-// Wait is how long a lease must be waited out, by any other clock.
-func (t Timing) Wait() time.Duration {
+// LeaseWait is how long a lease must be waited out, by any other clock.
+func (t Timing) LeaseWait() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + raft.DriftShare))
 }
 
@@ -73,8 +73,8 @@
 	return renewed
 }
 
-// Heard gives when a host last reported, and its report.
-func (t *Tally) Heard(host string) (HostReport, time.Time) {
+// LastReport gives when a host last reported, and its report.
+func (t *Tally) LastReport(host string) (HostReport, time.Time) {
 	h := t.hosts[host]
 	return h.report, h.heard
 }
@@ -143,7 +143,7 @@
 	if t.all(HostsOf(view.Config, dc), view.Seq) && t.all(after, view.Seq) && t.noGrants(now, dc) {
 		return acknowledged
 	}
-	if now.Sub(t.majorityAt[dc]) >= t.timing.Wait() {
+	if now.Sub(t.majorityAt[dc]) >= t.timing.LeaseWait() {
 		return acknowledged
 	}
 	return waiting
--- a/control/tally_test.go
+++ b/control/tally_test.go
@@ -75,7 +75,7 @@
 	acknowledge(tally, now, view, "a", "b")
 	must.False(t, tally.Decide(now, view).Decided)
 	must.False(t, tally.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a slow clock may still hold a lease"))
-	must.Eq(t, control.Decision{Decided: true, Accept: true}, tally.Decide(now.Add(timing.Wait()), view))
+	must.Eq(t, control.Decision{Decided: true, Accept: true}, tally.Decide(now.Add(timing.LeaseWait()), view))
 }
 
 func TestAllAcknowledgedNeedNoWait(t *testing.T) {
@@ -126,7 +126,7 @@
 	tally, now := control.NewTally(timing), time.Now()
 	acknowledge(tally, now, view, "a", "x", "y")
 	tally.Decide(now, view)
-	must.False(t, tally.Decide(now.Add(timing.Wait()), view).Accept, must.Sprint("b and c could still renew each other"))
+	must.False(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c could still renew each other"))
 	acknowledge(tally, now, view, "b", "c")
 	must.True(t, tally.Decide(now, view).Accept)
 }
@@ -137,14 +137,14 @@
 	tally, now := control.NewTally(timing), time.Now()
 	acknowledge(tally, now, view, "a")
 	tally.Decide(now, view)
-	must.True(t, tally.Decide(now.Add(timing.Wait()), view).Accept)
+	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept)
 }
 
 func TestDataCentreThatIsGoneForGood(t *testing.T) {
 	s := started(t, hostIn("z", "e", declare.HostGone))
 	tally, now := control.NewTally(timing), time.Now()
 	must.False(t, tally.Decide(now, s.View()).Decided, must.Sprint("a lease may still run there"))
-	must.True(t, tally.Decide(now.Add(timing.Wait()), s.View()).Accept)
+	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
 }
 
 func TestChangeMattersOnlyWhereItAltersWhatIsServed(t *testing.T) {
