--- a/control/doc.go
+++ b/control/doc.go
@@ -1,15 +1,16 @@
-// Package control holds the configuration as a replicated state machine, and
-// decides when a change is in force.
+// Package control replicates the configuration as a state machine over a Raft log
+// and decides when a change becomes effective.
 //
-// A change goes through the log twice. First as proposed: hosts that learn of
-// it acknowledge it, which means that from then on they serve only what both
-// the old and the new configuration permit. Then as decided: accepted, when in
-// each data centre that it matters to a majority of the hosts has acknowledged
-// it and the leases of the others have run out; or refused, when some data
-// centre can't be reached in time. Since both steps are entries of one log,
-// they are decided by the log alone, whichever leader asks, and a proposed
-// change that a lost leader left behind is decided by the next.
+// A change takes two log entries. The first proposes it. Each host that receives
+// the proposal acknowledges it and from then on serves only what both the old and
+// the new configuration permit. The second entry decides it. The change is accepted
+// once, in every data centre that it affects, a majority of the hosts has
+// acknowledged it and the leases of the other hosts have expired. It is refused if
+// some data centre stays without a majority until the timeout. Because both steps
+// are entries of the same log, the log alone orders them, whichever leader proposes
+// them, and a new leader decides a change that its predecessor left pending.
 //
-// State is the state machine. Tally is what a leader knows of the hosts, and
-// decides from it. Both are plain values without goroutines or clocks.
+// State is the replicated state machine. Tally is a leader's record of the hosts'
+// reports, from which it derives decisions. Both are plain values without
+// goroutines or clocks.
 package control
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -16,7 +16,7 @@
 	"github.com/linenscale/linenscale/internal/simlog"
 )
 
-// seeds gives how many seeds a history test runs: few in CI, more by
+// seeds returns the number of seeds that a history test runs: few in CI, more under
 // "make soak".
 func seeds(t *testing.T) uint64 {
 	t.Helper()
@@ -28,8 +28,8 @@
 	return 12
 }
 
-// The operations of a history: a change made from a revision, which wins or is
-// stale, and a read of the revision in force.
+// Operations of a history: a change based on a revision, which is accepted or stale,
+// and a read of the effective revision.
 type (
 	input struct {
 		read bool
@@ -37,13 +37,13 @@
 		id   string
 	}
 	output struct {
-		known    bool // false: the answer was lost for good
+		known    bool // false if no reply ever arrived
 		status   control.Status
 		revision uint64
 	}
 )
 
-// model is what one copy of the control log would do.
+// model is the sequential specification: a single copy of the control log.
 var model = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
@@ -51,18 +51,18 @@
 		if i.read {
 			return !o.known || o.revision == revision, revision
 		}
-		wins := i.base == revision
+		accepted := i.base == revision
 		next := revision
-		if wins {
+		if accepted {
 			next++
 		}
 		switch {
 		case !o.known:
 			return true, next
 		case o.status == control.StatusAccepted:
-			return wins && o.revision == next, next
+			return accepted && o.revision == next, next
 		case o.status == control.StatusStale:
-			return !wins && o.revision == revision, revision
+			return !accepted && o.revision == revision, revision
 		default:
 			return false, revision
 		}
@@ -70,52 +70,52 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// operator sends changes and reads, one after the other, and sends a change
-// again with its ID until it has an answer.
+// operator sends one change or read at a time and resends it, with the same ID, until
+// it gets a reply.
 type operator struct {
-	client  int
-	cluster *simlog.Cluster
-	history *[]porcupine.Operation
-	seen    uint64 // newest revision that it knows
+	client       int
+	cluster      *simlog.Cluster
+	history      *[]porcupine.Operation
+	lastRevision uint64 // in the last reply; the base of the next change
 
-	in      input
-	change  declare.Change
-	called  time.Time
-	busy    bool
-	waiting bool // for an answer to what was sent last
-	sentAt  time.Time
-	count   int
-	sends   int
+	in            input
+	change        declare.Change
+	calledAt      time.Time
+	active        bool
+	awaitingReply bool // to the latest attempt
+	sentAt        time.Time
+	count         int
+	attempts      int
 }
 
-const patience = 3 * time.Second
+const replyTimeout = 3 * time.Second
 
 func (o *operator) step() {
 	c := o.cluster
-	if !o.busy {
+	if !o.active {
 		if c.Random.Float64() < 0.02 {
-			o.begin()
+			o.start()
 		}
 		return
 	}
-	if o.waiting && c.Now.Sub(o.sentAt) < patience {
+	if o.awaitingReply && c.Now.Sub(o.sentAt) < replyTimeout {
 		return
 	}
 	n := c.Nodes[c.Random.IntN(len(c.Nodes))]
 	if !n.Up || n.Paused {
 		return
 	}
-	o.waiting, o.sentAt = true, c.Now
-	o.sends++
-	sent := o.sends
+	o.awaitingReply, o.sentAt = true, c.Now
+	o.attempts++
+	attempt := o.attempts
 	if o.in.read {
 		c.Read(n, func(ok bool) {
-			if sent != o.sends || !o.busy {
+			if attempt != o.attempts || !o.active {
 				return
 			}
-			o.waiting = false
+			o.awaitingReply = false
 			if ok {
-				o.end(output{known: true, revision: n.Machine.(*control.State).View().Config.Revision()})
+				o.finish(output{known: true, revision: n.Machine.(*control.State).View().Config.Revision()})
 			}
 		})
 		return
@@ -125,32 +125,32 @@
 		panic(err)
 	}
 	c.Propose(n, data, func(result any, err error) {
-		if sent != o.sends || !o.busy {
-			return // a lost answer that comes late
+		if attempt != o.attempts || !o.active {
+			return // a late reply to an earlier attempt
 		}
-		o.waiting = false
-		if err == nil && c.Random.Float64() > 0.1 { // some answers are lost
+		o.awaitingReply = false
+		if err == nil && c.Random.Float64() > 0.1 { // lose a tenth of the replies
 			out := result.(control.Outcome)
-			o.end(output{known: true, status: out.Status, revision: out.Revision})
+			o.finish(output{known: true, status: out.Status, revision: out.Revision})
 		}
 	})
 }
 
-func (o *operator) begin() {
-	o.busy, o.waiting, o.called = true, false, o.cluster.Now
+func (o *operator) start() {
+	o.active, o.awaitingReply, o.calledAt = true, false, o.cluster.Now
 	o.count++
-	o.in = input{read: o.cluster.Random.Float64() < 0.4, base: o.seen, id: fmt.Sprintf("op%d-%d", o.client, o.count)}
+	o.in = input{read: o.cluster.Random.Float64() < 0.4, base: o.lastRevision, id: fmt.Sprintf("op%d-%d", o.client, o.count)}
 	region := declare.Region{Name: o.in.id}
-	o.change = declare.Change{ID: o.in.id, Base: o.seen, Puts: []declare.Envelope{{Object: region}}}
+	o.change = declare.Change{ID: o.in.id, Base: o.lastRevision, Puts: []declare.Envelope{{Object: region}}}
 }
 
-func (o *operator) end(out output) {
-	o.busy = false
+func (o *operator) finish(out output) {
+	o.active = false
 	if out.known {
-		o.seen = out.revision
+		o.lastRevision = out.revision
 	}
 	*o.history = append(*o.history, porcupine.Operation{
-		ClientId: o.client, Input: o.in, Call: o.called.UnixNano(), Output: out, Return: o.cluster.Now.UnixNano(),
+		ClientId: o.client, Input: o.in, Call: o.calledAt.UnixNano(), Output: out, Return: o.cluster.Now.UnixNano(),
 	})
 }
 
@@ -162,9 +162,9 @@
 	})
 }
 
-// TestHistoriesAreLinearizable lets operators race while replicas crash with
-// loss of unsynced bytes, pause, and are cut off silently. Whatever they are
-// told must fit one copy of the log.
+// TestHistoriesAreLinearizable checks the replies to concurrent operators against a
+// single copy of the log, while replicas crash and lose unsynced bytes, pause, and
+// are partitioned.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range seeds(t) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -175,7 +175,7 @@
 			for i := range operators {
 				operators[i] = &operator{client: i, cluster: c, history: &history}
 			}
-			for i := range 12_000 { // a minute
+			for i := range 12_000 { // one simulated minute
 				if i%200 == 199 {
 					c.Disturb()
 				}
@@ -189,12 +189,12 @@
 			}
 			answered := len(history)
 			for _, o := range operators {
-				if o.busy {
-					o.end(output{})
+				if o.active {
+					o.finish(output{})
 					history[len(history)-1].Return = 1 << 62
 				}
 			}
-			must.Greater(t, 20, answered, must.Sprint("too few operations were answered for the history to mean anything"))
+			must.Greater(t, 20, answered, must.Sprint("too few operations completed for a meaningful history"))
 			result, info := porcupine.CheckOperationsVerbose(model, history, time.Minute)
 			if result != porcupine.Ok {
 				_ = info
@@ -207,8 +207,9 @@
 	}
 }
 
-// TestSameStateAfterHundredsOfChanges restarts every replica after 500 changes
-// and compares what they hold, then sends the first change again.
+// TestSameStateAfterHundredsOfChanges guards against state or outcomes lost in a
+// snapshot: it restarts every replica after 500 changes, compares their revisions and
+// resends the first change.
 func TestSameStateAfterHundredsOfChanges(t *testing.T) {
 	c := newCluster(1, 100)
 	c.Run(5 * time.Second)
@@ -229,7 +230,7 @@
 	for _, n := range c.Nodes {
 		must.Eq(t, 500, n.Machine.(*control.State).View().Config.Revision())
 	}
-	must.Eq(t, first, propose(t, c, changeOf("change-0", 0)), must.Sprint("a resent change must get its first answer"))
+	must.Eq(t, first, propose(t, c, changeOf("change-0", 0)), must.Sprint("a resent change must get its first outcome"))
 	other := changeOf("change-0", 0)
 	other.Author = "somebody else"
 	must.Eq(t, control.StatusConflict, propose(t, c, other).Status)
@@ -239,7 +240,8 @@
 	return declare.Change{ID: id, Base: base, Puts: []declare.Envelope{{Object: declare.Region{Name: "region-" + id}}}}
 }
 
-// propose proposes at the leader and waits for the outcome.
+// propose proposes a change to the leader and waits for the outcome. It retries while
+// there is no leader.
 func propose(t *testing.T, c *simlog.Cluster, change declare.Change) control.Outcome {
 	t.Helper()
 	data, err := json.Marshal(control.Command{Propose: &control.Propose{Change: change, At: c.Now}})
@@ -261,6 +263,6 @@
 			c.Step()
 		}
 	}
-	t.Fatal("no outcome")
+	t.Fatal("the change has no outcome after 40 attempts")
 	return out
 }
--- a/control/matters.go
+++ b/control/matters.go
@@ -8,99 +8,106 @@
 	"github.com/linenscale/linenscale/permit"
 )
 
-// AffectedDataCentres lists the data centres whose hosts or engines may serve something
-// else after a change. Hosts send requests to engines of their whole region, so
-// an engine matters to each data centre of its region.
+// AffectedDataCentres returns, in order of names, the data centres in which a change
+// may alter what hosts or engines serve. Hosts send requests to engines in their
+// whole region, so an engine affects every data centre of its region.
 func AffectedDataCentres(before, after declare.Config, change declare.Change) []string {
-	m := &matters{before: before, after: after, found: map[string]bool{}, services: map[string]bool{}}
-	for _, ref := range refsOf(change) {
-		old, _ := before.Get(ref)
-		now, _ := after.Get(ref)
-		if reflect.DeepEqual(old, now) {
+	i := &impact{before: before, after: after, affected: map[string]bool{}, selected: map[string]bool{}}
+	for _, ref := range changedRefs(change) {
+		oldObject, _ := before.Get(ref)
+		newObject, _ := after.Get(ref)
+		if reflect.DeepEqual(oldObject, newObject) {
 			continue
 		}
-		m.object(old)
-		m.object(now)
+		i.addObject(oldObject)
+		i.addObject(newObject)
 	}
-	m.compare()
+	i.addServicesWithNewRules()
 	var out []string
-	for name := range m.found {
+	for name := range i.affected {
 		out = append(out, name)
 	}
 	slices.Sort(out)
 	return out
 }
 
-type matters struct {
+// impact collects the data centres that a change affects.
+type impact struct {
 	before, after declare.Config
-	found         map[string]bool
-	services      map[string]bool // whose rules must be compared
+	affected      map[string]bool
+	selected      map[string]bool // services whose selectors the change touches
 }
 
-func (m *matters) object(object declare.Object) {
+// addObject adds the data centres that a change of the object affects. It only marks
+// the service of a selector: addServicesWithNewRules compares the selectors' effects.
+func (i *impact) addObject(object declare.Object) {
 	switch o := object.(type) {
 	case declare.Region:
-		m.region(o.Name)
+		i.addRegion(o.Name)
 	case declare.DataCentre:
-		m.region(o.Region)
+		i.addRegion(o.Region)
 	case declare.Host:
-		m.found[o.DataCentre] = true
+		i.affected[o.DataCentre] = true
 	case declare.Engine:
-		m.region(m.before.RegionOf(o.DataCentre))
-		m.region(m.after.RegionOf(o.DataCentre))
+		i.addRegion(i.before.RegionOf(o.DataCentre))
+		i.addRegion(i.after.RegionOf(o.DataCentre))
 	case declare.Selector:
-		m.services[o.Service] = true
+		i.selected[o.Service] = true
 	case declare.Service:
-		m.served(o.Name)
+		i.addServingDataCentres(o.Name)
 	}
 }
 
-func (m *matters) region(name string) {
-	for _, config := range []declare.Config{m.before, m.after} {
+// addRegion adds the data centres that a region has in either configuration.
+func (i *impact) addRegion(name string) {
+	for _, config := range []declare.Config{i.before, i.after} {
 		for _, dc := range declare.Each[declare.DataCentre](config) {
 			if dc.Region == name {
-				m.found[dc.Name] = true
+				i.affected[dc.Name] = true
 			}
 		}
 	}
 }
 
-// compare finds the data centres at which the rules of a service differ.
-func (m *matters) compare() {
-	if len(m.services) == 0 {
+// addServicesWithNewRules adds the data centres in which the rules of a selected
+// service differ between the two configurations. If either configuration does not
+// compile, it adds all data centres.
+func (i *impact) addServicesWithNewRules() {
+	if len(i.selected) == 0 {
 		return
 	}
-	old, errOld := permit.New(m.before)
-	now, errNow := permit.New(m.after)
-	homes := regionNames(m.before, m.after)
-	for _, dc := range m.dataCentres() {
-		for service := range m.services {
-			before := permit.Place{Region: m.before.RegionOf(dc), DataCentre: dc}
-			after := permit.Place{Region: m.after.RegionOf(dc), DataCentre: dc}
-			if errOld != nil || errNow != nil || old.Fingerprint(service, before, homes) != now.Fingerprint(service, after, homes) {
-				m.found[dc] = true
+	oldRules, oldErr := permit.New(i.before)
+	newRules, newErr := permit.New(i.after)
+	homeRegions := regionNames(i.before, i.after)
+	for _, dc := range i.allDataCentres() {
+		for service := range i.selected {
+			before := permit.Place{Region: i.before.RegionOf(dc), DataCentre: dc}
+			after := permit.Place{Region: i.after.RegionOf(dc), DataCentre: dc}
+			if oldErr != nil || newErr != nil || oldRules.Fingerprint(service, before, homeRegions) != newRules.Fingerprint(service, after, homeRegions) {
+				i.affected[dc] = true
 			}
 		}
 	}
 }
 
-// served finds the data centres that may serve a service, before or after.
-func (m *matters) served(service string) {
-	homes := regionNames(m.before, m.after)
-	for _, config := range []declare.Config{m.before, m.after} {
+// addServingDataCentres adds the data centres that may serve a service in either
+// configuration.
+func (i *impact) addServingDataCentres(service string) {
+	homeRegions := regionNames(i.before, i.after)
+	for _, config := range []declare.Config{i.before, i.after} {
 		rules, err := permit.New(config)
 		for _, dc := range declare.Each[declare.DataCentre](config) {
 			place := permit.Place{Region: dc.Region, DataCentre: dc.Name}
-			if err != nil || rules.Fingerprint(service, place, homes) != (permit.Rules{}).Fingerprint(service, place, homes) {
-				m.found[dc.Name] = true
+			if err != nil || rules.Fingerprint(service, place, homeRegions) != (permit.Rules{}).Fingerprint(service, place, homeRegions) {
+				i.affected[dc.Name] = true
 			}
 		}
 	}
 }
 
-func (m *matters) dataCentres() []string {
+func (i *impact) allDataCentres() []string {
 	var out []string
-	for _, config := range []declare.Config{m.before, m.after} {
+	for _, config := range []declare.Config{i.before, i.after} {
 		for _, dc := range declare.Each[declare.DataCentre](config) {
 			out = append(out, dc.Name)
 		}
--- a/control/state.go
+++ b/control/state.go
@@ -9,76 +9,77 @@
 	"github.com/linenscale/linenscale/declare"
 )
 
-// Status says what became of a change.
+// Status is the state of a change.
 type Status string
 
-// The statuses. All but StatusPending and StatusBusy are final, and are the
-// answer to the change's ID from then on.
+// Statuses of a change. All except StatusPending and StatusBusy are final: every
+// later proposal with the same ID and content gets the same outcome.
 const (
 	StatusPending  Status = "pending"
-	StatusBusy     Status = "busy" // another change is undecided; nothing was recorded
+	StatusBusy     Status = "busy" // another change is pending; nothing was recorded
 	StatusAccepted Status = "accepted"
-	StatusRefused  Status = "refused" // it could not be in force everywhere it matters
-	StatusStale    Status = "stale"   // made from a revision that isn't the present one
-	StatusInvalid  Status = "invalid" // the configuration would not be sound
-	StatusConflict Status = "conflict"
+	StatusRefused  Status = "refused"  // an affected data centre had no majority in time
+	StatusStale    Status = "stale"    // its base is not the current revision
+	StatusInvalid  Status = "invalid"  // the resulting configuration fails validation
+	StatusConflict Status = "conflict" // its ID belongs to a change with other content
 )
 
-// Outcome is the answer to a change.
+// Outcome is the result of a proposed change.
 type Outcome struct {
 	Status   Status `json:"status"`
-	Revision uint64 `json:"revision"` // now in force, or of the change itself once accepted
+	Revision uint64 `json:"revision"` // the effective one; of an accepted change, its own
 	Why      string `json:"why,omitempty"`
-	// Faults are those of an invalid change.
+	// Faults lists the validation errors of an invalid change.
 	Faults []declare.Fault `json:"faults,omitempty"`
-	// DataCentres are those that the change matters to; of a refused change,
-	// those that could not be reached.
+	// DataCentres lists the data centres that the change affects or, for a refused
+	// change, those without a majority.
 	DataCentres []string `json:"data_centres,omitempty"`
-	// Since lists what was accepted after the revision of a stale change.
+	// Since lists the changes accepted after the base revision of a stale change.
 	Since []Record `json:"since,omitempty"`
 }
 
-// Final tells whether the outcome will not change any more.
+// Final reports whether the outcome is permanent.
 func (o Outcome) Final() bool { return o.Status != StatusPending && o.Status != StatusBusy }
 
-// Record is one accepted change in the history.
+// Record describes one accepted change in the history.
 type Record struct {
 	Revision uint64        `json:"revision"`
 	ID       string        `json:"id"`
 	Author   string        `json:"author"`
-	At       time.Time     `json:"at"` // the proposing leader's clock
+	At       time.Time     `json:"at"` // when it was accepted, by the leader's clock
 	Objects  []declare.Ref `json:"objects"`
 }
 
-// Pending is a change that is proposed and not decided.
+// Pending is a proposed change that is not decided yet.
 type Pending struct {
 	Change declare.Change `json:"change"`
-	Config declare.Config `json:"config"` // as it would be
+	Config declare.Config `json:"config"` // with the change applied
 	At     time.Time      `json:"at"`
-	// Matters lists the data centres whose hosts must acknowledge it.
+	// Matters lists the affected data centres, whose hosts must acknowledge the change.
 	Matters []string `json:"matters"`
 }
 
-// View is what hosts serve under. Seq counts the events that made it.
+// View is the configuration state under which a host serves: the effective
+// configuration and the pending change, if any. Seq is the number of events applied
+// so far.
 type View struct {
 	Seq     uint64         `json:"seq"`
 	Config  declare.Config `json:"config"`
 	Pending *Pending       `json:"pending,omitempty"`
 }
 
-// EventKind says what an event does to a view.
+// EventKind is the effect of an event on a view.
 type EventKind string
 
-// The kinds of event.
+// Kinds of events.
 const (
 	EventProposed EventKind = "proposed"
 	EventAccepted EventKind = "accepted"
 	EventRefused  EventKind = "refused"
 )
 
-// Event is one step from a view to the next. Of a proposed change it carries
-// the change itself, which is as long as the change and not as the
-// configuration.
+// Event is the difference between a view and the next one. A proposal carries the
+// change and not the resulting configuration, so its size depends only on the change.
 type Event struct {
 	Seq     uint64          `json:"seq"`
 	Kind    EventKind       `json:"kind"`
@@ -87,23 +88,23 @@
 	At      time.Time       `json:"at"`
 }
 
-// With gives the view after an event. An event that doesn't follow is an
-// error; the host must then ask for the whole view.
+// With returns the view after an event. It returns an error if the event does not
+// directly follow the view; the host must then fetch the whole view.
 func (v View) With(e Event) (View, error) {
 	if e.Seq != v.Seq+1 {
-		return View{}, errors.Errorf("event %d doesn't follow view %d", e.Seq, v.Seq)
+		return View{}, errors.Errorf("event %d does not follow view %d", e.Seq, v.Seq)
 	}
 	v.Seq = e.Seq
 	switch e.Kind {
 	case EventProposed:
 		config, err := v.Config.With(*e.Change)
 		if err != nil {
-			return View{}, errors.Annotate(err, "a proposed change doesn't apply")
+			return View{}, errors.Annotate(err, "proposed change does not apply to the view")
 		}
 		v.Pending = &Pending{Change: *e.Change, Config: config, At: e.At, Matters: e.Matters}
 	case EventAccepted:
 		if v.Pending == nil {
-			return View{}, errors.New("an accepted change was not proposed")
+			return View{}, errors.New("accepted event without a pending change")
 		}
 		v.Config, v.Pending = v.Pending.Config, nil
 	case EventRefused:
@@ -114,74 +115,77 @@
 	return v, nil
 }
 
-// Command is one entry of the control log. One of its fields is set.
+// Command is the data of one entry of the control log. Exactly one field is set.
 type Command struct {
 	Propose *Propose `json:"propose,omitempty"`
 	Decide  *Decide  `json:"decide,omitempty"`
 }
 
-// Propose proposes a change.
+// Propose is the command that makes a change pending.
 type Propose struct {
 	Change declare.Change `json:"change"`
 	At     time.Time      `json:"at"`
 }
 
-// Decide decides the pending change of that ID.
+// Decide is the command that accepts or refuses the pending change with the given ID.
 type Decide struct {
 	ID     string    `json:"id"`
 	Accept bool      `json:"accept"`
 	Why    string    `json:"why,omitempty"`
-	Cut    []string  `json:"cut,omitempty"` // data centres that could not be reached
+	Cut    []string  `json:"cut,omitempty"` // data centres without a majority
 	At     time.Time `json:"at"`
 }
 
-// Bounds of what the state machine remembers.
+// Limits on the size of the state machine.
 const (
-	// MaxOutcomes is how many changes' outcomes are kept for those who send
-	// a change again: at 30,000 changes a day, two days' worth.
+	// MaxOutcomes is the number of recorded outcomes, kept so that a resent change
+	// gets its first outcome again. It covers two days at 30,000 changes a day.
 	MaxOutcomes = 1 << 16
-	// MaxHistory is how many accepted changes the history holds.
+	// MaxHistory is the number of accepted changes in the history.
 	MaxHistory = 4096
-	// maxEvents is how many events are kept for hosts that are behind; one
-	// that is further behind gets the whole view.
+	// maxEvents is the number of events kept for hosts that lag behind. A host
+	// that lags further gets the whole view.
 	maxEvents = 4096
 )
 
-// known is the remembered outcome of a change.
-type known struct {
+// recordedOutcome is the final outcome of a change. Digest identifies its content, so
+// that another change with the same ID is detected.
+type recordedOutcome struct {
 	Digest  uint64  `json:"digest"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// State is the state machine. NewState makes one.
+// State is the replicated state machine. It is not safe for concurrent use. Use
+// NewState to create one.
 type State struct {
-	view     View
-	outcomes map[string]known
-	order    []string // IDs in outcomes, oldest first
-	history  []Record
-	events   []Event
+	view         View
+	outcomes     map[string]recordedOutcome
+	outcomeOrder []string // IDs in outcomes, oldest first
+	history      []Record
+	events       []Event
 }
 
-// NewState makes the state of an empty log.
-func NewState() *State { return &State{outcomes: make(map[string]known)} }
+// NewState returns the state of an empty log.
+func NewState() *State { return &State{outcomes: make(map[string]recordedOutcome)} }
 
-// View gives the present view. It is immutable.
+// View returns the current view. The caller must not modify it.
 func (s *State) View() View { return s.view }
 
-// Outcome gives what became of a change; false if its ID isn't known.
+// Outcome returns the outcome of the change with the given ID, or false if the
+// change is neither recorded nor pending.
 func (s *State) Outcome(id string) (Outcome, bool) {
-	k, ok := s.outcomes[id]
+	recorded, ok := s.outcomes[id]
 	if !ok && s.view.Pending != nil && s.view.Pending.Change.ID == id {
 		return s.pendingOutcome(), true
 	}
-	return k.Outcome, ok
+	return recorded.Outcome, ok
 }
 
 func (s *State) pendingOutcome() Outcome {
 	return Outcome{Status: StatusPending, Revision: s.view.Config.Revision(), DataCentres: s.view.Pending.Matters}
 }
 
-// History gives the accepted changes after a revision, oldest first.
+// History returns the recorded changes accepted after the given revision, oldest first.
 func (s *State) History(after uint64) []Record {
 	for i, r := range s.history {
 		if r.Revision > after {
@@ -191,7 +195,8 @@
 	return nil
 }
 
-// Events gives the events after seq; false if some are no longer kept.
+// Events returns the events after seq, oldest first. It returns false if some have
+// been discarded or seq is ahead of the view.
 func (s *State) Events(seq uint64) ([]Event, bool) {
 	if seq > s.view.Seq {
 		return nil, false
@@ -203,7 +208,7 @@
 	return append([]Event(nil), s.events[uint64(len(s.events))-behind:]...), true
 }
 
-// Apply carries out a command in the form of JSON. It gives an Outcome.
+// Apply applies a JSON-encoded Command and returns its Outcome.
 func (s *State) Apply(_ uint64, data []byte) any {
 	var c Command
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -211,21 +216,21 @@
 	}
 	switch {
 	case c.Propose != nil:
-		return s.propose(*c.Propose)
+		return s.applyPropose(*c.Propose)
 	case c.Decide != nil:
-		return s.decide(*c.Decide)
+		return s.applyDecide(*c.Decide)
 	default:
 		return Outcome{Status: StatusInvalid, Why: "the command is empty"}
 	}
 }
 
-func (s *State) propose(p Propose) Outcome {
+func (s *State) applyPropose(p Propose) Outcome {
 	id, digest := p.Change.ID, p.Change.Digest()
-	if k, ok := s.outcomes[id]; ok {
-		if k.Digest != digest {
+	if recorded, ok := s.outcomes[id]; ok {
+		if recorded.Digest != digest {
 			return Outcome{Status: StatusConflict, Revision: s.view.Config.Revision(), Why: "the ID " + id + " belongs to another change"}
 		}
-		return k.Outcome
+		return recorded.Outcome
 	}
 	if pending := s.view.Pending; pending != nil {
 		if pending.Change.ID != id {
@@ -236,57 +241,57 @@
 		}
 		return s.pendingOutcome()
 	}
-	return s.proposeNew(p, digest)
+	return s.applyNewPropose(p, digest)
 }
 
-func (s *State) proposeNew(p Propose, digest uint64) Outcome {
-	now := s.view.Config.Revision()
-	if p.Change.Base != now {
-		return s.remember(p.Change.ID, digest, Outcome{Status: StatusStale, Revision: now, Why: "the change was made from another revision", Since: s.History(p.Change.Base)})
+func (s *State) applyNewPropose(p Propose, digest uint64) Outcome {
+	revision := s.view.Config.Revision()
+	if p.Change.Base != revision {
+		return s.recordOutcome(p.Change.ID, digest, Outcome{Status: StatusStale, Revision: revision, Why: "the change was made from another revision", Since: s.History(p.Change.Base)})
 	}
 	next, err := s.view.Config.With(p.Change)
 	if err != nil {
-		out := Outcome{Status: StatusInvalid, Revision: now, Why: err.Error()}
+		out := Outcome{Status: StatusInvalid, Revision: revision, Why: err.Error()}
 		var faults *declare.FaultsError
 		if errors.As(err, &faults) {
 			out.Faults = faults.Faults
 		}
-		return s.remember(p.Change.ID, digest, out)
+		return s.recordOutcome(p.Change.ID, digest, out)
 	}
 	matters := AffectedDataCentres(s.view.Config, next, p.Change)
-	if now == 0 {
-		matters = nil // nobody can serve under an earlier configuration
+	if revision == 0 {
+		matters = nil // there is no earlier configuration to serve under
 	}
 	s.emit(Event{Kind: EventProposed, Change: &p.Change, Matters: matters, At: p.At})
 	if len(matters) == 0 {
-		return s.decide(Decide{ID: p.Change.ID, Accept: true, At: p.At})
+		return s.applyDecide(Decide{ID: p.Change.ID, Accept: true, At: p.At})
 	}
 	return s.pendingOutcome()
 }
 
-func (s *State) decide(d Decide) Outcome {
+func (s *State) applyDecide(d Decide) Outcome {
 	pending := s.view.Pending
 	if pending == nil || pending.Change.ID != d.ID {
-		if k, ok := s.outcomes[d.ID]; ok {
-			return k.Outcome // decided before, perhaps otherwise
+		if recorded, ok := s.outcomes[d.ID]; ok {
+			return recorded.Outcome // an earlier decision stands, even if it differs
 		}
 		return Outcome{Status: StatusInvalid, Why: "no such change is undecided"}
 	}
 	id, digest := d.ID, pending.Change.Digest()
 	if !d.Accept {
 		s.emit(Event{Kind: EventRefused, At: d.At})
-		return s.remember(id, digest, Outcome{Status: StatusRefused, Revision: s.view.Config.Revision(), Why: d.Why, DataCentres: d.Cut})
+		return s.recordOutcome(id, digest, Outcome{Status: StatusRefused, Revision: s.view.Config.Revision(), Why: d.Why, DataCentres: d.Cut})
 	}
 	s.emit(Event{Kind: EventAccepted, At: d.At})
-	record := Record{Revision: s.view.Config.Revision(), ID: id, Author: pending.Change.Author, At: d.At, Objects: refsOf(pending.Change)}
+	record := Record{Revision: s.view.Config.Revision(), ID: id, Author: pending.Change.Author, At: d.At, Objects: changedRefs(pending.Change)}
 	s.history = append(s.history, record)
 	if len(s.history) > MaxHistory {
 		s.history = s.history[1:]
 	}
-	return s.remember(id, digest, Outcome{Status: StatusAccepted, Revision: s.view.Config.Revision(), DataCentres: pending.Matters})
+	return s.recordOutcome(id, digest, Outcome{Status: StatusAccepted, Revision: s.view.Config.Revision(), DataCentres: pending.Matters})
 }
 
-func refsOf(c declare.Change) []declare.Ref {
+func changedRefs(c declare.Change) []declare.Ref {
 	out := append([]declare.Ref(nil), c.Deletes...)
 	for _, put := range c.Puts {
 		out = append(out, put.Object.Ref())
@@ -294,13 +299,13 @@
 	return out
 }
 
-// emit makes the next event and applies it to the view. The event was made
-// from this very view, so it can't fail to apply.
+// emit numbers an event, applies it to the view and appends it to the log of events.
+// The event was built from the current view, so a failure to apply it is a bug.
 func (s *State) emit(e Event) {
 	e.Seq = s.view.Seq + 1
 	next, err := s.view.With(e)
 	if err != nil {
-		panic("control: an event doesn't apply to the view that it was made from: " + err.Error())
+		panic("control: event does not apply to the view it was built from: " + err.Error())
 	}
 	s.view = next
 	s.events = append(s.events, e)
@@ -309,48 +314,50 @@
 	}
 }
 
-func (s *State) remember(id string, digest uint64, out Outcome) Outcome {
-	s.outcomes[id] = known{digest, out}
-	s.order = append(s.order, id)
-	if len(s.order) > MaxOutcomes {
-		delete(s.outcomes, s.order[0])
-		s.order = s.order[1:]
+// recordOutcome stores the final outcome of a change and discards the oldest one
+// beyond MaxOutcomes.
+func (s *State) recordOutcome(id string, digest uint64, out Outcome) Outcome {
+	s.outcomes[id] = recordedOutcome{digest, out}
+	s.outcomeOrder = append(s.outcomeOrder, id)
+	if len(s.outcomeOrder) > MaxOutcomes {
+		delete(s.outcomes, s.outcomeOrder[0])
+		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 	return out
 }
 
 type stateJSON struct {
-	View     View           `json:"view"`
-	Outcomes []outcomesJSON `json:"outcomes"`
-	History  []Record       `json:"history"`
+	View     View          `json:"view"`
+	Outcomes []outcomeJSON `json:"outcomes"`
+	History  []Record      `json:"history"`
 }
 
-type outcomesJSON struct {
-	ID    string `json:"id"`
-	Known known  `json:"known"`
+type outcomeJSON struct {
+	ID    string          `json:"id"`
+	Known recordedOutcome `json:"known"`
 }
 
-// Snapshot writes the whole state. Events are not in it: hosts that are behind
-// a snapshot get the whole view.
+// Snapshot encodes the state without its events. After Restore, hosts with an older
+// view get the whole view.
 func (s *State) Snapshot() ([]byte, error) {
 	out := stateJSON{View: s.view, History: s.history}
-	for _, id := range s.order {
-		out.Outcomes = append(out.Outcomes, outcomesJSON{id, s.outcomes[id]})
+	for _, id := range s.outcomeOrder {
+		out.Outcomes = append(out.Outcomes, outcomeJSON{id, s.outcomes[id]})
 	}
 	return json.Marshal(out)
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (s *State) Restore(data []byte) error {
 	var in stateJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return errors.Annotate(err, "snapshot of the control log")
+		return errors.Annotate(err, "decode control log snapshot")
 	}
 	*s = *NewState()
 	s.view, s.history = in.View, in.History
 	for _, o := range in.Outcomes {
 		s.outcomes[o.ID] = o.Known
-		s.order = append(s.order, o.ID)
+		s.outcomeOrder = append(s.outcomeOrder, o.ID)
 	}
 	return nil
 }
--- a/control/tally.go
+++ b/control/tally.go
@@ -8,184 +8,193 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// HostReport is what a host says of itself.
+// HostReport is a host's report to the leader on its view and its leases.
 type HostReport struct {
 	Host        string
 	DataCentre  string
-	Incarnation string // new at each start of the process
-	// Established is false until a leader has brought this incarnation up to
-	// date. Until then it grants nothing and counts for nothing.
+	Incarnation string // unique to each start of the process
+	// Established is false until a leader has renewed this incarnation's lease under
+	// the latest view. Until then the host renews no peer and its report does not
+	// count towards a majority.
 	Established bool
-	Seq         uint64 // of the view that it serves under: its acknowledgement
-	// Granted lists the leases that the host gave to peers and that may still
-	// run.
+	Seq         uint64 // of the host's view, which the report acknowledges
+	// Granted lists the unexpired leases that the host has granted to peers.
 	Granted []Granted
 }
 
-// Granted is one lease given to a peer.
+// Granted is a lease that a host has granted to a peer.
 type Granted struct {
-	Host        string
-	Incarnation string
-	Left        time.Duration // that it may run
+	Host        string        // the peer
+	Incarnation string        // of the peer
+	Left        time.Duration // until it expires, by the granting host's clock
 }
 
-// Timing of leases and decisions.
+// Timing holds the durations of leases and decisions.
 type Timing struct {
-	Lease  time.Duration // that a renewal gives, by the holder's clock
-	Decide time.Duration // longest wait for acknowledgements
+	Lease  time.Duration // added by a renewal, by the holder's clock
+	Decide time.Duration // timeout for acknowledgements
 }
 
-// LeaseWait is how long a lease must be waited out, by any other clock.
+// LeaseWait returns the time after which a lease has certainly expired, measured by
+// another host's clock. It adds the largest clock drift to the lease.
 func (t Timing) LeaseWait() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + raft.DriftShare))
 }
 
-// Tally is what a leader knows of the hosts. A new leader begins with an empty
-// one. NewTally makes one.
+// Tally records the latest report of each host and decides the pending change from
+// them. It is held in memory only: a new leader starts with an empty one. Use
+// NewTally to create one.
 type Tally struct {
-	timing     Timing
-	hosts      map[string]hostTally
-	pending    string // ID of the change that the times below belong to
-	since      time.Time
+	timing       Timing
+	reports      map[string]receivedReport
+	changeID     string // change that pendingSince and majorityAt refer to
+	pendingSince time.Time
+	// majorityAt holds, for each data centre, when a majority was first seen.
 	majorityAt map[string]time.Time
 }
 
-type hostTally struct {
+// receivedReport is the latest report of a host.
+type receivedReport struct {
 	report HostReport
-	heard  time.Time
+	at     time.Time
 }
 
-// NewTally makes an empty tally.
+// NewTally returns a tally without reports.
 func NewTally(timing Timing) *Tally {
-	return &Tally{timing: timing, hosts: make(map[string]hostTally)}
+	return &Tally{timing: timing, reports: make(map[string]receivedReport)}
 }
 
-// Report notes a host's report. It tells whether the lease may be renewed: if
-// the host serves under the newest view. Such a host is established from then
-// on, since that view holds everything that its earlier incarnations can have
+// Report records a host's report and reports whether the host's lease may be renewed,
+// which requires the latest view. A renewed host counts as established from then on,
+// because the latest view contains everything that its earlier incarnations can have
 // acknowledged.
 func (t *Tally) Report(now time.Time, r HostReport, view View) (renewed bool) {
-	renewed = r.Seq == view.Seq && view.Seq > 0 // an empty log gives no right to serve
+	renewed = r.Seq == view.Seq && view.Seq > 0 // under an empty log no host may serve
 	if renewed {
 		r.Established = true
 	}
-	t.hosts[r.Host] = hostTally{r, now}
+	t.reports[r.Host] = receivedReport{r, now}
 	return renewed
 }
 
-// LastReport gives when a host last reported, and its report.
+// LastReport returns a host's latest report and when it was received. Both are zero
+// if there is none.
 func (t *Tally) LastReport(host string) (HostReport, time.Time) {
-	h := t.hosts[host]
-	return h.report, h.heard
+	h := t.reports[host]
+	return h.report, h.at
 }
 
-// Decision is what a tally says of a pending change.
+// Decision is a leader's verdict on the pending change.
 type Decision struct {
-	Decided bool
+	Decided bool // false while acknowledgements or lease expiry are awaited
 	Accept  bool
-	// Cut lists the data centres without a majority.
+	// Cut lists the affected data centres without a majority.
 	Cut []string
 }
 
-// Decide judges the pending change of a view.
+// Decide returns the decision on the pending change of a view at time now. It accepts
+// the change once every affected data centre is done, and refuses it if a data centre
+// has no majority when the timeout has passed.
 func (t *Tally) Decide(now time.Time, view View) Decision {
 	pending := view.Pending
 	if pending == nil {
 		return Decision{}
 	}
-	if t.pending != pending.Change.ID {
-		t.pending, t.since = pending.Change.ID, now
+	if t.changeID != pending.Change.ID {
+		t.changeID, t.pendingSince = pending.Change.ID, now
 		t.majorityAt = make(map[string]time.Time)
 	}
-	var cut []string
+	var unreachable []string
 	ready := true
 	for _, dc := range pending.Matters {
-		switch t.dataCentre(now, dc, view) {
+		switch t.dataCentreStatus(now, dc, view) {
 		case acknowledged:
-		case waiting:
+		case awaitingExpiry:
 			ready = false
-		case unreached:
+		case noMajority:
 			ready = false
-			cut = append(cut, dc)
+			unreachable = append(unreachable, dc)
 		}
 	}
 	if ready {
 		return Decision{Decided: true, Accept: true}
 	}
-	if len(cut) > 0 && now.Sub(t.since) >= t.timing.Decide {
-		return Decision{Decided: true, Cut: cut}
+	if len(unreachable) > 0 && now.Sub(t.pendingSince) >= t.timing.Decide {
+		return Decision{Decided: true, Cut: unreachable}
 	}
-	return Decision{Cut: cut}
+	return Decision{Cut: unreachable}
 }
 
-type standing uint8
+// ackStatus is the progress of a pending change in one data centre.
+type ackStatus uint8
 
 const (
-	unreached    standing = iota // no majority has acknowledged
-	waiting                      // a majority has; leases of others may run
-	acknowledged                 // no host serves under the old view any more
+	noMajority     ackStatus = iota // no majority has acknowledged it
+	awaitingExpiry                  // a majority has, but leases of other hosts may still run
+	acknowledged                    // no host can still serve under the old view
 )
 
-// dataCentre judges one data centre. Both its old and its new set of hosts must
-// have a majority, so that a change of the set can't split it. Hosts that the
-// change itself declares gone are not asked: they can neither serve nor renew.
-func (t *Tally) dataCentre(now time.Time, dc string, view View) standing {
+// dataCentreStatus returns the progress of the pending change in one data centre. It
+// requires a majority of both the old and the new set of hosts, so that a change of
+// the set cannot leave two disjoint majorities. Hosts that the change itself declares
+// gone are not counted in the old set: they can neither serve nor renew a lease.
+func (t *Tally) dataCentreStatus(now time.Time, dc string, view View) ackStatus {
 	after := HostsOf(view.Pending.Config, dc)
 	before := slices.DeleteFunc(HostsOf(view.Config, dc), func(host string) bool {
-		return isGone(view.Pending.Config, host)
+		return isDeclaredGone(view.Pending.Config, host)
 	})
-	if !t.majority(before, view.Seq) || !t.majority(after, view.Seq) {
-		return unreached
+	if !t.majorityAcknowledged(before, view.Seq) || !t.majorityAcknowledged(after, view.Seq) {
+		return noMajority
 	}
 	if t.majorityAt[dc].IsZero() {
 		t.majorityAt[dc] = now
 	}
-	if t.all(HostsOf(view.Config, dc), view.Seq) && t.all(after, view.Seq) && t.noGrants(now, dc) {
+	if t.allAcknowledged(HostsOf(view.Config, dc), view.Seq) && t.allAcknowledged(after, view.Seq) && t.noOutdatedGrants(now, dc) {
 		return acknowledged
 	}
 	if now.Sub(t.majorityAt[dc]) >= t.timing.LeaseWait() {
 		return acknowledged
 	}
-	return waiting
+	return awaitingExpiry
 }
 
-func (t *Tally) has(host string, seq uint64) bool {
-	r := t.hosts[host].report
+func (t *Tally) hasAcknowledged(host string, seq uint64) bool {
+	r := t.reports[host].report
 	return r.Established && r.Seq >= seq
 }
 
-func (t *Tally) majority(hosts []string, seq uint64) bool {
+func (t *Tally) majorityAcknowledged(hosts []string, seq uint64) bool {
 	count := 0
 	for _, host := range hosts {
-		if t.has(host, seq) {
+		if t.hasAcknowledged(host, seq) {
 			count++
 		}
 	}
 	return len(hosts) == 0 || count >= Majority(len(hosts))
 }
 
-func (t *Tally) all(hosts []string, seq uint64) bool {
+func (t *Tally) allAcknowledged(hosts []string, seq uint64) bool {
 	for _, host := range hosts {
-		if !t.has(host, seq) {
+		if !t.hasAcknowledged(host, seq) {
 			return false
 		}
 	}
 	return true
 }
 
-// noGrants tells whether no host of the data centre has given a lease, that may
-// still run, to another incarnation of a peer than the one that has
-// acknowledged. A host that restarted just after it acknowledged may hold such a
-// lease under the old view, while its earlier acknowledgement still counts here;
-// of the majority that renewed it, some host has reported since.
-func (t *Tally) noGrants(now time.Time, dc string) bool {
-	for _, h := range t.hosts {
+// noOutdatedGrants reports whether no unexpired lease granted by a host of the data
+// centre belongs to an incarnation of a peer other than the one that last reported.
+// A host that restarts just after it acknowledged a view may hold such a lease under
+// the old view while its earlier acknowledgement still counts here. At least one host
+// of the majority that renewed it has reported the grant since.
+func (t *Tally) noOutdatedGrants(now time.Time, dc string) bool {
+	for _, h := range t.reports {
 		if h.report.DataCentre != dc {
 			continue
 		}
 		for _, g := range h.report.Granted {
 			left := time.Duration(float64(g.Left) * (1 + raft.DriftShare))
-			if g.Incarnation != t.hosts[g.Host].report.Incarnation && now.Before(h.heard.Add(left)) {
+			if g.Incarnation != t.reports[g.Host].report.Incarnation && now.Before(h.at.Add(left)) {
 				return false
 			}
 		}
@@ -193,10 +202,10 @@
 	return true
 }
 
-// Majority is the least number that is more than half of n.
+// Majority returns the smallest number greater than half of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// HostsOf lists the hosts of a data centre that have not gone.
+// HostsOf returns the names of a data centre's hosts, except those declared gone.
 func HostsOf(config declare.Config, dc string) []string {
 	var out []string
 	for _, h := range declare.Each[declare.Host](config) {
@@ -207,7 +216,7 @@
 	return out
 }
 
-func isGone(config declare.Config, host string) bool {
+func isDeclaredGone(config declare.Config, host string) bool {
 	object, ok := config.Get(declare.Ref{Kind: declare.KindHost, Name: host})
 	return ok && object.(declare.Host).State == declare.HostGone
 }
--- a/control/tally_test.go
+++ b/control/tally_test.go
@@ -31,9 +31,9 @@
 	return declare.Engine{Name: "engine-" + dc, Service: "s", DataCentre: dc, Address: at, Slots: 1, Cost: cost}
 }
 
-// started gives a state with hosts a, b, c in data centre d and host z in e,
-// and one more change pending.
-func started(t *testing.T, pending ...declare.Object) *control.State {
+// stateWithPending returns a state with hosts a, b and c in data centre d, host z in
+// data centre e, and a pending change of the given objects.
+func stateWithPending(t *testing.T, pending ...declare.Object) *control.State {
 	t.Helper()
 	s := control.NewState()
 	first := change("first", 0,
@@ -41,7 +41,7 @@
 		declare.Region{Name: "q"}, declare.DataCentre{Name: "e", Region: "q"},
 		declare.Service{Name: "s", Type: declare.ServicePlain}, engineIn("d", 0), engineIn("e", 0),
 		hostIn("a", "d", ""), hostIn("b", "d", ""), hostIn("c", "d", ""), hostIn("z", "e", ""))
-	must.Eq(t, control.StatusAccepted, apply(t, s, control.Command{Propose: &control.Propose{Change: first}}).Status, must.Sprint("the first needs no acknowledgement"))
+	must.Eq(t, control.StatusAccepted, apply(t, s, control.Command{Propose: &control.Propose{Change: first}}).Status, must.Sprint("the first configuration needs no acknowledgement"))
 	must.Eq(t, control.StatusPending, apply(t, s, control.Command{Propose: &control.Propose{Change: change("second", 1, pending...)}}).Status)
 	return s
 }
@@ -53,46 +53,47 @@
 	return s.Apply(0, data).(control.Outcome)
 }
 
-// acknowledge reports the newest view for each host.
-func acknowledge(tally *control.Tally, now time.Time, view control.View, hosts ...string) {
+// reportCurrent records a report of the latest view from each host.
+func reportCurrent(tally *control.Tally, now time.Time, view control.View, hosts ...string) {
 	for _, host := range hosts {
 		tally.Report(now, control.HostReport{Host: host, DataCentre: "d", Incarnation: host, Established: true, Seq: view.Seq}, view)
 	}
 }
 
-func TestOneOfThreeIsNotEnough(t *testing.T) {
-	view := started(t, engineIn("d", 1)).View()
+func TestChangeNeedsMajorityOfDataCentre(t *testing.T) {
+	view := stateWithPending(t, engineIn("d", 1)).View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a")
+	reportCurrent(tally, now, view, "a")
 	must.False(t, tally.Decide(now, view).Decided)
 	late := now.Add(timing.Decide)
 	must.Eq(t, control.Decision{Decided: true, Cut: []string{"d"}}, tally.Decide(late, view))
 }
 
-func TestMajorityWaitsForTheLeasesOfTheOthers(t *testing.T) {
-	view := started(t, engineIn("d", 1)).View()
+func TestMajorityWaitsForLeasesOfOthersToExpire(t *testing.T) {
+	view := stateWithPending(t, engineIn("d", 1)).View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a", "b")
+	reportCurrent(tally, now, view, "a", "b")
 	must.False(t, tally.Decide(now, view).Decided)
-	must.False(t, tally.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a slow clock may still hold a lease"))
+	must.False(t, tally.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a host with a slow clock may still have a lease"))
 	must.Eq(t, control.Decision{Decided: true, Accept: true}, tally.Decide(now.Add(timing.LeaseWait()), view))
 }
 
-func TestAllAcknowledgedNeedNoWait(t *testing.T) {
-	view := started(t, engineIn("d", 1)).View()
+func TestAcknowledgedByAllIsAcceptedAtOnce(t *testing.T) {
+	view := stateWithPending(t, engineIn("d", 1)).View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a", "b", "c")
+	reportCurrent(tally, now, view, "a", "b", "c")
 	must.True(t, tally.Decide(now, view).Accept)
 }
 
-// TestGrantToAPeerDelaysTheFastPath is the case of a host that acknowledged,
-// restarted, and was renewed by a peer under the old view before that peer
-// acknowledged: its old acknowledgement arrives late and completes the count.
-func TestGrantToAPeerDelaysTheFastPath(t *testing.T) {
-	view := started(t, engineIn("d", 1)).View()
+// TestGrantToOtherIncarnationDelaysAcceptance guards against accepting a change while a
+// restarted host still has a lease under the old view: it acknowledged, restarted, was
+// renewed by a peer that had not acknowledged yet, and its late acknowledgement, from
+// before the restart, completes the count.
+func TestGrantToOtherIncarnationDelaysAcceptance(t *testing.T) {
+	view := stateWithPending(t, engineIn("d", 1)).View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a", "b")
-	acknowledge(tally, now, view, "c")
+	reportCurrent(tally, now, view, "a", "b")
+	reportCurrent(tally, now, view, "c")
 	granted := func(incarnation string) control.HostReport {
 		return control.HostReport{Host: "c", DataCentre: "d", Established: true, Seq: view.Seq, Granted: []control.Granted{{Host: "b", Incarnation: incarnation, Left: 2 * time.Second}}}
 	}
@@ -101,78 +102,77 @@
 	must.False(t, tally.Decide(now.Add(2*time.Second), view).Decided)
 	must.True(t, tally.Decide(now.Add(2300*time.Millisecond), view).Accept)
 	tally.Report(now, granted("b"), view)
-	must.True(t, tally.Decide(now, view).Accept, must.Sprint("the one that acknowledged has no older view any more"))
+	must.True(t, tally.Decide(now, view).Accept, must.Sprint("the incarnation that acknowledged no longer serves under the old view"))
 }
 
-func TestOldViewIsNotRenewedNorCounted(t *testing.T) {
-	view := started(t, engineIn("d", 1)).View()
+func TestReportOfOldViewIsNeitherRenewedNorCounted(t *testing.T) {
+	view := stateWithPending(t, engineIn("d", 1)).View()
 	tally, now := control.NewTally(timing), time.Now()
 	old := control.HostReport{Host: "a", DataCentre: "d", Established: true, Seq: view.Seq - 1}
 	must.False(t, tally.Report(now, old, view))
-	acknowledge(tally, now, view, "b")
+	reportCurrent(tally, now, view, "b")
 	must.False(t, tally.Decide(now.Add(time.Minute), view).Accept)
-	must.False(t, tally.Report(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("an empty log gives no right to serve"))
+	must.False(t, tally.Report(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("no host may serve under an empty log"))
 }
 
-func TestChangeOfTheSetNeedsBothMajorities(t *testing.T) {
-	// b and c are taken from the data centre in one change and x and y come;
-	// b and c may still run.
-	s := started(t, engineIn("d", 1))
+func TestHostSetChangeNeedsBothMajorities(t *testing.T) {
+	// One change replaces b and c by x and y. b and c may still run.
+	s := stateWithPending(t, engineIn("d", 1))
 	apply(t, s, control.Command{Decide: &control.Decide{ID: "second", Accept: true}})
 	swap := change("swap", 2, hostIn("x", "d", ""), hostIn("y", "d", ""))
 	swap.Deletes = []declare.Ref{{Kind: declare.KindHost, Name: "b"}, {Kind: declare.KindHost, Name: "c"}}
 	must.Eq(t, []string{"d"}, apply(t, s, control.Command{Propose: &control.Propose{Change: swap}}).DataCentres)
 	view := s.View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a", "x", "y")
+	reportCurrent(tally, now, view, "a", "x", "y")
 	tally.Decide(now, view)
-	must.False(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c could still renew each other"))
-	acknowledge(tally, now, view, "b", "c")
+	must.False(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c can still renew each other"))
+	reportCurrent(tally, now, view, "b", "c")
 	must.True(t, tally.Decide(now, view).Accept)
 }
 
-func TestLoneSurvivorCanDeclareTheOthersGone(t *testing.T) {
-	s := started(t, hostIn("b", "d", declare.HostGone), hostIn("c", "d", declare.HostGone))
+func TestRemainingHostCanDeclareOthersGone(t *testing.T) {
+	s := stateWithPending(t, hostIn("b", "d", declare.HostGone), hostIn("c", "d", declare.HostGone))
 	view := s.View()
 	tally, now := control.NewTally(timing), time.Now()
-	acknowledge(tally, now, view, "a")
+	reportCurrent(tally, now, view, "a")
 	tally.Decide(now, view)
 	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept)
 }
 
-func TestDataCentreThatIsGoneForGood(t *testing.T) {
-	s := started(t, hostIn("z", "e", declare.HostGone))
+func TestLostDataCentreCanBeDeclaredGone(t *testing.T) {
+	s := stateWithPending(t, hostIn("z", "e", declare.HostGone))
 	tally, now := control.NewTally(timing), time.Now()
-	must.False(t, tally.Decide(now, s.View()).Decided, must.Sprint("a lease may still run there"))
+	must.False(t, tally.Decide(now, s.View()).Decided, must.Sprint("a lease may still run in the lost data centre"))
 	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
 }
 
-func TestChangeMattersOnlyWhereItAltersWhatIsServed(t *testing.T) {
-	s := started(t, engineIn("d", 1))
+func TestChangeAffectsOnlyDataCentresWhereServingDiffers(t *testing.T) {
+	s := stateWithPending(t, engineIn("d", 1))
 	must.Eq(t, []string{"d"}, s.View().Pending.Matters)
 	apply(t, s, control.Command{Decide: &control.Decide{ID: "second", Accept: true}})
 	selector := declare.Selector{Name: "only-q", Service: "s", Allow: "region=q"}
 	out := apply(t, s, control.Command{Propose: &control.Propose{Change: change("third", 2, selector)}})
 	must.Eq(t, control.StatusPending, out.Status)
-	must.Eq(t, []string{"e"}, out.DataCentres, must.Sprint("region r could not serve it before and can't now"))
+	must.Eq(t, []string{"e"}, out.DataCentres, must.Sprint("region r may not serve it in either configuration"))
 	apply(t, s, control.Command{Decide: &control.Decide{ID: "third", Accept: true}})
 	out = apply(t, s, control.Command{Propose: &control.Propose{Change: change("fourth", 3, declare.Region{Name: "new"})}})
-	must.Eq(t, control.StatusAccepted, out.Status, must.Sprint("it matters to nobody"))
+	must.Eq(t, control.StatusAccepted, out.Status, must.Sprint("it affects no data centre"))
 }
 
-func TestRacingOperators(t *testing.T) {
-	s := started(t, engineIn("d", 1))
+func TestConcurrentChangesAreSerialized(t *testing.T) {
+	s := stateWithPending(t, engineIn("d", 1))
 	other := change("other", 1, engineIn("d", 2))
 	must.Eq(t, control.StatusBusy, apply(t, s, control.Command{Propose: &control.Propose{Change: other}}).Status)
 	apply(t, s, control.Command{Decide: &control.Decide{ID: "second", Accept: true}})
 	out := apply(t, s, control.Command{Propose: &control.Propose{Change: other}})
 	must.Eq(t, control.StatusStale, out.Status)
-	must.Eq(t, []declare.Ref{{Kind: declare.KindEngine, Name: "engine-d"}}, out.Since[0].Objects, must.Sprint("the loser is told what changed"))
-	must.Eq(t, out, apply(t, s, control.Command{Propose: &control.Propose{Change: other}}), must.Sprint("and gets the same answer again"))
+	must.Eq(t, []declare.Ref{{Kind: declare.KindEngine, Name: "engine-d"}}, out.Since[0].Objects, must.Sprint("a stale outcome must name the objects changed since its base"))
+	must.Eq(t, out, apply(t, s, control.Command{Propose: &control.Propose{Change: other}}), must.Sprint("a resent stale change must get the same outcome"))
 }
 
-func TestOppositeDecisionsAreDecidedByTheLog(t *testing.T) {
-	s := started(t, engineIn("d", 1))
+func TestFirstCommittedDecisionWins(t *testing.T) {
+	s := stateWithPending(t, engineIn("d", 1))
 	must.Eq(t, control.StatusRefused, apply(t, s, control.Command{Decide: &control.Decide{ID: "second"}}).Status)
 	must.Eq(t, control.StatusRefused, apply(t, s, control.Command{Decide: &control.Decide{ID: "second", Accept: true}}).Status)
 	must.Eq(t, 1, s.View().Config.Revision())
