--- a/leader/leader.go
+++ b/leader/leader.go
@@ -21,54 +21,56 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// Options shapes a Leader.
+// Options configures a Leader.
 type Options struct {
 	ID      raft.ID
 	Timing  settings.Timing
 	Folder  disk.Folder
 	Send    func(raft.Envelope)
-	Clock   func() time.Time // goes on while the machine is suspended
-	Initial declare.Config   // of an empty control log
-	Voters  int              // wanted
+	Clock   func() time.Time // must advance while the machine is suspended
+	Initial declare.Config   // first configuration of an empty control log
+	Voters  int              // wanted number of voters
 	Log     *zap.Logger
 	Metrics *telemetry.Metrics
 	Seed    uint64
 }
 
-// snapshotEvery is after how many entries the control log is trimmed.
-const snapshotEvery = 2048
+// snapshotEntries is the number of log entries after which a snapshot replaces them.
+const snapshotEntries = 2048
 
-// decideEvery is how often a pending change is looked at.
-const decideEvery = 20 * time.Millisecond
+// decideInterval is the longest time between two checks of a pending change.
+const decideInterval = 20 * time.Millisecond
 
-// Leader is the control side of one host with a disk. New makes one.
+// Leader runs a host's replica of the control log and, while that replica leads, serves
+// the hosts. Use New to create one.
 type Leader struct {
-	opts    Options
-	machine *machine
-	replica *replica.Replica
-	kick    chan struct{} // a report came in
-
-	mu     sync.Mutex
-	term   uint64 // that the tally belongs to
-	tally  *control.Tally
-	status map[string]heardStatus
+	opts     Options
+	machine  *machine
+	replica  *replica.Replica
+	reported chan struct{} // signals that a report has arrived while a change is pending
+
+	mu        sync.Mutex
+	tallyTerm uint64 // Raft term of the tally
+	tally     *control.Tally
+	statuses  map[string]receivedStatus // by host name
 }
 
-type heardStatus struct {
+// receivedStatus is the latest status of a host.
+type receivedStatus struct {
 	status HostStatus
-	at     time.Time
+	at     time.Time // when the host issued it, by this host's clock
 }
 
-// New opens the replica.
+// New opens the host's replica of the control log. Run starts it.
 func New(opts Options) (*Leader, error) {
 	l := &Leader{
-		opts: opts, machine: newMachine(), kick: make(chan struct{}, 1),
-		status: make(map[string]heardStatus),
+		opts: opts, machine: newMachine(), reported: make(chan struct{}, 1),
+		statuses: make(map[string]receivedStatus),
 	}
 	var err error
 	l.replica, err = replica.Open(replica.Options{
 		ID: opts.ID, Election: opts.Timing.Election, Heartbeat: opts.Timing.Heartbeat, Folder: opts.Folder,
-		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEvery, Log: opts.Log, Seed: opts.Seed,
+		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEntries, Log: opts.Log, Seed: opts.Seed,
 	})
 	l.tally = control.NewTally(l.timing())
 	return l, errors.Trace(err)
@@ -78,23 +80,23 @@
 	return control.Timing{Lease: l.opts.Timing.Lease, Decide: l.opts.Timing.Decide}
 }
 
-// Run runs the replica and the leader's duties until ctx ends.
+// Run runs the replica, the decisions and the replacement of lost voters until ctx ends.
 func (l *Leader) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(l.replica.Run)
-	group.Go(l.decide)
-	group.Go(voters.New(l.replica, l.spares, voters.Policy{Wanted: l.opts.Voters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
+	group.Go(l.runDecisions)
+	group.Go(voters.New(l.replica, l.spareReplicas, voters.Policy{Wanted: l.opts.Voters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
 	return group.Wait()
 }
 
-// Deliver takes a message for the replica.
+// Deliver passes a Raft message to the replica.
 func (l *Leader) Deliver(e raft.Envelope) { l.replica.Deliver(e) }
 
-// Status gives the state of the replica.
+// Status returns the Raft status of the replica.
 func (l *Leader) Status() raft.Status { return l.replica.Status() }
 
-// StepDown hands the lead to the voter that has caught up best, before a
-// planned stop.
+// StepDown transfers leadership to the voter with the most entries of the log. It is
+// called before a planned stop, to avoid waiting for an election.
 func (l *Leader) StepDown() {
 	status := l.replica.Status()
 	var best raft.PeerStatus
@@ -108,9 +110,10 @@
 	}
 }
 
-// leads tells whether this replica leads now, by its lease. It must be asked
-// after the state that the answer is about was read.
-func (l *Leader) leads() *NotLeader {
+// checkLeader returns nil if this replica holds the leader lease now, and a redirect
+// otherwise. Call it after reading the state to be returned: a lease that is valid
+// then proves that the state was current when it was read.
+func (l *Leader) checkLeader() *NotLeader {
 	status := l.replica.Status()
 	if l.opts.Clock().Before(status.Lease) {
 		return nil
@@ -121,53 +124,55 @@
 	return &NotLeader{voters.HostOf(status.Leader)}
 }
 
-// newTerm begins a new tally where this replica has become leader anew. The
-// lock is held.
-func (l *Leader) newTerm() {
-	if term := l.replica.Status().Term; term != l.term {
-		l.term = term
+// resetOnNewTerm starts an empty tally if the Raft term has changed since the last call.
+// The caller holds the lock.
+func (l *Leader) resetOnNewTerm() {
+	if term := l.replica.Status().Term; term != l.tallyTerm {
+		l.tallyTerm = term
 		l.tally = control.NewTally(l.timing())
 	}
 }
 
-// Report takes the reports of hosts and renews their leases.
+// Report records the reports of hosts and renews the leases of those that serve under
+// the latest view.
 func (l *Leader) Report(args ReportArgs) ReportReply {
 	view, _ := l.machine.view()
-	// The lease is looked at after the view: as long as it ran then, no
-	// other leader can have proposed anything newer.
-	if not := l.leads(); not != nil {
-		return ReportReply{NotLeader: not}
+	// The leader lease is checked after the view is read. If it is valid then, no other
+	// leader can have proposed a newer change.
+	if redirect := l.checkLeader(); redirect != nil {
+		return ReportReply{NotLeader: redirect}
 	}
 	now := l.opts.Clock()
 	var reply ReportReply
 	l.mu.Lock()
-	l.newTerm()
+	l.resetOnNewTerm()
 	for _, r := range args.Reports {
 		renewed := l.tally.Report(now, r.Lease, view)
-		l.status[r.Lease.Host] = heardStatus{r.Status, now.Add(-r.Status.Age)}
+		l.statuses[r.Lease.Host] = receivedStatus{r.Status, now.Add(-r.Status.Age)}
 		reply.Renewals = append(reply.Renewals, Renewal{r.Lease.Host, renewed, view.Seq})
 	}
 	l.mu.Unlock()
 	if view.Pending != nil {
 		select {
-		case l.kick <- struct{}{}:
+		case l.reported <- struct{}{}:
 		default:
 		}
 	}
 	return reply
 }
 
-// Watch waits until there is something after a view.
+// Watch returns the changes after args.Seq. It waits for one until args.Wait has passed
+// or ctx ends, and then returns an empty reply.
 func (l *Leader) Watch(ctx context.Context, args WatchArgs) WatchReply {
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
 	for {
 		view, changed := l.machine.view()
-		if not := l.leads(); not != nil {
-			return WatchReply{NotLeader: not}
+		if redirect := l.checkLeader(); redirect != nil {
+			return WatchReply{NotLeader: redirect}
 		}
 		if view.Seq > args.Seq {
-			return l.after(args.Seq)
+			return l.changesSince(args.Seq)
 		}
 		select {
 		case <-changed:
@@ -179,7 +184,9 @@
 	}
 }
 
-func (l *Leader) after(seq uint64) WatchReply {
+// changesSince returns the events after seq, or the whole view if seq is zero or some of
+// the events have been discarded.
+func (l *Leader) changesSince(seq uint64) WatchReply {
 	var reply WatchReply
 	l.machine.read(func(s *control.State) {
 		if events, ok := s.Events(seq); ok && seq > 0 {
@@ -192,33 +199,33 @@
 	return reply
 }
 
-// statusLife is how long a host's status is passed on.
-const statusLife = 10 * time.Second
+// statusTTL is the age beyond which a host's status is discarded.
+const statusTTL = 10 * time.Second
 
-// Members gives the loads of all regions, and the status of all hosts that have
-// reported lately if that is asked for.
+// Members returns the loads of all regions and, if args.Hosts is set, the status of each
+// host that has reported within statusTTL.
 func (l *Leader) Members(args MembersArgs) MembersReply {
-	if not := l.leads(); not != nil {
-		return MembersReply{NotLeader: not}
+	if redirect := l.checkLeader(); redirect != nil {
+		return MembersReply{NotLeader: redirect}
 	}
-	all := l.hosts()
-	reply := MembersReply{Regions: RegionLoads(all)}
+	statuses := l.recentStatuses()
+	reply := MembersReply{Regions: RegionLoads(statuses)}
 	if args.Hosts {
-		reply.Hosts = WithoutServices(all)
+		reply.Hosts = WithoutServices(statuses)
 	}
 	return reply
 }
 
-// RegionLoads gives, for each region, the newest word of a host that serves.
+// RegionLoads returns, for each region, the latest load report of a ready host.
 func RegionLoads(hosts []HostStatus) []RegionLoad {
-	at := map[string]int{}
+	position := map[string]int{}
 	var out []RegionLoad
 	for _, h := range hosts {
-		i, known := at[h.Region]
+		i, found := position[h.Region]
 		switch {
 		case !h.Ready || len(h.Services) == 0:
-		case !known:
-			at[h.Region] = len(out)
+		case !found:
+			position[h.Region] = len(out)
 			out = append(out, RegionLoad{h.Region, h.Age, h.Services})
 		case h.Age < out[i].Age:
 			out[i] = RegionLoad{h.Region, h.Age, h.Services}
@@ -227,7 +234,7 @@
 	return out
 }
 
-// WithoutServices gives the hosts' status without the loads.
+// WithoutServices returns copies of the statuses without the loads of the services.
 func WithoutServices(hosts []HostStatus) []HostStatus {
 	out := make([]HostStatus, len(hosts))
 	for i, h := range hosts {
@@ -237,28 +244,30 @@
 	return out
 }
 
-func (l *Leader) hosts() []HostStatus {
+// recentStatuses returns the statuses younger than statusTTL, with their present ages,
+// and discards the others.
+func (l *Leader) recentStatuses() []HostStatus {
 	now := l.opts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]HostStatus, 0, len(l.status))
-	for host, heard := range l.status {
-		age := now.Sub(heard.at)
-		if age > statusLife {
-			delete(l.status, host)
+	out := make([]HostStatus, 0, len(l.statuses))
+	for host, received := range l.statuses {
+		age := now.Sub(received.at)
+		if age > statusTTL {
+			delete(l.statuses, host)
 			continue
 		}
-		status := heard.status
+		status := received.status
 		status.Age = age
 		out = append(out, status)
 	}
 	return out
 }
 
-// spares lists the replicas of the hosts that have reported lately.
-func (l *Leader) spares() []voters.Spare {
+// spareReplicas lists the replicas of the hosts that have reported within statusTTL.
+func (l *Leader) spareReplicas() []voters.Spare {
 	var out []voters.Spare
-	for _, h := range l.hosts() {
+	for _, h := range l.recentStatuses() {
 		if h.Replica != raft.None {
 			out = append(out, voters.Spare{ID: h.Replica, Region: h.Region})
 		}
@@ -266,11 +275,13 @@
 	return out
 }
 
-// busyPause is the wait before a change is proposed again that found another
-// one undecided.
-const busyPause = 50 * time.Millisecond
+// busyRetryInterval is the wait before a change is proposed again after another one was
+// found pending.
+const busyRetryInterval = 50 * time.Millisecond
 
-// Propose proposes a change and waits until it is decided.
+// Propose proposes a change and waits for its decision, at most args.Wait. After a
+// timeout it returns the last outcome, which is then not final, or an error if the
+// proposal itself was not applied in time.
 func (l *Leader) Propose(ctx context.Context, args ProposeArgs) (ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, args.Wait)
 	defer cancel()
@@ -284,28 +295,31 @@
 		case out.Final():
 			return ProposeReply{Outcome: out}, nil
 		case out.Status == control.StatusPending:
-			return l.await(ctx, args.Change.ID, out), nil
+			return l.awaitDecision(ctx, args.Change.ID, out), nil
 		}
 		select {
 		case <-ctx.Done():
 			return ProposeReply{Outcome: out}, nil
-		case <-time.After(busyPause):
+		case <-time.After(busyRetryInterval):
 		}
 	}
 }
 
+// proposeOnce proposes a change and returns its first outcome, final or not.
 func (l *Leader) proposeOnce(ctx context.Context, change declare.Change) (control.Outcome, error) {
-	result, err := l.command(ctx, control.Command{Propose: &control.Propose{Change: change, At: time.Now().UTC()}})
+	result, err := l.proposeCommand(ctx, control.Command{Propose: &control.Propose{Change: change, At: time.Now().UTC()}})
 	if err != nil {
 		return control.Outcome{}, err
 	}
 	return result, nil
 }
 
-func (l *Leader) command(ctx context.Context, c control.Command) (control.Outcome, error) {
+// proposeCommand appends a command to the control log and returns its outcome once it
+// has been applied.
+func (l *Leader) proposeCommand(ctx context.Context, c control.Command) (control.Outcome, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
-		return control.Outcome{}, errors.Annotate(err, "command")
+		return control.Outcome{}, errors.Annotate(err, "encode control log command")
 	}
 	result, err := l.replica.Propose(ctx, data)
 	if err != nil {
@@ -314,14 +328,15 @@
 	return result.(control.Outcome), nil
 }
 
-// await waits for the decision of a pending change.
-func (l *Leader) await(ctx context.Context, id string, pending control.Outcome) ProposeReply {
+// awaitDecision waits for the decision on a pending change. If ctx ends first, it
+// returns the pending outcome.
+func (l *Leader) awaitDecision(ctx context.Context, id string, pending control.Outcome) ProposeReply {
 	for {
 		_, changed := l.machine.view()
 		var out control.Outcome
-		var known bool
-		l.machine.read(func(s *control.State) { out, known = s.Outcome(id) })
-		if known && out.Final() {
+		var found bool
+		l.machine.read(func(s *control.State) { out, found = s.Outcome(id) })
+		if found && out.Final() {
 			return ProposeReply{Outcome: out}
 		}
 		select {
@@ -332,7 +347,8 @@
 	}
 }
 
-// State gives the state of the control log, confirmed by a quorum.
+// State returns the state of the control log by a linearizable read, which a quorum of
+// the voters confirms.
 func (l *Leader) State(ctx context.Context, args StateArgs) (StateReply, error) {
 	err := l.replica.Read(ctx)
 	if errors.Is(err, replica.ErrNotLeader) {
@@ -341,7 +357,7 @@
 	if err != nil {
 		return StateReply{}, errors.Trace(err)
 	}
-	reply := StateReply{Raft: l.replica.Status(), Hosts: WithoutServices(l.hosts())}
+	reply := StateReply{Raft: l.replica.Status(), Hosts: WithoutServices(l.recentStatuses())}
 	l.machine.read(func(s *control.State) {
 		reply.View = s.View()
 		reply.History = s.History(args.After)
@@ -352,48 +368,49 @@
 	return reply, nil
 }
 
-// decide is the duty that decides pending changes, and writes the first
-// configuration of an empty log.
-func (l *Leader) decide(ctx context.Context) error {
-	ticker := time.NewTicker(decideEvery)
+// runDecisions decides pending changes while this replica leads, and proposes the first
+// configuration of an empty log. It runs until ctx ends.
+func (l *Leader) runDecisions(ctx context.Context) error {
+	ticker := time.NewTicker(decideInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.kick:
+		case <-l.reported:
 		case <-ticker.C:
 		}
-		if l.leads() != nil {
+		if l.checkLeader() != nil {
 			continue
 		}
 		view, _ := l.machine.view()
 		if view.Seq == 0 {
-			l.begin(ctx)
+			l.proposeInitial(ctx)
 			continue
 		}
-		l.decideOnce(ctx, view)
+		l.decidePending(ctx, view)
 	}
 }
 
-// begin proposes the first configuration. Its ID is fixed, so that two leaders
-// in a row can't both.
-func (l *Leader) begin(ctx context.Context) {
+// proposeInitial proposes the first configuration. The fixed ID keeps two successive
+// leaders from applying it twice.
+func (l *Leader) proposeInitial(ctx context.Context) {
 	change := declare.Change{ID: "first-configuration", Author: "linenscaled"}
 	for _, object := range l.opts.Initial.Objects() {
 		change.Puts = append(change.Puts, declare.Envelope{Object: object})
 	}
 	out, err := l.proposeOnce(ctx, change)
-	l.opts.Log.Info("first configuration", zap.String("status", string(out.Status)), zap.String("why", out.Why), telemetry.Cause(err))
+	l.opts.Log.Info("first configuration proposed", zap.String("status", string(out.Status)), zap.String("why", out.Why), telemetry.Cause(err))
 }
 
-func (l *Leader) decideOnce(ctx context.Context, view control.View) {
+// decidePending commits the decision on the pending change, once there is one.
+func (l *Leader) decidePending(ctx context.Context, view control.View) {
 	if view.Pending == nil {
 		return
 	}
 	now := l.opts.Clock()
 	l.mu.Lock()
-	l.newTerm()
+	l.resetOnNewTerm()
 	decision := l.tally.Decide(now, view)
 	l.mu.Unlock()
 	if !decision.Decided {
@@ -403,9 +420,9 @@
 	if !decision.Accept {
 		decide.Why = "no majority of the hosts of " + strings.Join(decision.Cut, ", ") + " acknowledged it in time"
 	}
-	out, err := l.command(ctx, control.Command{Decide: &decide})
+	out, err := l.proposeCommand(ctx, control.Command{Decide: &decide})
 	if err != nil {
-		l.opts.Log.Warn("change not decided", zap.String("change", decide.ID), telemetry.Cause(err))
+		l.opts.Log.Warn("decision not committed", zap.String("change", decide.ID), telemetry.Cause(err))
 		return
 	}
 	l.opts.Metrics.Change(string(out.Status))
--- a/leader/machine.go
+++ b/leader/machine.go
@@ -7,12 +7,12 @@
 	"github.com/linenscale/linenscale/replica"
 )
 
-// machine lets RPC goroutines read the state that the replica's goroutine
-// writes, and wait for it to change.
+// machine wraps the control state with a lock, so that RPC goroutines can read the state
+// that the replica's goroutine modifies, and wait for the view to change.
 type machine struct {
 	mu      sync.Mutex
 	state   *control.State
-	changed chan struct{} // closed and replaced at each change
+	changed chan struct{} // closed and replaced when the view changes
 }
 
 var _ replica.Machine = (*machine)(nil)
@@ -28,7 +28,7 @@
 	before := m.state.View().Seq
 	result := m.state.Apply(index, data)
 	if m.state.View().Seq != before {
-		m.wake()
+		m.notifyChanged()
 	}
 	return result
 }
@@ -44,23 +44,24 @@
 func (m *machine) Restore(data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.wake()
+	defer m.notifyChanged()
 	return m.state.Restore(data)
 }
 
-func (m *machine) wake() {
+// notifyChanged wakes the goroutines that wait for a change. The caller holds the lock.
+func (m *machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// view gives the present view, and a channel that is closed when it changes.
+// view returns the current view, and a channel that is closed when it changes.
 func (m *machine) view() (control.View, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.View(), m.changed
 }
 
-// read runs do with the state, which do must not keep.
+// read calls do with the state under the lock. do must not retain the state.
 func (m *machine) read(do func(*control.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/leader/types.go
+++ b/leader/types.go
@@ -1,9 +1,9 @@
-// Package leader serves the control log to the hosts: it takes changes, tells
-// hosts of them, renews leases, decides changes, and replaces lost voters.
+// Package leader serves the control log to the hosts: it accepts and decides changes,
+// distributes them to the hosts, renews leases, and replaces lost voters.
 //
-// Every host with a disk runs one; only the one whose replica leads answers,
-// and the others name the leader. What a Leader knows of the hosts is in
-// memory only: a new leader learns it anew from the hosts' reports.
+// Every host with a disk runs a Leader. Only the one whose replica leads the Raft
+// group answers; the others reply with the leader's name. The state of the hosts is
+// held in memory only: a new leader rebuilds it from their reports.
 package leader
 
 import (
@@ -16,45 +16,46 @@
 	"github.com/linenscale/linenscale/ratelimit"
 )
 
-// HostStatus is what a host tells of itself beside its acknowledgement.
+// HostStatus is the part of a host's report that concerns routing and operators, beside
+// its acknowledgement of a view.
 type HostStatus struct {
 	Host       string
 	DataCentre string
 	Region     string
-	Ready      bool // has a lease and isn't stopping
+	Ready      bool // has a lease and accepts requests
 	InFlight   int
-	Revision   uint64  // in force on the host
-	Replica    raft.ID // of its control log; raft.None for a host without a disk
-	KeyReplica raft.ID // of its region's log of keys
-	KeyLeader  bool    // leads that log
-	// Age is how long ago the host said this. Ages are passed on in the
-	// place of times, because clocks differ.
+	Revision   uint64  // of the host's effective configuration
+	Replica    raft.ID // of the control log; raft.None for a host without a disk
+	KeyReplica raft.ID // of its region's key log; raft.None if it has none
+	KeyLeader  bool    // whether KeyReplica leads the key log
+	// Age is the time since the host issued the status. An age is sent instead of a
+	// time, because the hosts' clocks differ.
 	Age time.Duration
-	// Services are the loads of the region's engines, as this host sees them.
-	// They go to the leader, which passes on one word for each region.
+	// Services are the loads of the region's engines as observed by the host. The
+	// leader forwards the latest report of each region.
 	Services []ServiceLoad
-	// Crashes are what is new to the host of requests under which engines crashed.
+	// Crashes are the host's recent reports of requests that crashed engines.
 	Crashes []quarantine.Note
-	// Limits are what the host knows of limits that engines of its region name.
+	// Limits are the rate limits announced by engines of the host's region.
 	Limits []ratelimit.Note
 }
 
-// ServiceLoad is the state of one service's engines in a region.
+// ServiceLoad is the aggregate load of a service's engines in one region.
 type ServiceLoad struct {
 	Service     string
 	Slots       int // of healthy engines
-	Load        int // running and waiting
+	Load        int // running and queued requests
 	ServiceTime time.Duration
 }
 
-// RegionLoad is the newest word of a region's engines.
+// RegionLoad is the latest load report of a region's engines.
 type RegionLoad struct {
 	Region   string
 	Age      time.Duration
 	Services []ServiceLoad
 }
 
-// Report is a host's regular message to the leader.
+// Report is a host's periodic message to the leader.
 type Report struct {
 	Lease  control.HostReport
 	Status HostStatus
@@ -63,83 +64,85 @@
 // ReportArgs carries the reports of one or more hosts.
 type ReportArgs struct {
 	Reports []Report
-	Hops    int // relays that it has passed
+	Hops    int // relays passed so far
 }
 
-// Renewal answers one report.
+// Renewal is the leader's reply to one host's report.
 type Renewal struct {
 	Host    string
 	Renewed bool
-	Seq     uint64 // of the view that the renewal is for
+	Seq     uint64 // of the leader's view
 }
 
-// ReportReply answers ReportArgs.
+// ReportReply holds one Renewal for each report.
 type ReportReply struct {
 	NotLeader *NotLeader
 	Renewals  []Renewal
 }
 
-// NotLeader says where the leader may be found.
+// NotLeader redirects the caller: the replying host does not lead.
 type NotLeader struct {
-	Leader string // a host's name; empty if unknown
+	Leader string // name of the host that probably leads; empty if unknown
 }
 
-// WatchArgs asks for what follows a view.
+// WatchArgs is a long poll for the changes after a view.
 type WatchArgs struct {
 	Seq  uint64
-	Wait time.Duration // longest time until an answer
-	Hops int
-	// Relay asks the host for what it has seen itself. Without it only the
-	// leader answers: two hosts that have lost it must not wait for each
-	// other.
+	Wait time.Duration // longest time until the reply
+	Hops int           // relays passed so far
+	// Relay asks the host to reply from its own view. Without it, only the leader
+	// replies, because two hosts without a leader must not wait for each other.
 	Relay bool
 }
 
-// WatchReply holds the events after Seq, or a whole view.
+// WatchReply holds the events after WatchArgs.Seq, or the whole view if those events are
+// no longer stored. It holds neither if the wait ended without a change.
 type WatchReply struct {
 	NotLeader *NotLeader
 	Events    []control.Event
 	View      *control.View
 }
 
-// MembersArgs asks for the loads of all regions and, if Hosts is set, for the
-// status of all hosts.
+// MembersArgs requests the loads of all regions and, if Hosts is set, the status of all
+// hosts.
 type MembersArgs struct {
-	Hops  int
+	Hops  int // relays passed so far
 	Hosts bool
 }
 
-// MembersReply answers it. The status of hosts is without their Services.
+// MembersReply holds the loads of the regions and the status of the hosts without their
+// Services.
 type MembersReply struct {
 	NotLeader *NotLeader
 	Hosts     []HostStatus
 	Regions   []RegionLoad
 }
 
-// ProposeArgs asks for a change.
+// ProposeArgs requests a change.
 type ProposeArgs struct {
 	Change declare.Change
-	Wait   time.Duration // longest time until an answer
+	Wait   time.Duration // longest time until the reply
 }
 
-// ProposeReply answers it. A pending outcome says that the wait was too short.
+// ProposeReply holds the outcome of a change. It is not final if the wait ended before
+// the decision.
 type ProposeReply struct {
 	NotLeader *NotLeader
 	Outcome   control.Outcome
 }
 
-// StateArgs asks for the state of the control log, as of now.
+// StateArgs requests a linearizable read of the control log.
 type StateArgs struct {
-	After uint64 // history after this revision
-	ID    string // a change whose outcome is asked for; may be empty
+	After uint64 // the reply's history starts after this revision
+	ID    string // of a change whose outcome is requested; may be empty
 }
 
-// StateReply answers it.
+// StateReply holds the state of the control log, its replicas and the hosts.
 type StateReply struct {
 	NotLeader *NotLeader
 	View      control.View
 	History   []control.Record
-	Outcome   *control.Outcome // nil where the ID isn't known
+	Outcome   *control.Outcome // nil if the change is unknown or no ID was given
 	Raft      raft.Status
 	Hosts     []HostStatus
 }
