--- a/agent/duties.go
+++ b/agent/duties.go
@@ -310,7 +310,7 @@
 
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
-	err := a.Near.WithTimeout(ctx, pingTime, host.Reach(host.Control), "Host.Ping", Nothing{}, &Nothing{})
+	err := a.Near.WithTimeout(ctx, pingTime, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.regions[region]
--- a/agent/service.go
+++ b/agent/service.go
@@ -12,8 +12,8 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// Nothing stands where a call has no arguments or no answer.
-type Nothing struct{}
+// Empty stands where a call has no arguments or no answer.
+type Empty struct{}
 
 // GrantArgs asks a peer of the same data centre for a renewal.
 type GrantArgs struct {
@@ -172,7 +172,7 @@
 }
 
 // Ping answers at once.
-func (s *Service) Ping(_ Nothing, _ *Nothing) error { return nil }
+func (s *Service) Ping(_ Empty, _ *Empty) error { return nil }
 
 // Propose takes a change, if this host leads.
 func (s *Service) Propose(args leader.ProposeArgs, reply *leader.ProposeReply) error {
@@ -199,7 +199,7 @@
 }
 
 // Deliver takes messages for this host's replica of the control log.
-func (s *Service) Deliver(envelopes []raft.Envelope, _ *Nothing) error {
+func (s *Service) Deliver(envelopes []raft.Envelope, _ *Empty) error {
 	if s.agent.Leader == nil {
 		return nil
 	}
