--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,14 +1,14 @@
-// Package agent keeps one entry host in step with the control log.
+// Package agent synchronises one entry host with the control log.
 //
-// It watches for changes, reports what it serves under, keeps the lease alive
-// and learns of the other hosts. Messages go by a tree: a host speaks to one
-// relay in its data centre, the relay to the leader. Any host can be the
-// relay; it is the first in order of names that answers. Where no leader can
-// be reached, the hosts of the data centre renew each other, and pass on the
-// newest view that any of them has.
+// It watches for changes, acknowledges them by reporting the host's view, renews the
+// host's lease, and collects the status of the other hosts. Messages travel along a
+// tree: a host calls one relay in its data centre, and the relay calls the leader. The
+// relay is the first host in order of names that is not excluded after a failure. While
+// no leader can be reached, the hosts of a data centre renew each other's leases and
+// exchange the latest view that any of them has.
 //
-// Each duty runs in its own goroutine: report, renew by peers, watch, members,
-// ping.
+// Each task runs in its own goroutine: reports, renewal by peers, watch, members and
+// pings.
 package agent
 
 import (
@@ -34,80 +34,81 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Deps are what an Agent needs.
+// Deps holds the dependencies of an Agent.
 type Deps struct {
 	Settings settings.Settings
 	Host     settings.Host
-	// Leader is this host's own control side; nil for a host without a disk.
+	// Leader is this host's own leader.Leader; nil on a host without a disk.
 	Leader *leader.Leader
-	// Replica is the identity of its replica, if it has one.
+	// Replica identifies this host's replica of the control log; raft.None if it has
+	// none.
 	Replica raft.ID
 	Fleet   *fleet.Fleet
-	// Near makes short calls, Long those that wait.
+	// Near makes short calls. Long makes calls that wait for an event.
 	Near, Long *wire.Client
 	Log        *zap.Logger
 	Metrics    *telemetry.Metrics
 	Random     func() uint64
-	// Incarnation is new at each start of the process.
+	// Incarnation is unique to each start of the process.
 	Incarnation string
-	// KeyReplica gives the identity of this host's replica of its region's
-	// log of keys, raft.None until it has one, and whether it leads.
+	// KeyReplica returns the identity of this host's replica of its region's key log,
+	// raft.None if it has none yet, and whether the replica leads.
 	KeyReplica func() (id raft.ID, leads bool)
-	// InFlight counts the requests on this host, and Stopping tells that it
-	// takes no more.
+	// InFlight returns the number of requests in flight on this host. Stopping reports
+	// whether the host has stopped accepting requests.
 	InFlight func() int64
 	Stopping func() bool
 }
 
-// maxEvents bounds the events that a relay keeps for its hosts.
-const maxEvents = 1024
+// maxRelayEvents is the number of events that a relay stores for hosts that lag behind.
+const maxRelayEvents = 1024
 
-// Agent is one host's side. New makes one.
+// Agent synchronises one host with the control log. Use New to create one.
 type Agent struct {
 	Deps
 
-	mu         sync.Mutex
-	holder     *lease.Holder
-	guard      permit.Guard
-	events     []control.Event // the last ones, ending at the view's Seq
-	changed    chan struct{}   // closed and replaced when the view changes
-	leader     string          // the last known leader's host name
-	bad        map[string]time.Time
-	members    map[string]member
-	regions    map[string]*link
-	loads      map[string]regionLoad // newest word of each other region
-	batch      *reportBatch
-	behind     int // reports in a row that found the leader ahead
-	wasServing bool
+	mu            sync.Mutex
+	holder        *lease.Holder
+	guard         permit.Guard
+	events        []control.Event           // the latest events, ending at the view's Seq
+	changed       chan struct{}             // closed and replaced when the view changes
+	leader        string                    // last known leader; empty if unknown
+	excludedUntil map[string]time.Time      // by host, after a failed call
+	statuses      map[string]receivedStatus // by host
+	links         map[string]*link          // by region
+	regionLoads   map[string]regionLoad     // latest report of each other region
+	pendingBatch  *reportBatch
+	staleReports  int // consecutive reports not renewed because the leader has a newer view
+	wasServing    bool
 }
 
-// member is what is known of another host.
-type member struct {
-	status leader.HostStatus
-	at     time.Time // when the host said it, by this host's clock
+// receivedStatus is the latest status of another host.
+type receivedStatus struct {
+	status   leader.HostStatus
+	issuedAt time.Time // by this host's clock
 }
 
-// New makes an agent; Run runs it.
+// New returns an agent. Run starts it.
 func New(deps Deps) *Agent {
 	return &Agent{
-		Deps:    deps,
-		holder:  lease.New(deps.Host.Name, deps.Host.DataCentre, deps.Incarnation, deps.Settings.Control.Lease),
-		changed: make(chan struct{}),
-		bad:     make(map[string]time.Time),
-		members: make(map[string]member),
-		regions: make(map[string]*link),
-		loads:   make(map[string]regionLoad),
+		Deps:          deps,
+		holder:        lease.New(deps.Host.Name, deps.Host.DataCentre, deps.Incarnation, deps.Settings.Control.Lease),
+		changed:       make(chan struct{}),
+		excludedUntil: make(map[string]time.Time),
+		statuses:      make(map[string]receivedStatus),
+		links:         make(map[string]*link),
+		regionLoads:   make(map[string]regionLoad),
 	}
 }
 
-// Run runs the duties until ctx ends.
+// Run runs the agent's tasks until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	group.Go(a.report)
-	group.Go(a.renewByPeers)
-	group.Go(a.watch)
-	group.Go(a.learnMembers)
-	group.Go(a.ping)
+	group.Go(a.runReports)
+	group.Go(a.runPeerRenewal)
+	group.Go(a.runWatch)
+	group.Go(a.runMembers)
+	group.Go(a.runPings)
 	return group.Wait()
 }
 
@@ -125,39 +126,41 @@
 	return a.guard, a.holder.View().Config, nil
 }
 
-// View gives the view that the host serves under, and a channel that is closed
-// when it changes.
+// View returns the view under which the host serves, and a channel that is closed when
+// the view changes.
 func (a *Agent) View() (control.View, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.View(), a.changed
 }
 
-// take takes over events or a view that has come from the leader, a relay or
-// a peer.
-func (a *Agent) take(reply leader.WatchReply) error {
+// applyChanges applies events or a view received from the leader, a relay or a peer.
+// Those that are not newer than the host's view are ignored.
+func (a *Agent) applyChanges(reply leader.WatchReply) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if reply.View != nil {
-		return a.setView(*reply.View, nil)
+		return a.applyView(*reply.View, nil)
 	}
 	for i, e := range reply.Events {
 		if e.Seq <= a.holder.View().Seq {
 			continue
 		}
-		next, err := a.holder.View().With(e)
+		nextView, err := a.holder.View().With(e)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		if err := a.setView(next, &reply.Events[i]); err != nil {
+		if err := a.applyView(nextView, &reply.Events[i]); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	return nil
 }
 
-// setView compiles a view and serves under it from now on. The lock is held.
-func (a *Agent) setView(view control.View, by *control.Event) error {
+// applyView compiles a newer view and serves under it from then on. event is the event
+// that led to the view, or nil if the whole view was received. The caller holds the
+// lock.
+func (a *Agent) applyView(view control.View, event *control.Event) error {
 	if view.Seq <= a.holder.View().Seq {
 		return nil
 	}
@@ -165,15 +168,16 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	// The guard and the engines are in place before the acknowledgement.
+	// The rules and the engines take effect before holder.SetView, which acknowledges
+	// the view.
 	a.guard = guard
-	a.Fleet.Apply(view.Config, heldEngines(view))
+	a.Fleet.Apply(view.Config, pendingEngines(view))
 	a.holder.SetView(view)
-	if by == nil {
+	if event == nil {
 		a.events = nil
 	} else {
-		a.events = append(a.events, *by)
-		a.events = a.events[max(0, len(a.events)-maxEvents):]
+		a.events = append(a.events, *event)
+		a.events = a.events[max(0, len(a.events)-maxRelayEvents):]
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -182,41 +186,43 @@
 	return nil
 }
 
+// compile returns the rules of a view: those of its effective configuration and those of
+// the pending one.
 func compile(view control.View) (permit.Guard, error) {
-	rules, err := permit.New(view.Config)
+	currentRules, err := permit.New(view.Config)
 	if err != nil {
 		return permit.Guard{}, errors.Trace(err)
 	}
-	guard := permit.Guard{Current: rules}
+	guard := permit.Guard{Current: currentRules}
 	if view.Pending != nil {
-		pending, err := permit.New(view.Pending.Config)
+		pendingRules, err := permit.New(view.Pending.Config)
 		if err != nil {
 			return permit.Guard{}, errors.Trace(err)
 		}
-		guard.Pending = &pending
+		guard.Pending = &pendingRules
 	}
 	return guard, nil
 }
 
-// heldEngines tells which engines an undecided change alters: until it is
-// decided they get nothing new, for what the two configurations permit of them
-// may differ.
-func heldEngines(view control.View) func(string) bool {
-	held := map[string]bool{}
+// pendingEngines returns a function that reports whether the pending change alters an
+// engine. Such an engine gets no new requests until the change is decided, because the
+// two configurations may permit different requests on it.
+func pendingEngines(view control.View) func(string) bool {
+	affected := map[string]bool{}
 	if view.Pending != nil {
 		for _, ref := range view.Pending.Change.Deletes {
-			held[ref.Name] = held[ref.Name] || ref.Kind == declare.KindEngine
+			affected[ref.Name] = affected[ref.Name] || ref.Kind == declare.KindEngine
 		}
 		for _, put := range view.Pending.Change.Puts {
 			if engine, ok := put.Object.(declare.Engine); ok {
-				held[engine.Name] = true
+				affected[engine.Name] = true
 			}
 		}
 	}
-	return func(engine string) bool { return held[engine] }
+	return func(engine string) bool { return affected[engine] }
 }
 
-// ownLoads gives the loads of this region's engines, as this host sees them.
+// ownLoads returns the loads of this region's engines as observed by this host.
 func (a *Agent) ownLoads() []leader.ServiceLoad {
 	var out []leader.ServiceLoad
 	for _, d := range a.Fleet.Digests() {
@@ -225,15 +231,15 @@
 	return out
 }
 
-// isServing tells whether the host takes requests now.
+// isServing reports whether the host has a lease now.
 func (a *Agent) isServing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Serving(steady.Time())
 }
 
-// status gives what this host tells others of itself.
-func (a *Agent) status() leader.HostStatus {
+// ownStatus returns the status that this host sends to the others.
+func (a *Agent) ownStatus() leader.HostStatus {
 	status := leader.HostStatus{
 		Host: a.Host.Name, DataCentre: a.Host.DataCentre, Region: a.Host.Region,
 		InFlight: int(a.InFlight()), Replica: a.Replica, Services: a.ownLoads(), Crashes: a.Fleet.TellCrashes(), Limits: a.Fleet.TellLimits(),
@@ -246,7 +252,7 @@
 	return status
 }
 
-// Explain tells of the lease, for operators.
+// Explain returns the state of this host's lease, for operators.
 func (a *Agent) Explain() Standing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -260,7 +266,7 @@
 	return s
 }
 
-// Standing describes a host's lease.
+// Standing is the state of a host's view and lease.
 type Standing struct {
 	Host        string        `json:"host"`
 	Seq         uint64        `json:"seq"`
@@ -268,7 +274,7 @@
 	Pending     bool          `json:"pending"`
 	Serving     bool          `json:"serving"`
 	Established bool          `json:"established"`
-	ByPeers     bool          `json:"by_peers"` // renewed by its data centre, no leader reached
-	Lease       time.Duration `json:"lease"`    // that remains
+	ByPeers     bool          `json:"by_peers"` // renewed by peers only, while no leader is reachable
+	Lease       time.Duration `json:"lease"`    // time until it expires
 	Leader      string        `json:"leader"`
 }
--- a/agent/batch.go
+++ b/agent/batch.go
@@ -1,5 +1,5 @@
-// This file defines how a relay gathers the reports of its hosts into one
-// message, so that the leader hears each data centre once.
+// This file defines how a relay combines the reports of its hosts into one message, so
+// that the leader gets one message per data centre and interval.
 
 package agent
 
@@ -11,39 +11,39 @@
 	"github.com/linenscale/linenscale/leader"
 )
 
-// gatherTime is how long a relay waits for further reports.
-const gatherTime = 8 * time.Millisecond
+// batchWindow is how long a relay waits for further reports after the first.
+const batchWindow = 8 * time.Millisecond
 
-// reportBatch is a message that is being gathered.
+// reportBatch is a set of reports to be forwarded in one message.
 type reportBatch struct {
 	reports []leader.Report
-	done    chan struct{} // closed when reply and err are set
+	replied    chan struct{} // closed when reply and err are set
 	reply   leader.ReportReply
 	err     error
 }
 
-// relayReport forwards reports together with those that come within a moment.
-// Whoever comes first sends for all.
-func (a *Agent) relayReport(ctx context.Context, args leader.ReportArgs) (leader.ReportReply, error) {
+// batchReports forwards reports together with those that arrive within batchWindow. The
+// first caller opens the batch and forwards it; the others wait for its reply.
+func (a *Agent) batchReports(ctx context.Context, args leader.ReportArgs) (leader.ReportReply, error) {
 	a.mu.Lock()
-	b := a.batch
-	first := b == nil
-	if first {
-		b = &reportBatch{done: make(chan struct{})}
-		a.batch = b
+	b := a.pendingBatch
+	opened := b == nil
+	if opened {
+		b = &reportBatch{replied: make(chan struct{})}
+		a.pendingBatch = b
 	}
 	b.reports = append(b.reports, args.Reports...)
 	a.mu.Unlock()
-	if first {
-		duty.Pause(ctx, gatherTime)
+	if opened {
+		duty.Pause(ctx, batchWindow)
 		a.mu.Lock()
-		a.batch = nil
+		a.pendingBatch = nil
 		a.mu.Unlock()
-		b.reply, b.err = a.forward(ctx, leader.ReportArgs{Reports: b.reports, Hops: args.Hops})
-		close(b.done)
+		b.reply, b.err = a.forwardReports(ctx, leader.ReportArgs{Reports: b.reports, Hops: args.Hops})
+		close(b.replied)
 	}
 	select {
-	case <-b.done:
+	case <-b.replied:
 		return b.reply, b.err
 	case <-ctx.Done():
 		return leader.ReportReply{}, ctx.Err()
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -1,4 +1,5 @@
-// This file defines the duties: report, watch, members and ping.
+// This file defines the agent's tasks: reports, renewal by peers, watch, members and
+// pings.
 
 package agent
 
@@ -17,47 +18,47 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Intervals of the duties.
+// Intervals and timeouts of the tasks.
 const (
-	watchWait    = 2 * time.Second
-	retryPause   = 100 * time.Millisecond
-	membersEvery = 2 * time.Second
-	hostsEvery   = 2 // of those, one asks for the hosts as well
-	pingEvery    = 2 * time.Second
-	pingTime     = time.Second
+	watchWait          = 2 * time.Second // longest wait of one long poll
+	retryInterval      = 100 * time.Millisecond
+	membersInterval    = 2 * time.Second
+	hostsRequestPeriod = 2 // every n-th members request includes the hosts
+	pingInterval       = 2 * time.Second
+	pingTimeout        = time.Second
 )
 
-// reportEvery is how often a host reports: a few times within a lease, so that
-// a lost message doesn't end it.
-func (a *Agent) reportEvery() time.Duration { return a.Settings.Control.Lease / 4 }
+// reportInterval is the time between two reports. Several fit into a lease, so that one
+// lost message does not end it.
+func (a *Agent) reportInterval() time.Duration { return a.Settings.Control.Lease / 4 }
 
-// peersEvery is how often a host looks whether it must turn to its peers.
-const peersEvery = 150 * time.Millisecond
+// peerRenewalInterval is the time between two checks whether the lease needs a renewal by
+// peers.
+const peerRenewalInterval = 150 * time.Millisecond
 
-// renewByPeers is the duty that keeps the lease alive without a leader. It
-// doesn't wait for the reports, which may take longer than a lease to find out
-// that nobody answers.
-func (a *Agent) renewByPeers(ctx context.Context) error {
+// runPeerRenewal renews the lease through the peers while no leader can be reached. It
+// runs independently of the reports, which may take longer than a lease to fail.
+func (a *Agent) runPeerRenewal(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if a.byPeersDue() {
-			a.askPeers(ctx)
+		if a.peerRenewalDue() {
+			a.requestPeerRenewal(ctx)
 			a.logServing()
 		}
-		duty.Pause(ctx, peersEvery)
+		duty.Pause(ctx, peerRenewalInterval)
 	}
 	return nil
 }
 
-// report is the duty that keeps the lease alive. It also reports at once when
-// the view has changed, which is the acknowledgement.
-func (a *Agent) report(ctx context.Context) error {
+// runReports renews the lease by periodic reports to the leader. It also reports at once
+// when the view changes, which acknowledges the new view.
+func (a *Agent) runReports(ctx context.Context) error {
 	for ctx.Err() == nil {
 		_, changed := a.View()
 		renewed := a.reportOnce(ctx)
 		a.logServing()
-		wait := a.reportEvery()
+		wait := a.reportInterval()
 		if !renewed {
-			wait = retryPause
+			wait = retryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -68,58 +69,61 @@
 	return nil
 }
 
-// reportOnce reports to the leader and takes its renewal.
+// reportOnce sends one report to the leader, applies the reply and reports whether the
+// lease was renewed.
 func (a *Agent) reportOnce(ctx context.Context) bool {
 	sent := steady.Time()
 	report := a.ownReport(sent)
 	ctx, cancel := context.WithTimeout(ctx, a.Settings.Control.Lease/2)
 	defer cancel()
-	reply, err := a.forward(ctx, leader.ReportArgs{Reports: []leader.Report{report}})
+	reply, err := a.forwardReports(ctx, leader.ReportArgs{Reports: []leader.Report{report}})
 	if err != nil {
 		return false
 	}
 	for _, r := range reply.Renewals {
 		if r.Host == a.Host.Name {
-			return a.takeRenewal(sent, r)
+			return a.applyRenewal(sent, r)
 		}
 	}
 	return false
 }
 
-// behindMost is how often in a row a report may find the leader ahead before
-// the relay, which should have brought what is new, is passed over.
-const behindMost = 10
+// maxStaleReports is the number of consecutive reports that may find the leader's view
+// newer before the relay, which should have forwarded that view, is excluded.
+const maxStaleReports = 10
 
-func (a *Agent) takeRenewal(sent time.Time, r leader.Renewal) bool {
+// applyRenewal applies the leader's reply to a report sent at the given time, and reports
+// whether the lease was renewed.
+func (a *Agent) applyRenewal(sent time.Time, r leader.Renewal) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Renewed {
-		a.behind = 0
+		a.staleReports = 0
 		a.holder.RenewedByLeader(sent, r.Seq)
 		return true
 	}
-	a.behind++
-	if hosts := a.dataCentreHosts(); a.behind >= behindMost && len(hosts) > 0 {
-		a.behind = 0
-		a.bad[hosts[0]] = steady.Time().Add(badTime)
+	a.staleReports++
+	if hosts := a.dataCentreHosts(); a.staleReports >= maxStaleReports && len(hosts) > 0 {
+		a.staleReports = 0
+		a.excludedUntil[hosts[0]] = steady.Time().Add(exclusionTime)
 	}
 	return false
 }
 
 func (a *Agent) ownReport(now time.Time) leader.Report {
-	status := a.status()
+	status := a.ownStatus()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return leader.Report{Lease: a.holder.Report(now), Status: status}
 }
 
-// forward brings reports to the leader.
-func (a *Agent) forward(ctx context.Context, args leader.ReportArgs) (leader.ReportReply, error) {
+// forwardReports sends reports to the leader, directly or through a relay.
+func (a *Agent) forwardReports(ctx context.Context, args leader.ReportArgs) (leader.ReportReply, error) {
 	var reply leader.ReportReply
-	err := a.ask(ctx, args.Hops, 0, func() *leader.NotLeader {
+	err := a.callLeader(ctx, args.Hops, 0, func() *leader.NotLeader {
 		reply = a.Leader.Report(args)
 		return reply.NotLeader
-	}, func(ctx context.Context, _ target, address string) (*leader.NotLeader, error) {
+	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
 		next := args
 		next.Hops++
 		reply = leader.ReportReply{}
@@ -129,17 +133,18 @@
 	return reply, err
 }
 
-// byPeersDue tells whether the lease has run down so far without a leader's
-// renewal that the peers should be asked.
-func (a *Agent) byPeersDue() bool {
+// peerRenewalDue reports whether less than half of the lease remains, so that a renewal
+// by peers is needed.
+func (a *Agent) peerRenewalDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Until().Sub(steady.Time()) < a.Settings.Control.Lease/2
 }
 
-// askPeers asks the other hosts of the data centre for a renewal, and takes
-// over the newest view that any of them has.
-func (a *Agent) askPeers(ctx context.Context) bool {
+// requestPeerRenewal requests a renewal from the other hosts of the data centre and
+// reports whether a majority granted it. If a peer has a newer view, it fetches that
+// view instead.
+func (a *Agent) requestPeerRenewal(ctx context.Context) bool {
 	a.mu.Lock()
 	ask := a.holder.Ask()
 	peers := a.dataCentreHosts()
@@ -148,35 +153,36 @@
 	replies := make([]GrantReply, len(peers))
 	group := pool.New()
 	for i, name := range peers {
-		address, _, ok := a.address(name)
+		address, _, ok := a.controlAddress(name)
 		if name == a.Host.Name || !ok {
 			continue
 		}
 		group.Go(func() {
-			if err := a.Near.WithTimeout(ctx, nearTime, address, "Host.Grant", GrantArgs{ask, a.status()}, &replies[i]); err != nil {
+			if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{ask, a.ownStatus()}, &replies[i]); err != nil {
 				replies[i] = GrantReply{}
 			}
 		})
 	}
 	group.Wait()
-	return a.takeGrants(ctx, sent, ask, replies)
+	return a.applyGrants(ctx, sent, ask, replies)
 }
 
-func (a *Agent) takeGrants(ctx context.Context, sent time.Time, ask lease.Ask, replies []GrantReply) bool {
+// applyGrants applies the replies to a request for renewal sent at the given time.
+func (a *Agent) applyGrants(ctx context.Context, sent time.Time, ask lease.Ask, replies []GrantReply) bool {
 	var grants []lease.Grant
-	newest := lease.Grant{Seq: ask.Seq}
+	latest := lease.Grant{Seq: ask.Seq}
 	for _, r := range replies {
 		if r.Grant.Host == "" {
 			continue
 		}
-		a.noteMember(r.Status)
+		a.recordStatus(r.Status)
 		grants = append(grants, r.Grant)
-		if r.Grant.Seq > newest.Seq {
-			newest = r.Grant
+		if r.Grant.Seq > latest.Seq {
+			latest = r.Grant
 		}
 	}
-	if newest.Host != "" {
-		a.catchUp(ctx, newest.Host)
+	if latest.Host != "" {
+		a.catchUpFrom(ctx, latest.Host)
 		return false
 	}
 	a.mu.Lock()
@@ -184,23 +190,23 @@
 	return a.holder.RenewedByPeers(sent, ask.Seq, grants)
 }
 
-// catchUp takes the view of a peer that is ahead.
-func (a *Agent) catchUp(ctx context.Context, peer string) {
-	address, _, ok := a.address(peer)
+// catchUpFrom fetches and applies the newer view of a peer.
+func (a *Agent) catchUpFrom(ctx context.Context, peer string) {
+	address, _, ok := a.controlAddress(peer)
 	if !ok {
 		return
 	}
 	view, _ := a.View()
 	var reply leader.WatchReply
-	if err := a.Near.WithTimeout(ctx, nearTime, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
+	if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
 		return
 	}
-	if err := a.take(reply); err != nil {
-		a.Log.Warn("view from a peer", zap.String("peer", peer), telemetry.Cause(err))
+	if err := a.applyChanges(reply); err != nil {
+		a.Log.Warn("view from peer not applied", zap.String("peer", peer), telemetry.Cause(err))
 	}
 }
 
-// logServing writes a line when the host begins or stops to serve.
+// logServing logs when the host starts or stops serving.
 func (a *Agent) logServing() {
 	standing := a.Explain()
 	a.mu.Lock()
@@ -212,28 +218,29 @@
 	}
 }
 
-// watch is the duty that waits for changes.
-func (a *Agent) watch(ctx context.Context) error {
+// runWatch waits for changes of the configuration and applies them.
+func (a *Agent) runWatch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		view, _ := a.View()
 		reply, err := a.watchOnce(ctx, leader.WatchArgs{Seq: view.Seq, Wait: watchWait})
 		if err == nil {
-			err = a.take(reply)
+			err = a.applyChanges(reply)
 		}
 		if err != nil {
 			a.Log.Debug("watch", telemetry.Cause(err))
-			duty.Pause(ctx, retryPause)
+			duty.Pause(ctx, retryInterval)
 		}
 	}
 	return nil
 }
 
+// watchOnce makes one long poll for changes, through a relay or to the leader.
 func (a *Agent) watchOnce(ctx context.Context, args leader.WatchArgs) (leader.WatchReply, error) {
 	var reply leader.WatchReply
-	err := a.ask(ctx, args.Hops, args.Wait, func() *leader.NotLeader {
+	err := a.callLeader(ctx, args.Hops, args.Wait, func() *leader.NotLeader {
 		reply = a.Leader.Watch(ctx, args)
 		return reply.NotLeader
-	}, func(ctx context.Context, t target, address string) (*leader.NotLeader, error) {
+	}, func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error) {
 		next := args
 		next.Hops++
 		next.Relay = t.relay
@@ -244,31 +251,34 @@
 	return reply, err
 }
 
-// learnMembers is the duty that learns of the other hosts and regions.
-func (a *Agent) learnMembers(ctx context.Context) error {
-	for round := 0; ctx.Err() == nil; round++ {
-		reply, err := a.membersOnce(ctx, leader.MembersArgs{Hosts: round%hostsEvery == 0})
-		wait := membersEvery
+// runMembers periodically fetches the status of the other hosts and the loads of the
+// other regions.
+func (a *Agent) runMembers(ctx context.Context) error {
+	for iteration := 0; ctx.Err() == nil; iteration++ {
+		reply, err := a.fetchMembers(ctx, leader.MembersArgs{Hosts: iteration%hostsRequestPeriod == 0})
+		wait := membersInterval
 		if err != nil || len(reply.Hosts) == 1 {
-			wait, round = retryPause, -1 // just started: nobody is known yet
+			wait, iteration = retryInterval, -1 // just started: no other host is known yet
 		}
 		for _, status := range reply.Hosts {
-			a.noteMember(status)
+			a.recordStatus(status)
 		}
 		for _, load := range reply.Regions {
-			a.noteRegion(load)
+			a.recordRegionLoad(load)
 		}
 		duty.Pause(ctx, wait)
 	}
 	return nil
 }
 
-func (a *Agent) membersOnce(ctx context.Context, args leader.MembersArgs) (leader.MembersReply, error) {
+// fetchMembers makes one request for the loads of the regions and, if args.Hosts is set,
+// the status of the hosts.
+func (a *Agent) fetchMembers(ctx context.Context, args leader.MembersArgs) (leader.MembersReply, error) {
 	var reply leader.MembersReply
-	err := a.ask(ctx, args.Hops, 0, func() *leader.NotLeader {
+	err := a.callLeader(ctx, args.Hops, 0, func() *leader.NotLeader {
 		reply = a.Leader.Members(args)
 		return reply.NotLeader
-	}, func(ctx context.Context, _ target, address string) (*leader.NotLeader, error) {
+	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
 		next := args
 		next.Hops++
 		reply = leader.MembersReply{}
@@ -278,20 +288,20 @@
 	return reply, err
 }
 
-// ping is the duty that measures the way to each other region.
-func (a *Agent) ping(ctx context.Context) error {
+// runPings periodically measures the round trip to each other region.
+func (a *Agent) runPings(ctx context.Context) error {
 	for ctx.Err() == nil {
 		group := pool.New()
 		for region, host := range a.pingTargets() {
 			group.Go(func() { a.pingOnce(ctx, region, host) })
 		}
 		group.Wait()
-		duty.Pause(ctx, pingEvery)
+		duty.Pause(ctx, pingInterval)
 	}
 	return nil
 }
 
-// pingTargets draws one host of each other region.
+// pingTargets returns one random host of each other region.
 func (a *Agent) pingTargets() map[string]declare.Host {
 	view, _ := a.View()
 	hosts := map[string][]declare.Host{}
@@ -302,21 +312,21 @@
 		}
 	}
 	out := make(map[string]declare.Host, len(hosts))
-	for region, all := range hosts {
-		out[region] = all[a.Random()%uint64(len(all))]
+	for region, candidates := range hosts {
+		out[region] = candidates[a.Random()%uint64(len(candidates))]
 	}
 	return out
 }
 
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
-	err := a.Near.WithTimeout(ctx, pingTime, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
+	err := a.Near.WithTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.regions[region]
+	l := a.links[region]
 	if l == nil {
 		l = &link{}
-		a.regions[region] = l
+		a.links[region] = l
 	}
-	l.note(err == nil, steady.Time().Sub(sent))
+	l.record(err == nil, steady.Time().Sub(sent))
 }
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -1,4 +1,4 @@
-// This file defines how the homes of keys are found.
+// This file defines how the replicas of a region's key log are found.
 
 package agent
 
@@ -12,8 +12,8 @@
 
 var _ keyhome.Finder = (*Agent)(nil)
 
-// KeyPlaces implements keyhome.Finder: the host that says it leads, then the
-// others of the region.
+// KeyPlaces implements keyhome.Finder. It returns the hosts that report leading the
+// region's key log, then the region's other hosts.
 func (a *Agent) KeyPlaces(region string) []keyhome.Place {
 	view, _ := a.View()
 	var leading, others []keyhome.Place
@@ -24,7 +24,7 @@
 		place, ok := a.KeyPlace(h.Name)
 		switch {
 		case !ok:
-		case a.leadsKeys(h.Name):
+		case a.leadsKeyLog(h.Name):
 			leading = append(leading, place)
 		default:
 			others = append(others, place)
@@ -35,22 +35,25 @@
 
 // KeyPlace implements keyhome.Finder.
 func (a *Agent) KeyPlace(host string) (keyhome.Place, bool) {
-	address, bound, ok := a.address(host)
+	address, bound, ok := a.controlAddress(host)
 	return keyhome.Place{Host: host, Address: address, Bound: bound}, ok
 }
 
-func (a *Agent) leadsKeys(host string) bool {
+// leadsKeyLog reports whether a host's latest status says that it leads its region's key
+// log.
+func (a *Agent) leadsKeyLog(host string) bool {
 	if host == a.Host.Name {
 		_, leads := a.KeyReplica()
 		return leads
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m, ok := a.members[host]
-	return ok && m.status.KeyLeader && steady.Time().Sub(m.at) < memberLife
+	m, ok := a.statuses[host]
+	return ok && m.status.KeyLeader && steady.Time().Sub(m.issuedAt) < statusTTL
 }
 
-// KeySpares lists the replicas of the log of keys on this region's hosts.
+// KeySpares returns the replicas of the key log on this region's hosts, as candidate
+// voters.
 func (a *Agent) KeySpares() []voters.Spare {
 	var out []voters.Spare
 	if id, _ := a.KeyReplica(); id != raft.None {
@@ -58,8 +61,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.members {
-		if m.status.Region == a.Host.Region && m.status.KeyReplica != raft.None && steady.Time().Sub(m.at) < memberLife {
+	for _, m := range a.statuses {
+		if m.status.Region == a.Host.Region && m.status.KeyReplica != raft.None && steady.Time().Sub(m.issuedAt) < statusTTL {
 			out = append(out, voters.Spare{ID: m.status.KeyReplica, Region: m.status.Region})
 		}
 	}
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -1,4 +1,5 @@
-// This file defines what operators ask of any host, on its way to the leader.
+// This file defines the operators' requests, which any host accepts and forwards to the
+// leader or to other hosts.
 
 package agent
 
@@ -12,82 +13,83 @@
 	"github.com/linenscale/linenscale/leader"
 )
 
-// directly is the number of hops that keeps a call from going by a relay.
-const directly = maxHops
+// withoutRelay is a number of hops with which a call bypasses the relay.
+const withoutRelay = maxHops
 
-// Propose brings a change to the leader and waits for its decision. A change
-// that may have reached a leader is sent again with the same ID, which is safe.
+// Propose sends a change to the leader and waits for its decision. A change that may have
+// reached a leader is resent with the same ID, which makes the proposal idempotent.
 func (a *Agent) Propose(ctx context.Context, change declare.Change, wait time.Duration) (leader.ProposeReply, error) {
 	args := leader.ProposeArgs{Change: change, Wait: wait}
 	var reply leader.ProposeReply
-	var failed error
-	err := a.ask(ctx, directly, wait, func() *leader.NotLeader {
-		reply, failed = a.Leader.Propose(ctx, args)
+	var callErr error
+	err := a.callLeader(ctx, withoutRelay, wait, func() *leader.NotLeader {
+		reply, callErr = a.Leader.Propose(ctx, args)
 		return reply.NotLeader
-	}, func(ctx context.Context, _ target, address string) (*leader.NotLeader, error) {
-		reply, failed = leader.ProposeReply{}, nil
+	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
+		reply, callErr = leader.ProposeReply{}, nil
 		err := a.Long.Call(ctx, address, "Host.Propose", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
-		err = failed
+		err = callErr
 	}
 	return reply, errors.Trace(err)
 }
 
-// State asks the leader for the state of the control log.
+// State requests the state of the control log from the leader.
 func (a *Agent) State(ctx context.Context, args leader.StateArgs) (leader.StateReply, error) {
 	var reply leader.StateReply
-	var failed error
-	err := a.ask(ctx, directly, time.Second, func() *leader.NotLeader {
-		reply, failed = a.Leader.State(ctx, args)
+	var callErr error
+	err := a.callLeader(ctx, withoutRelay, time.Second, func() *leader.NotLeader {
+		reply, callErr = a.Leader.State(ctx, args)
 		return reply.NotLeader
-	}, func(ctx context.Context, _ target, address string) (*leader.NotLeader, error) {
-		reply, failed = leader.StateReply{}, nil
+	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
+		reply, callErr = leader.StateReply{}, nil
 		err := a.Long.Call(ctx, address, "Host.State", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
-		err = failed
+		err = callErr
 	}
 	return reply, errors.Trace(err)
 }
 
-// EngineArgs asks for the requests in flight on an engine.
+// EngineArgs requests the number of requests in flight on an engine.
 type EngineArgs struct{ Engine string }
 
-// EngineReply answers it.
+// EngineReply holds one host's requests in flight on an engine.
 type EngineReply struct {
 	InFlight int
-	// Seq is of the view that the host serves under: a host that has not
-	// seen the engine's label yet may still send it something.
+	// Seq is that of the host's view. A host with an older view, in which the engine is
+	// not declared stopping, may still send it requests.
 	Seq uint64
 }
 
-// InFlight answers with this host's own requests on an engine.
+// InFlight returns this host's requests in flight on an engine.
 func (s *Service) InFlight(args EngineArgs, reply *EngineReply) error {
 	view, _ := s.agent.View()
 	*reply = EngineReply{s.agent.Fleet.InFlight(args.Engine), view.Seq}
 	return nil
 }
 
-// Drain tells of an engine that is being stopped.
+// Drain is the progress of draining an engine before it is stopped.
 type Drain struct {
 	Engine   string   `json:"engine"`
-	Stopping bool     `json:"stopping"` // declared so, in force on this host
+	Stopping bool     `json:"stopping"` // declared stopping in the effective configuration
 	InFlight int      `json:"in_flight"`
-	Unknown  []string `json:"unknown"` // hosts that could not be asked
+	Unknown  []string `json:"unknown"` // hosts without a reply, or with an older view
 }
 
-// Empty tells whether the engine has finished everything and gets nothing new.
+// Empty reports whether the engine has no requests in flight and gets no new ones.
 func (d Drain) Empty() bool { return d.Stopping && d.InFlight == 0 && len(d.Unknown) == 0 }
 
-// Drain asks each host of the engine's region for what it has in flight. A
-// host that can't be asked counts as unknown, and the engine as not empty.
+// Drain collects the requests in flight on an engine from each host of its region. A host
+// that does not reply, or whose view is older, is listed as unknown, and the engine then
+// does not count as empty.
 func (a *Agent) Drain(ctx context.Context, name string) (Drain, error) {
 	view, _ := a.View()
 	if state, err := a.State(ctx, leader.StateArgs{}); err == nil {
-		view = state.View // this host may be behind
+		view = state.View // this host's view may be older
 	}
 	object, ok := view.Config.Get(declare.Ref{Kind: declare.KindEngine, Name: name})
 	if !ok {
@@ -100,7 +102,7 @@
 		if view.Config.RegionOf(host.DataCentre) != region || host.State == declare.HostGone {
 			continue
 		}
-		reply, err := a.askInFlight(ctx, host.Name, name)
+		reply, err := a.queryInFlight(ctx, host.Name, name)
 		if err != nil || reply.Seq < view.Seq {
 			drain.Unknown = append(drain.Unknown, host.Name)
 			continue
@@ -110,12 +112,13 @@
 	return drain, nil
 }
 
-func (a *Agent) askInFlight(ctx context.Context, host, engine string) (EngineReply, error) {
+// queryInFlight returns a host's requests in flight on an engine.
+func (a *Agent) queryInFlight(ctx context.Context, host, engine string) (EngineReply, error) {
 	if host == a.Host.Name {
 		view, _ := a.View()
 		return EngineReply{a.Fleet.InFlight(engine), view.Seq}, nil
 	}
-	address, bound, ok := a.address(host)
+	address, bound, ok := a.controlAddress(host)
 	if !ok {
 		return EngineReply{}, errors.NotFoundf("host %q", host)
 	}
--- a/agent/peers.go
+++ b/agent/peers.go
@@ -1,4 +1,5 @@
-// This file defines what the gateway asks of the other hosts and regions.
+// This file defines the state of other hosts and regions that the gateway uses for
+// routing.
 
 package agent
 
@@ -14,44 +15,48 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// memberLife is how old a host's word may be for it to be recommended.
-const memberLife = 8 * time.Second
+// statusTTL is the age beyond which a host's status is not used.
+const statusTTL = 8 * time.Second
 
-// link is what is known of the way to another region. The zero value is a way
-// that has not been tried.
+// link is the measured state of the network path to another region. The zero value is a
+// path without measurements.
 type link struct {
 	roundTrip time.Duration
-	failed    int // in a row
+	failures  int // consecutive
 }
 
-// cutAfter failures in a row a region counts as cut off.
-const cutAfter = 2
+// partitionedAfter is the number of consecutive failed pings after which a region counts
+// as partitioned.
+const partitionedAfter = 2
 
-// linkSmoothing is the weight of the newest round trip.
-const linkSmoothing = 0.3
+// roundTripSmoothing is the weight of the latest sample in the moving average of the
+// round trip.
+const roundTripSmoothing = 0.3
 
-func (l *link) note(ok bool, took time.Duration) {
+// record adds the result of one ping.
+func (l *link) record(ok bool, took time.Duration) {
 	if !ok {
-		l.failed++
+		l.failures++
 		return
 	}
-	l.failed = 0
+	l.failures = 0
 	if l.roundTrip == 0 {
 		l.roundTrip = took
 		return
 	}
-	l.roundTrip += time.Duration(linkSmoothing * float64(took-l.roundTrip))
+	l.roundTrip += time.Duration(roundTripSmoothing * float64(took-l.roundTrip))
 }
 
-func (l *link) cut() bool { return l.failed >= cutAfter }
+func (l *link) partitioned() bool { return l.failures >= partitionedAfter }
 
-// noteMember takes over a host's status, unless a newer one is known.
-func (a *Agent) noteMember(status leader.HostStatus) {
+// recordStatus stores another host's status, unless a newer one is stored, and applies its
+// reports of crashes and rate limits.
+func (a *Agent) recordStatus(status leader.HostStatus) {
 	if status.Host == "" || status.Host == a.Host.Name {
 		return
 	}
 	for _, f := range a.Fleet.HearCrashes(status.Crashes, status.Age) {
-		a.Log.Warn("request kept from engines", zap.Stringer("fingerprint", f), zap.String("last_crash_seen_by", status.Host))
+		a.Log.Warn("request quarantined", zap.Stringer("fingerprint", f), zap.String("last_crash_seen_by", status.Host))
 	}
 	if status.Region == a.Host.Region {
 		a.Fleet.HearLimits(status.Limits, status.Age)
@@ -59,13 +64,13 @@
 	at := steady.Time().Add(-status.Age)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if old, ok := a.members[status.Host]; ok && old.at.After(at) {
+	if old, ok := a.statuses[status.Host]; ok && old.issuedAt.After(at) {
 		return
 	}
-	a.members[status.Host] = member{status, at}
+	a.statuses[status.Host] = receivedStatus{status, at}
 }
 
-// Regions implements gateway.Peers. Of each region the newest word counts.
+// Regions implements gateway.Peers. It uses the latest load report of each region.
 func (a *Agent) Regions(service string) []route.Digest {
 	var out []route.Digest
 	for _, d := range a.Fleet.Digests() {
@@ -75,40 +80,41 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for region, known := range a.loads {
-		if d, ok := a.digest(region, known, service); ok {
+	for region, load := range a.regionLoads {
+		if d, ok := a.remoteDigest(region, load, service); ok {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// regionLoad is what is known of another region's engines.
+// regionLoad is the latest load report of another region's engines.
 type regionLoad struct {
 	services []leader.ServiceLoad
-	at       time.Time // when it was said, by this host's clock
+	issuedAt time.Time // by this host's clock
 }
 
-// noteRegion takes over the word of a region, unless a newer one is known.
-func (a *Agent) noteRegion(load leader.RegionLoad) {
+// recordRegionLoad stores the load report of another region, unless a newer one is stored.
+func (a *Agent) recordRegionLoad(load leader.RegionLoad) {
 	at := time.Now().Add(-load.Age)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if load.Region != a.Host.Region && at.After(a.loads[load.Region].at) {
-		a.loads[load.Region] = regionLoad{load.Services, at}
+	if load.Region != a.Host.Region && at.After(a.regionLoads[load.Region].issuedAt) {
+		a.regionLoads[load.Region] = regionLoad{load.Services, at}
 	}
 }
 
-// digest gives the digest of a service in another region, and the way there.
-// The lock is held.
-func (a *Agent) digest(region string, known regionLoad, service string) (route.Digest, bool) {
-	for _, s := range known.services {
+// remoteDigest returns the digest of a service in another region, with the round trip to
+// that region. It returns false if the region reports no such service. The caller holds
+// the lock.
+func (a *Agent) remoteDigest(region string, load regionLoad, service string) (route.Digest, bool) {
+	for _, s := range load.services {
 		if s.Service != service {
 			continue
 		}
-		d := route.Digest{Region: region, Slots: s.Slots, Load: s.Load, ServiceTime: s.ServiceTime, At: known.at}
-		if l := a.regions[region]; l != nil {
-			d.RoundTrip, d.Cut = l.roundTrip, l.cut()
+		d := route.Digest{Region: region, Slots: s.Slots, Load: s.Load, ServiceTime: s.ServiceTime, At: load.issuedAt}
+		if l := a.links[region]; l != nil {
+			d.RoundTrip, d.Cut = l.roundTrip, l.partitioned()
 		}
 		d.RoundTrip = max(d.RoundTrip, time.Millisecond)
 		return d, true
@@ -116,8 +122,8 @@
 	return route.Digest{}, false
 }
 
-// Entries implements gateway.Peers: hosts that have said lately that they take
-// requests, near ones first.
+// Entries implements gateway.Peers. It returns the hosts whose recent status says that
+// they accept requests: those of this data centre first, then those of this region.
 func (a *Agent) Entries() []declare.Host {
 	serving := a.isServing() && !a.Stopping()
 	a.mu.Lock()
@@ -128,23 +134,25 @@
 		if h.State == declare.HostGone || h.State == declare.HostLeaving {
 			continue
 		}
-		m, known := a.members[h.Name]
-		live := known && m.status.Ready && steady.Time().Sub(m.at) < memberLife
+		m, found := a.statuses[h.Name]
+		live := found && m.status.Ready && steady.Time().Sub(m.issuedAt) < statusTTL
 		if h.Name == a.Host.Name {
 			live = serving
 		}
-		if l := a.regions[config.RegionOf(h.DataCentre)]; l != nil && l.cut() {
+		if l := a.links[config.RegionOf(h.DataCentre)]; l != nil && l.partitioned() {
 			live = false
 		}
 		if live {
 			out = append(out, h)
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return a.distance(config, out[i]) < a.distance(config, out[j]) })
+	sort.SliceStable(out, func(i, j int) bool { return a.proximity(config, out[i]) < a.proximity(config, out[j]) })
 	return out
 }
 
-func (a *Agent) distance(config declare.Config, h declare.Host) int {
+// proximity ranks a host by its distance: 0 in this data centre, 1 in this region, 2 in
+// another region.
+func (a *Agent) proximity(config declare.Config, h declare.Host) int {
 	switch {
 	case h.DataCentre == a.Host.DataCentre:
 		return 0
--- a/agent/service.go
+++ b/agent/service.go
@@ -1,4 +1,5 @@
-// This file defines the calls that a host answers, as "Host" of net/rpc.
+// This file defines the RPC service that each host offers to the others, registered with
+// net/rpc as "Host".
 
 package agent
 
@@ -12,58 +13,58 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// Empty stands where a call has no arguments or no answer.
+// Empty is the argument or reply of a call without one.
 type Empty struct{}
 
-// GrantArgs asks a peer of the same data centre for a renewal.
+// GrantArgs requests a lease renewal from a peer in the same data centre.
 type GrantArgs struct {
 	Ask    lease.Ask
 	Status leader.HostStatus
 }
 
-// GrantReply answers it.
+// GrantReply holds the peer's grant or rejection, and its status.
 type GrantReply struct {
 	Grant  lease.Grant
 	Status leader.HostStatus
 }
 
-// Service answers the calls of other hosts. Its methods have the form that
-// net/rpc asks for.
+// Service handles the calls of other hosts. Its methods have the signature that net/rpc
+// requires.
 type Service struct {
 	agent *Agent
-	ctx   context.Context // net/rpc gives its methods none
+	ctx   context.Context // net/rpc passes no context to methods
 }
 
-// NewService makes the service of an agent; ctx ends its waiting calls.
+// NewService returns the RPC service of an agent. Calls that wait return when ctx ends.
 func NewService(ctx context.Context, a *Agent) *Service { return &Service{a, ctx} }
 
-// relayTime bounds what a relay does for a host, beside waiting.
-const relayTime = 2 * time.Second
+// relayTimeout bounds the calls that a relay makes for a host, except long polls.
+const relayTimeout = 2 * time.Second
 
-// Report takes the reports of hosts on their way to the leader.
+// Report handles the reports of hosts as the leader, or forwards them to it.
 func (s *Service) Report(args leader.ReportArgs, reply *leader.ReportReply) error {
-	ctx, cancel := context.WithTimeout(s.ctx, relayTime)
+	ctx, cancel := context.WithTimeout(s.ctx, relayTimeout)
 	defer cancel()
 	for _, r := range args.Reports {
-		s.agent.noteMember(r.Status)
+		s.agent.recordStatus(r.Status)
 	}
 	if s.agent.Leader != nil {
-		if got := s.agent.Leader.Report(args); got.NotLeader == nil {
-			*reply = got
+		if local := s.agent.Leader.Report(args); local.NotLeader == nil {
+			*reply = local
 			return nil
 		}
 	}
-	got, err := s.agent.relayReport(ctx, args)
+	forwarded, err := s.agent.batchReports(ctx, args)
 	if err != nil {
-		*reply = leader.ReportReply{NotLeader: &leader.NotLeader{Leader: s.agent.knownLeader()}}
+		*reply = leader.ReportReply{NotLeader: &leader.NotLeader{Leader: s.agent.lastKnownLeader()}}
 		return nil
 	}
-	*reply = got
+	*reply = forwarded
 	return nil
 }
 
-// Watch answers as the leader or, if asked as a relay, from this host's own
-// view: what it has seen was committed.
+// Watch returns the changes after a view, as the leader or, if args.Relay is set, from
+// this host's own view, which holds only committed events.
 func (s *Service) Watch(args leader.WatchArgs, reply *leader.WatchReply) error {
 	if !args.Relay {
 		*reply = s.watchLeader(args)
@@ -74,7 +75,7 @@
 	for {
 		view, changed := s.agent.View()
 		if view.Seq > args.Seq {
-			*reply = s.agent.after(args.Seq)
+			*reply = s.agent.changesSince(args.Seq)
 			return nil
 		}
 		select {
@@ -89,13 +90,14 @@
 
 func (s *Service) watchLeader(args leader.WatchArgs) leader.WatchReply {
 	if s.agent.Leader == nil {
-		return leader.WatchReply{NotLeader: &leader.NotLeader{Leader: s.agent.knownLeader()}}
+		return leader.WatchReply{NotLeader: &leader.NotLeader{Leader: s.agent.lastKnownLeader()}}
 	}
 	return s.agent.Leader.Watch(s.ctx, args)
 }
 
-// after gives the events after seq, or the whole view.
-func (a *Agent) after(seq uint64) leader.WatchReply {
+// changesSince returns the events after seq, or the whole view if seq is zero or some of
+// the events have been discarded.
+func (a *Agent) changesSince(seq uint64) leader.WatchReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	view := a.holder.View()
@@ -106,8 +108,9 @@
 	return leader.WatchReply{Events: append(a.events[:0:0], a.events[uint64(len(a.events))-behind:]...)}
 }
 
-// knownLeader names the leader as last heard of, if that isn't this host.
-func (a *Agent) knownLeader() string {
+// lastKnownLeader returns the last known leader, or an empty string if there is none or
+// if it is this host.
+func (a *Agent) lastKnownLeader() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leader == a.Host.Name {
@@ -116,11 +119,12 @@
 	return a.leader
 }
 
-// Members answers with what this host knows of all hosts.
+// Members returns the loads of all regions and the status of all hosts, as the leader or,
+// if this host is called as a relay, from its own state.
 func (s *Service) Members(args leader.MembersArgs, reply *leader.MembersReply) error {
 	if s.agent.Leader != nil {
-		if got := s.agent.Leader.Members(args); got.NotLeader == nil {
-			*reply = got
+		if local := s.agent.Leader.Members(args); local.NotLeader == nil {
+			*reply = local
 			return nil
 		}
 	}
@@ -128,77 +132,79 @@
 		*reply = leader.MembersReply{NotLeader: &leader.NotLeader{}}
 		return nil
 	}
-	reply.Regions = s.agent.knownRegions()
+	reply.Regions = s.agent.regionReports()
 	if args.Hosts {
-		reply.Hosts = leader.WithoutServices(s.agent.knownMembers())
+		reply.Hosts = leader.WithoutServices(s.agent.hostStatuses())
 	}
 	return nil
 }
 
-// knownRegions gives what this host knows of all regions' engines.
-func (a *Agent) knownRegions() []leader.RegionLoad {
+// regionReports returns this host's load report of its own region and the latest reports
+// of the others.
+func (a *Agent) regionReports() []leader.RegionLoad {
 	out := []leader.RegionLoad{{Region: a.Host.Region, Services: a.ownLoads()}}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for region, known := range a.loads {
-		out = append(out, leader.RegionLoad{Region: region, Age: time.Since(known.at), Services: known.services})
+	for region, load := range a.regionLoads {
+		out = append(out, leader.RegionLoad{Region: region, Age: time.Since(load.issuedAt), Services: load.services})
 	}
 	return out
 }
 
-func (a *Agent) knownMembers() []leader.HostStatus {
-	own := a.status()
+// hostStatuses returns this host's status and those of the others younger than statusTTL.
+func (a *Agent) hostStatuses() []leader.HostStatus {
+	own := a.ownStatus()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := []leader.HostStatus{own}
-	for _, m := range a.members {
+	for _, m := range a.statuses {
 		status := m.status
-		status.Age = steady.Time().Sub(m.at)
-		if status.Age < memberLife {
+		status.Age = steady.Time().Sub(m.issuedAt)
+		if status.Age < statusTTL {
 			out = append(out, status)
 		}
 	}
 	return out
 }
 
-// Grant answers a peer that asks for a renewal.
+// Grant handles a peer's request for a lease renewal.
 func (s *Service) Grant(args GrantArgs, reply *GrantReply) error {
-	s.agent.noteMember(args.Status)
-	reply.Status = s.agent.status()
+	s.agent.recordStatus(args.Status)
+	reply.Status = s.agent.ownStatus()
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
 	reply.Grant = s.agent.holder.Answer(steady.Time(), args.Ask)
 	return nil
 }
 
-// Ping answers at once.
+// Ping returns at once. Callers measure the round trip with it.
 func (s *Service) Ping(_ Empty, _ *Empty) error { return nil }
 
-// Propose takes a change, if this host leads.
+// Propose proposes a change and waits for its decision, if this host leads.
 func (s *Service) Propose(args leader.ProposeArgs, reply *leader.ProposeReply) error {
 	if s.agent.Leader == nil {
 		*reply = leader.ProposeReply{NotLeader: &leader.NotLeader{}}
 		return nil
 	}
-	got, err := s.agent.Leader.Propose(s.ctx, args)
-	*reply = got
+	result, err := s.agent.Leader.Propose(s.ctx, args)
+	*reply = result
 	return err
 }
 
-// State gives the state of the control log, if this host leads.
+// State returns the state of the control log, if this host leads.
 func (s *Service) State(args leader.StateArgs, reply *leader.StateReply) error {
 	if s.agent.Leader == nil {
 		*reply = leader.StateReply{NotLeader: &leader.NotLeader{}}
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, relayTime)
+	ctx, cancel := context.WithTimeout(s.ctx, relayTimeout)
 	defer cancel()
-	got, err := s.agent.Leader.State(ctx, args)
-	*reply = got
+	result, err := s.agent.Leader.State(ctx, args)
+	*reply = result
 	return err
 }
 
-// Deliver takes messages for this host's replica of the control log.
+// Deliver passes Raft messages to this host's replica of the control log.
 func (s *Service) Deliver(envelopes []raft.Envelope, _ *Empty) error {
 	if s.agent.Leader == nil {
 		return nil
@@ -209,5 +215,5 @@
 	return nil
 }
 
-// Known gives what this host knows of all hosts, itself included.
-func (a *Agent) Known() []leader.HostStatus { return a.knownMembers() }
+// Known returns the recent statuses of all hosts, including this one.
+func (a *Agent) Known() []leader.HostStatus { return a.hostStatuses() }
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -1,4 +1,4 @@
-// This file defines the way to the leader: by a relay of this data centre, or
+// This file defines how calls reach the leader: through a relay in this data centre, or
 // directly.
 
 package agent
@@ -16,58 +16,59 @@
 	"github.com/linenscale/linenscale/settings"
 )
 
-// Bounds of calls to other hosts.
+// Limits of calls to other hosts.
 const (
-	// nearTime bounds a call within the region, farTime one to another.
-	nearTime = 400 * time.Millisecond
-	farTime  = 1200 * time.Millisecond
-	// badTime is how long a host that failed is passed over.
-	badTime = 3 * time.Second
-	// maxHops is how many relays a message may pass.
+	// localCallTimeout applies within the region, remoteCallTimeout to other regions.
+	localCallTimeout  = 400 * time.Millisecond
+	remoteCallTimeout = 1200 * time.Millisecond
+	// exclusionTime is how long a host is excluded after a failed call.
+	exclusionTime = 3 * time.Second
+	// maxHops is the number of relays that a message may pass.
 	maxHops = 1
 )
 
-// errNoLeader says that no way to the leader was found.
+// errNoLeader is returned when no candidate leads or forwards to the leader.
 var errNoLeader = errors.New("no leader can be reached")
 
-// target is a host that may lead on to the leader.
-type target struct {
-	name  string
-	relay bool
+// candidate is a host that may be the leader or forward to it.
+type candidate struct {
+	host  string
+	relay bool // whether the host is called as a relay
 }
 
-// targets lists whom to ask, in order. A relay is asked first, unless the
-// message has passed one already or this host is itself the first in line.
-func (a *Agent) targets(hops int) []target {
+// leaderCandidates returns the hosts to call, in order: the relay, the last known leader,
+// then the other hosts with a disk. The relay is left out if the message has passed one
+// already, or if this host precedes all available ones in order of names.
+func (a *Agent) leaderCandidates(hops int) []candidate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Time()
-	good := func(name string) bool { return !now.Before(a.bad[name]) }
-	var out []target
+	available := func(name string) bool { return !now.Before(a.excludedUntil[name]) }
+	var out []candidate
 	if hops < maxHops {
 		for _, h := range a.dataCentreHosts() {
 			if h == a.Host.Name {
 				break
 			}
-			if good(h) {
-				out = append(out, target{h, true})
+			if available(h) {
+				out = append(out, candidate{h, true})
 				break
 			}
 		}
 	}
-	if a.leader != "" && a.leader != a.Host.Name && good(a.leader) {
-		out = append(out, target{a.leader, false})
+	if a.leader != "" && a.leader != a.Host.Name && available(a.leader) {
+		out = append(out, candidate{a.leader, false})
 	}
 	for _, h := range a.Settings.Hosts {
-		if h.Disk && h.Name != a.leader && h.Name != a.Host.Name && good(h.Name) {
-			out = append(out, target{h.Name, false})
+		if h.Disk && h.Name != a.leader && h.Name != a.Host.Name && available(h.Name) {
+			out = append(out, candidate{h.Name, false})
 		}
 	}
 	return out
 }
 
-// dataCentreHosts lists the hosts of this data centre by name. The lock is
-// held.
+// dataCentreHosts returns the names of this data centre's hosts, sorted. The caller holds
+// the lock.
 func (a *Agent) dataCentreHosts() []string {
 	var out []string
 	for _, h := range declare.Each[declare.Host](a.holder.View().Config) {
@@ -75,7 +76,7 @@
 			out = append(out, h.Name)
 		}
 	}
-	if len(out) == 0 { // nothing is known yet
+	if len(out) == 0 { // no configuration has been received yet
 		for _, h := range a.Settings.Hosts {
 			if h.DataCentre == a.Host.DataCentre {
 				out = append(out, h.Name)
@@ -86,18 +87,18 @@
 	return out
 }
 
-// address gives the control address by which this host reaches another, and
-// how long a call may take.
-func (a *Agent) address(name string) (string, time.Duration, bool) {
+// controlAddress returns the control address at which this host reaches another, and the
+// timeout of a call. It returns false if the host is unknown.
+func (a *Agent) controlAddress(name string) (string, time.Duration, bool) {
 	a.mu.Lock()
 	config := a.holder.View().Config
 	a.mu.Unlock()
 	if object, ok := config.Get(declare.Ref{Kind: declare.KindHost, Name: name}); ok {
 		host := object.(declare.Host)
 		if config.RegionOf(host.DataCentre) == a.Host.Region {
-			return host.Control, nearTime, true
+			return host.Control, localCallTimeout, true
 		}
-		return host.Reach(host.Control), farTime, true
+		return host.Reach(host.Control), remoteCallTimeout, true
 	}
 	host, err := a.Settings.Host(name)
 	if err != nil {
@@ -106,49 +107,50 @@
 	return Reach(a.Host, host)
 }
 
-// Reach gives the control address of a host of the settings as seen from
-// another, and how long a call may take.
+// Reach returns the control address at which one host of the settings reaches another,
+// and the timeout of a call. The last result is always true.
 func Reach(from, to settings.Host) (string, time.Duration, bool) {
 	if from.Region == to.Region {
-		return to.Control, nearTime, true
+		return to.Control, localCallTimeout, true
 	}
-	return to.Object().Reach(to.Control), farTime, true
+	return to.Object().Reach(to.Control), remoteCallTimeout, true
 }
 
-// noteBad passes a host over for a while.
-func (a *Agent) noteBad(name string) {
+// exclude excludes a host from the candidates for exclusionTime.
+func (a *Agent) exclude(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.bad[name] = steady.Time().Add(badTime)
+	a.excludedUntil[name] = steady.Time().Add(exclusionTime)
 }
 
-func (a *Agent) noteLeader(name string) {
+func (a *Agent) recordLeader(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leader = name
 }
 
-// ask calls a method on the way to the leader until one host answers for it.
-// local answers for this host's own leader side, and again for another's; both
-// tell by a *leader.NotLeader that they don't lead. wait is added to the time
-// of the call.
-func (a *Agent) ask(ctx context.Context, hops int, wait time.Duration, local func() *leader.NotLeader, remote func(ctx context.Context, t target, address string) (*leader.NotLeader, error)) error {
+// callLeader calls this host's own Leader, then the candidates in order, until one
+// handles the call as the leader or for it. local calls this host's Leader and remote
+// another host; both return a *leader.NotLeader if that host does not lead. wait is
+// added to the timeout of a remote call. If no host handles the call, callLeader returns
+// errNoLeader.
+func (a *Agent) callLeader(ctx context.Context, hops int, wait time.Duration, local func() *leader.NotLeader, remote func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error)) error {
 	if a.Leader != nil {
-		not := local()
-		if not == nil {
-			a.noteLeader(a.Host.Name)
+		redirect := local()
+		if redirect == nil {
+			a.recordLeader(a.Host.Name)
 			return nil
 		}
-		if not.Leader != "" {
-			a.noteLeader(not.Leader)
+		if redirect.Leader != "" {
+			a.recordLeader(redirect.Leader)
 		}
 	}
 	if hops > maxHops {
-		return errNoLeader // it has come far enough: only the leader answers
+		return errNoLeader // it has passed the last relay: only the leader may handle it
 	}
 	tried := map[string]bool{}
-	for _, t := range a.targets(hops) {
-		if a.askTarget(ctx, t, wait, tried, remote) {
+	for _, t := range a.leaderCandidates(hops) {
+		if a.tryCandidate(ctx, t, wait, tried, remote) {
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -158,35 +160,36 @@
 	return errNoLeader
 }
 
-// askTarget asks one host, and the leader that it names if it is another.
-func (a *Agent) askTarget(ctx context.Context, t target, wait time.Duration, tried map[string]bool, remote func(ctx context.Context, t target, address string) (*leader.NotLeader, error)) bool {
+// tryCandidate calls one host and, if that host redirects to another, the named leader. It
+// reports whether one of them handled the call.
+func (a *Agent) tryCandidate(ctx context.Context, t candidate, wait time.Duration, tried map[string]bool, remote func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error)) bool {
 	for range 2 {
-		address, bound, ok := a.address(t.name)
-		if !ok || tried[t.name] {
+		address, timeout, ok := a.controlAddress(t.host)
+		if !ok || tried[t.host] {
 			return false
 		}
-		tried[t.name] = true
+		tried[t.host] = true
 		if t.relay {
-			bound += farTime // it asks the leader in turn
+			timeout += remoteCallTimeout // the relay calls the leader in turn
 		}
-		callCtx, cancel := context.WithTimeout(ctx, bound+wait)
-		not, err := remote(callCtx, t, address)
+		callCtx, cancel := context.WithTimeout(ctx, timeout+wait)
+		redirect, err := remote(callCtx, t, address)
 		cancel()
 		switch {
 		case err != nil:
 			if ctx.Err() == nil {
-				a.noteBad(t.name)
+				a.exclude(t.host)
 			}
 			return false
-		case not == nil:
+		case redirect == nil:
 			if !t.relay {
-				a.noteLeader(t.name)
+				a.recordLeader(t.host)
 			}
 			return true
-		case not.Leader == "" || not.Leader == a.Host.Name:
+		case redirect.Leader == "" || redirect.Leader == a.Host.Name:
 			return false
 		}
-		t = target{not.Leader, false}
+		t = candidate{redirect.Leader, false}
 	}
 	return false
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -319,7 +319,7 @@
 func (l *Leader) proposeCommand(ctx context.Context, c control.Command) (control.Outcome, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
-		return control.Outcome{}, errors.Annotate(err, "encode control log command")
+		return control.Outcome{}, errors.Annotate(err, "command")
 	}
 	result, err := l.replica.Propose(ctx, data)
 	if err != nil {
