--- a/agent/batch.go
+++ b/agent/batch.go
@@ -17,7 +17,7 @@
 // reportBatch is a set of reports to be forwarded in one message.
 type reportBatch struct {
 	reports []leader.Report
-	replied    chan struct{} // closed when reply and err are set
+	replied chan struct{} // closed when reply and err are set
 	reply   leader.ReportReply
 	err     error
 }
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -21,17 +21,17 @@
 func (a *Agent) Propose(ctx context.Context, change declare.Change, wait time.Duration) (leader.ProposeReply, error) {
 	args := leader.ProposeArgs{Change: change, Wait: wait}
 	var reply leader.ProposeReply
-	var callErr error
+	var localErr error
 	err := a.callLeader(ctx, withoutRelay, wait, func() *leader.NotLeader {
-		reply, callErr = a.Leader.Propose(ctx, args)
+		reply, localErr = a.Leader.Propose(ctx, args)
 		return reply.NotLeader
 	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
-		reply, callErr = leader.ProposeReply{}, nil
+		reply, localErr = leader.ProposeReply{}, nil
 		err := a.Long.Call(ctx, address, "Host.Propose", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
-		err = callErr
+		err = localErr
 	}
 	return reply, errors.Trace(err)
 }
@@ -39,17 +39,17 @@
 // State requests the state of the control log from the leader.
 func (a *Agent) State(ctx context.Context, args leader.StateArgs) (leader.StateReply, error) {
 	var reply leader.StateReply
-	var callErr error
+	var localErr error
 	err := a.callLeader(ctx, withoutRelay, time.Second, func() *leader.NotLeader {
-		reply, callErr = a.Leader.State(ctx, args)
+		reply, localErr = a.Leader.State(ctx, args)
 		return reply.NotLeader
 	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
-		reply, callErr = leader.StateReply{}, nil
+		reply, localErr = leader.StateReply{}, nil
 		err := a.Long.Call(ctx, address, "Host.State", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
-		err = callErr
+		err = localErr
 	}
 	return reply, errors.Trace(err)
 }
--- a/control/tally.go
+++ b/control/tally.go
@@ -59,7 +59,7 @@
 	at     time.Time
 }
 
-// NewTally returns a tally without reports.
+// NewTally returns a tracker without reports.
 func NewTally(timing Timing) *Tally {
 	return &Tally{timing: timing, reports: make(map[string]receivedReport)}
 }
--- a/control/tally_test.go
+++ b/control/tally_test.go
@@ -54,35 +54,35 @@
 }
 
 // reportCurrent records a report of the latest view from each host.
-func reportCurrent(tally *control.Tally, now time.Time, view control.View, hosts ...string) {
+func reportCurrent(tracker *control.Tally, now time.Time, view control.View, hosts ...string) {
 	for _, host := range hosts {
-		tally.Report(now, control.HostReport{Host: host, DataCentre: "d", Incarnation: host, Established: true, Seq: view.Seq}, view)
+		tracker.Report(now, control.HostReport{Host: host, DataCentre: "d", Incarnation: host, Established: true, Seq: view.Seq}, view)
 	}
 }
 
 func TestChangeNeedsMajorityOfDataCentre(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a")
-	must.False(t, tally.Decide(now, view).Decided)
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a")
+	must.False(t, tracker.Decide(now, view).Decided)
 	late := now.Add(timing.Decide)
-	must.Eq(t, control.Decision{Decided: true, Cut: []string{"d"}}, tally.Decide(late, view))
+	must.Eq(t, control.Decision{Decided: true, Cut: []string{"d"}}, tracker.Decide(late, view))
 }
 
 func TestMajorityWaitsForLeasesOfOthersToExpire(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a", "b")
-	must.False(t, tally.Decide(now, view).Decided)
-	must.False(t, tally.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a host with a slow clock may still have a lease"))
-	must.Eq(t, control.Decision{Decided: true, Accept: true}, tally.Decide(now.Add(timing.LeaseWait()), view))
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a", "b")
+	must.False(t, tracker.Decide(now, view).Decided)
+	must.False(t, tracker.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a host with a slow clock may still have a lease"))
+	must.Eq(t, control.Decision{Decided: true, Accept: true}, tracker.Decide(now.Add(timing.LeaseWait()), view))
 }
 
 func TestAcknowledgedByAllIsAcceptedAtOnce(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a", "b", "c")
-	must.True(t, tally.Decide(now, view).Accept)
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a", "b", "c")
+	must.True(t, tracker.Decide(now, view).Accept)
 }
 
 // TestGrantToOtherIncarnationDelaysAcceptance guards against accepting a change while a
@@ -91,28 +91,28 @@
 // before the restart, completes the count.
 func TestGrantToOtherIncarnationDelaysAcceptance(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a", "b")
-	reportCurrent(tally, now, view, "c")
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a", "b")
+	reportCurrent(tracker, now, view, "c")
 	granted := func(incarnation string) control.HostReport {
 		return control.HostReport{Host: "c", DataCentre: "d", Established: true, Seq: view.Seq, Granted: []control.Granted{{Host: "b", Incarnation: incarnation, Left: 2 * time.Second}}}
 	}
-	tally.Report(now, granted("b/2"), view)
-	must.False(t, tally.Decide(now, view).Decided)
-	must.False(t, tally.Decide(now.Add(2*time.Second), view).Decided)
-	must.True(t, tally.Decide(now.Add(2300*time.Millisecond), view).Accept)
-	tally.Report(now, granted("b"), view)
-	must.True(t, tally.Decide(now, view).Accept, must.Sprint("the incarnation that acknowledged no longer serves under the old view"))
+	tracker.Report(now, granted("b/2"), view)
+	must.False(t, tracker.Decide(now, view).Decided)
+	must.False(t, tracker.Decide(now.Add(2*time.Second), view).Decided)
+	must.True(t, tracker.Decide(now.Add(2300*time.Millisecond), view).Accept)
+	tracker.Report(now, granted("b"), view)
+	must.True(t, tracker.Decide(now, view).Accept, must.Sprint("the incarnation that acknowledged no longer serves under the old view"))
 }
 
 func TestReportOfOldViewIsNeitherRenewedNorCounted(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tally, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewTally(timing), time.Now()
 	old := control.HostReport{Host: "a", DataCentre: "d", Established: true, Seq: view.Seq - 1}
-	must.False(t, tally.Report(now, old, view))
-	reportCurrent(tally, now, view, "b")
-	must.False(t, tally.Decide(now.Add(time.Minute), view).Accept)
-	must.False(t, tally.Report(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("no host may serve under an empty log"))
+	must.False(t, tracker.Report(now, old, view))
+	reportCurrent(tracker, now, view, "b")
+	must.False(t, tracker.Decide(now.Add(time.Minute), view).Accept)
+	must.False(t, tracker.Report(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("no host may serve under an empty log"))
 }
 
 func TestHostSetChangeNeedsBothMajorities(t *testing.T) {
@@ -123,28 +123,28 @@
 	swap.Deletes = []declare.Ref{{Kind: declare.KindHost, Name: "b"}, {Kind: declare.KindHost, Name: "c"}}
 	must.Eq(t, []string{"d"}, apply(t, s, control.Command{Propose: &control.Propose{Change: swap}}).DataCentres)
 	view := s.View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a", "x", "y")
-	tally.Decide(now, view)
-	must.False(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c can still renew each other"))
-	reportCurrent(tally, now, view, "b", "c")
-	must.True(t, tally.Decide(now, view).Accept)
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a", "x", "y")
+	tracker.Decide(now, view)
+	must.False(t, tracker.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c can still renew each other"))
+	reportCurrent(tracker, now, view, "b", "c")
+	must.True(t, tracker.Decide(now, view).Accept)
 }
 
 func TestRemainingHostCanDeclareOthersGone(t *testing.T) {
 	s := stateWithPending(t, hostIn("b", "d", declare.HostGone), hostIn("c", "d", declare.HostGone))
 	view := s.View()
-	tally, now := control.NewTally(timing), time.Now()
-	reportCurrent(tally, now, view, "a")
-	tally.Decide(now, view)
-	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), view).Accept)
+	tracker, now := control.NewTally(timing), time.Now()
+	reportCurrent(tracker, now, view, "a")
+	tracker.Decide(now, view)
+	must.True(t, tracker.Decide(now.Add(timing.LeaseWait()), view).Accept)
 }
 
 func TestLostDataCentreCanBeDeclaredGone(t *testing.T) {
 	s := stateWithPending(t, hostIn("z", "e", declare.HostGone))
-	tally, now := control.NewTally(timing), time.Now()
-	must.False(t, tally.Decide(now, s.View()).Decided, must.Sprint("a lease may still run in the lost data centre"))
-	must.True(t, tally.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
+	tracker, now := control.NewTally(timing), time.Now()
+	must.False(t, tracker.Decide(now, s.View()).Decided, must.Sprint("a lease may still run in the lost data centre"))
+	must.True(t, tracker.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
 }
 
 func TestChangeAffectsOnlyDataCentresWhereServingDiffers(t *testing.T) {
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -49,10 +49,10 @@
 	replica  *replica.Replica
 	reported chan struct{} // signals that a report has arrived while a change is pending
 
-	mu        sync.Mutex
-	tallyTerm uint64 // Raft term of the tally
-	tally     *control.Tally
-	statuses  map[string]receivedStatus // by host name
+	mu          sync.Mutex
+	trackerTerm uint64 // Raft term in which tracker was created
+	tracker     *control.Tally
+	statuses    map[string]receivedStatus // by host name
 }
 
 // receivedStatus is the latest status of a host.
@@ -72,7 +72,7 @@
 		ID: opts.ID, Election: opts.Timing.Election, Heartbeat: opts.Timing.Heartbeat, Folder: opts.Folder,
 		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEntries, Log: opts.Log, Seed: opts.Seed,
 	})
-	l.tally = control.NewTally(l.timing())
+	l.tracker = control.NewTally(l.timing())
 	return l, errors.Trace(err)
 }
 
@@ -124,12 +124,12 @@
 	return &NotLeader{voters.HostOf(status.Leader)}
 }
 
-// resetOnNewTerm starts an empty tally if the Raft term has changed since the last call.
+// resetOnNewTerm starts an empty tracker if the Raft term has changed since the last call.
 // The caller holds the lock.
 func (l *Leader) resetOnNewTerm() {
-	if term := l.replica.Status().Term; term != l.tallyTerm {
-		l.tallyTerm = term
-		l.tally = control.NewTally(l.timing())
+	if term := l.replica.Status().Term; term != l.trackerTerm {
+		l.trackerTerm = term
+		l.tracker = control.NewTally(l.timing())
 	}
 }
 
@@ -147,7 +147,7 @@
 	l.mu.Lock()
 	l.resetOnNewTerm()
 	for _, r := range args.Reports {
-		renewed := l.tally.Report(now, r.Lease, view)
+		renewed := l.tracker.Report(now, r.Lease, view)
 		l.statuses[r.Lease.Host] = receivedStatus{r.Status, now.Add(-r.Status.Age)}
 		reply.Renewals = append(reply.Renewals, Renewal{r.Lease.Host, renewed, view.Seq})
 	}
@@ -411,7 +411,7 @@
 	now := l.opts.Clock()
 	l.mu.Lock()
 	l.resetOnNewTerm()
-	decision := l.tally.Decide(now, view)
+	decision := l.tracker.Decide(now, view)
 	l.mu.Unlock()
 	if !decision.Decided {
 		return
