--- a/agent/agent.go
+++ b/agent/agent.go
@@ -44,7 +44,7 @@
 	// none.
 	Replica raft.ID
 	Fleet   *fleet.Fleet
-	// Near makes short calls. Long makes calls that wait for an event.
+	// Clients for short calls and for calls that wait for an event, in this order.
 	Near, Long *wire.Client
 	Log        *zap.Logger
 	Metrics    *telemetry.Metrics
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -110,6 +110,7 @@
 	return false
 }
 
+// ownReport returns the report of this host's view, leases and status at time now.
 func (a *Agent) ownReport(now time.Time) leader.Report {
 	status := a.ownStatus()
 	a.mu.Lock()
@@ -146,7 +147,7 @@
 // view instead.
 func (a *Agent) requestPeerRenewal(ctx context.Context) bool {
 	a.mu.Lock()
-	ask := a.holder.Ask()
+	req := a.holder.Ask()
 	peers := a.dataCentreHosts()
 	a.mu.Unlock()
 	sent := steady.Time()
@@ -158,19 +159,19 @@
 			continue
 		}
 		group.Go(func() {
-			if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{ask, a.ownStatus()}, &replies[i]); err != nil {
+			if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{req, a.ownStatus()}, &replies[i]); err != nil {
 				replies[i] = GrantReply{}
 			}
 		})
 	}
 	group.Wait()
-	return a.applyGrants(ctx, sent, ask, replies)
+	return a.applyGrants(ctx, sent, req, replies)
 }
 
 // applyGrants applies the replies to a request for renewal sent at the given time.
-func (a *Agent) applyGrants(ctx context.Context, sent time.Time, ask lease.Ask, replies []GrantReply) bool {
+func (a *Agent) applyGrants(ctx context.Context, sent time.Time, req lease.Ask, replies []GrantReply) bool {
 	var grants []lease.Grant
-	latest := lease.Grant{Seq: ask.Seq}
+	latest := lease.Grant{Seq: req.Seq}
 	for _, r := range replies {
 		if r.Grant.Host == "" {
 			continue
@@ -187,7 +188,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.RenewedByPeers(sent, ask.Seq, grants)
+	return a.holder.RenewedByPeers(sent, req.Seq, grants)
 }
 
 // catchUpFrom fetches and applies the newer view of a peer.
@@ -208,13 +209,13 @@
 
 // logServing logs when the host starts or stops serving.
 func (a *Agent) logServing() {
-	standing := a.Explain()
+	status := a.Explain()
 	a.mu.Lock()
-	changed := a.wasServing != standing.Serving
-	a.wasServing = standing.Serving
+	changed := a.wasServing != status.Serving
+	a.wasServing = status.Serving
 	a.mu.Unlock()
 	if changed {
-		a.Log.Info("lease", zap.Bool("serving", standing.Serving), zap.Uint64("revision", standing.Revision), zap.Bool("by_peers", standing.ByPeers))
+		a.Log.Info("lease", zap.Bool("serving", status.Serving), zap.Uint64("revision", status.Revision), zap.Bool("by_peers", status.ByPeers))
 	}
 }
 
@@ -240,10 +241,10 @@
 	err := a.callLeader(ctx, args.Hops, args.Wait, func() *leader.NotLeader {
 		reply = a.Leader.Watch(ctx, args)
 		return reply.NotLeader
-	}, func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error) {
+	}, func(ctx context.Context, target candidate, address string) (*leader.NotLeader, error) {
 		next := args
 		next.Hops++
-		next.Relay = t.relay
+		next.Relay = target.relay
 		reply = leader.WatchReply{}
 		err := a.Long.Call(ctx, address, "Host.Watch", next, &reply)
 		return reply.NotLeader, err
@@ -318,6 +319,7 @@
 	return out
 }
 
+// pingOnce measures the round trip to a host and records the result for its region.
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
 	err := a.Near.WithTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -35,8 +35,8 @@
 
 // KeyPlace implements keyhome.Finder.
 func (a *Agent) KeyPlace(host string) (keyhome.Place, bool) {
-	address, bound, ok := a.controlAddress(host)
-	return keyhome.Place{Host: host, Address: address, Bound: bound}, ok
+	address, timeout, ok := a.controlAddress(host)
+	return keyhome.Place{Host: host, Address: address, Bound: timeout}, ok
 }
 
 // leadsKeyLog reports whether a host's latest status says that it leads its region's key
@@ -48,8 +48,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m, ok := a.statuses[host]
-	return ok && m.status.KeyLeader && steady.Time().Sub(m.issuedAt) < statusTTL
+	received, ok := a.statuses[host]
+	return ok && received.status.KeyLeader && steady.Time().Sub(received.issuedAt) < statusTTL
 }
 
 // KeySpares returns the replicas of the key log on this region's hosts, as candidate
@@ -61,9 +61,9 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.statuses {
-		if m.status.Region == a.Host.Region && m.status.KeyReplica != raft.None && steady.Time().Sub(m.issuedAt) < statusTTL {
-			out = append(out, voters.Spare{ID: m.status.KeyReplica, Region: m.status.Region})
+	for _, received := range a.statuses {
+		if received.status.Region == a.Host.Region && received.status.KeyReplica != raft.None && steady.Time().Sub(received.issuedAt) < statusTTL {
+			out = append(out, voters.Spare{ID: received.status.KeyReplica, Region: received.status.Region})
 		}
 	}
 	return out
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -118,11 +118,11 @@
 		view, _ := a.View()
 		return EngineReply{a.Fleet.InFlight(engine), view.Seq}, nil
 	}
-	address, bound, ok := a.controlAddress(host)
+	address, timeout, ok := a.controlAddress(host)
 	if !ok {
 		return EngineReply{}, errors.NotFoundf("host %q", host)
 	}
 	var reply EngineReply
-	err := a.Near.WithTimeout(ctx, bound, address, "Host.InFlight", EngineArgs{engine}, &reply)
+	err := a.Near.WithTimeout(ctx, timeout, address, "Host.InFlight", EngineArgs{engine}, &reply)
 	return reply, errors.Trace(err)
 }
--- a/agent/peers.go
+++ b/agent/peers.go
@@ -134,8 +134,8 @@
 		if h.State == declare.HostGone || h.State == declare.HostLeaving {
 			continue
 		}
-		m, found := a.statuses[h.Name]
-		live := found && m.status.Ready && steady.Time().Sub(m.issuedAt) < statusTTL
+		received, found := a.statuses[h.Name]
+		live := found && received.status.Ready && steady.Time().Sub(received.issuedAt) < statusTTL
 		if h.Name == a.Host.Name {
 			live = serving
 		}
--- a/agent/service.go
+++ b/agent/service.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// watchLeader handles a long poll as the leader, or redirects to the last known one.
 func (s *Service) watchLeader(args leader.WatchArgs) leader.WatchReply {
 	if s.agent.Leader == nil {
 		return leader.WatchReply{NotLeader: &leader.NotLeader{Leader: s.agent.lastKnownLeader()}}
@@ -101,11 +102,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	view := a.holder.View()
-	behind := view.Seq - seq
-	if seq == 0 || behind > uint64(len(a.events)) {
+	missing := view.Seq - seq
+	if seq == 0 || missing > uint64(len(a.events)) {
 		return leader.WatchReply{View: &view}
 	}
-	return leader.WatchReply{Events: append(a.events[:0:0], a.events[uint64(len(a.events))-behind:]...)}
+	return leader.WatchReply{Events: append(a.events[:0:0], a.events[uint64(len(a.events))-missing:]...)}
 }
 
 // lastKnownLeader returns the last known leader, or an empty string if there is none or
@@ -157,9 +158,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := []leader.HostStatus{own}
-	for _, m := range a.statuses {
-		status := m.status
-		status.Age = steady.Time().Sub(m.issuedAt)
+	for _, received := range a.statuses {
+		status := received.status
+		status.Age = steady.Time().Sub(received.issuedAt)
 		if status.Age < statusTTL {
 			out = append(out, status)
 		}
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -134,7 +134,7 @@
 // another host; both return a *leader.NotLeader if that host does not lead. wait is
 // added to the timeout of a remote call. If no host handles the call, callLeader returns
 // errNoLeader.
-func (a *Agent) callLeader(ctx context.Context, hops int, wait time.Duration, local func() *leader.NotLeader, remote func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error)) error {
+func (a *Agent) callLeader(ctx context.Context, hops int, wait time.Duration, local func() *leader.NotLeader, remote func(ctx context.Context, target candidate, address string) (*leader.NotLeader, error)) error {
 	if a.Leader != nil {
 		redirect := local()
 		if redirect == nil {
@@ -149,8 +149,8 @@
 		return errNoLeader // it has passed the last relay: only the leader may handle it
 	}
 	tried := map[string]bool{}
-	for _, t := range a.leaderCandidates(hops) {
-		if a.tryCandidate(ctx, t, wait, tried, remote) {
+	for _, target := range a.leaderCandidates(hops) {
+		if a.tryCandidate(ctx, target, wait, tried, remote) {
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -162,34 +162,34 @@
 
 // tryCandidate calls one host and, if that host redirects to another, the named leader. It
 // reports whether one of them handled the call.
-func (a *Agent) tryCandidate(ctx context.Context, t candidate, wait time.Duration, tried map[string]bool, remote func(ctx context.Context, t candidate, address string) (*leader.NotLeader, error)) bool {
+func (a *Agent) tryCandidate(ctx context.Context, target candidate, wait time.Duration, tried map[string]bool, remote func(ctx context.Context, target candidate, address string) (*leader.NotLeader, error)) bool {
 	for range 2 {
-		address, timeout, ok := a.controlAddress(t.host)
-		if !ok || tried[t.host] {
+		address, timeout, ok := a.controlAddress(target.host)
+		if !ok || tried[target.host] {
 			return false
 		}
-		tried[t.host] = true
-		if t.relay {
+		tried[target.host] = true
+		if target.relay {
 			timeout += remoteCallTimeout // the relay calls the leader in turn
 		}
 		callCtx, cancel := context.WithTimeout(ctx, timeout+wait)
-		redirect, err := remote(callCtx, t, address)
+		redirect, err := remote(callCtx, target, address)
 		cancel()
 		switch {
 		case err != nil:
 			if ctx.Err() == nil {
-				a.exclude(t.host)
+				a.exclude(target.host)
 			}
 			return false
 		case redirect == nil:
-			if !t.relay {
-				a.recordLeader(t.host)
+			if !target.relay {
+				a.recordLeader(target.host)
 			}
 			return true
 		case redirect.Leader == "" || redirect.Leader == a.Host.Name:
 			return false
 		}
-		t = candidate{redirect.Leader, false}
+		target = candidate{redirect.Leader, false}
 	}
 	return false
 }
--- a/control/doc.go
+++ b/control/doc.go
@@ -10,7 +10,7 @@
 // are entries of the same log, the log alone orders them, whichever leader proposes
 // them, and a new leader decides a change that its predecessor left pending.
 //
-// State is the replicated state machine. Tally is a leader's record of the hosts'
-// reports, from which it derives decisions. Both are plain values without
-// goroutines or clocks.
+// State is the replicated state machine. A leader also keeps a record of the hosts'
+// reports, from which it derives its decisions. Both are plain values without goroutines
+// or clocks.
 package control
--- a/control/state.go
+++ b/control/state.go
@@ -201,11 +201,11 @@
 	if seq > s.view.Seq {
 		return nil, false
 	}
-	behind := s.view.Seq - seq
-	if behind > uint64(len(s.events)) {
+	missing := s.view.Seq - seq
+	if missing > uint64(len(s.events)) {
 		return nil, false
 	}
-	return append([]Event(nil), s.events[uint64(len(s.events))-behind:]...), true
+	return append([]Event(nil), s.events[uint64(len(s.events))-missing:]...), true
 }
 
 // Apply applies a JSON-encoded Command and returns its Outcome.
--- a/control/tally.go
+++ b/control/tally.go
@@ -80,15 +80,15 @@
 // LastReport returns a host's latest report and when it was received. Both are zero
 // if there is none.
 func (t *Tally) LastReport(host string) (HostReport, time.Time) {
-	h := t.reports[host]
-	return h.report, h.at
+	received := t.reports[host]
+	return received.report, received.at
 }
 
 // Decision is a leader's verdict on the pending change.
 type Decision struct {
 	Decided bool // false while acknowledgements or lease expiry are awaited
 	Accept  bool
-	// Cut lists the affected data centres without a majority.
+	// The affected data centres without a majority.
 	Cut []string
 }
 
@@ -158,11 +158,15 @@
 	return awaitingExpiry
 }
 
+// hasAcknowledged reports whether a host's established incarnation has acknowledged the
+// view seq or a later one.
 func (t *Tally) hasAcknowledged(host string, seq uint64) bool {
 	r := t.reports[host].report
 	return r.Established && r.Seq >= seq
 }
 
+// majorityAcknowledged reports whether a majority of the hosts has acknowledged the view
+// seq. It is true if there are no hosts.
 func (t *Tally) majorityAcknowledged(hosts []string, seq uint64) bool {
 	count := 0
 	for _, host := range hosts {
@@ -188,13 +192,13 @@
 // the old view while its earlier acknowledgement still counts here. At least one host
 // of the majority that renewed it has reported the grant since.
 func (t *Tally) noOutdatedGrants(now time.Time, dc string) bool {
-	for _, h := range t.reports {
-		if h.report.DataCentre != dc {
+	for _, received := range t.reports {
+		if received.report.DataCentre != dc {
 			continue
 		}
-		for _, g := range h.report.Granted {
+		for _, g := range received.report.Granted {
 			left := time.Duration(float64(g.Left) * (1 + raft.DriftShare))
-			if g.Incarnation != t.reports[g.Host].report.Incarnation && now.Before(h.at.Add(left)) {
+			if g.Incarnation != t.reports[g.Host].report.Incarnation && now.Before(received.at.Add(left)) {
 				return false
 			}
 		}
