--- a/control/tally.go
+++ b/control/tally.go
@@ -18,12 +18,12 @@
 	// count towards a majority.
 	Established bool
 	Seq         uint64 // of the host's view, which the report acknowledges
-	// Granted lists the unexpired leases that the host has granted to peers.
-	Granted []Granted
+	// GrantedLease lists the unexpired leases that the host has granted to peers.
+	Granted []GrantedLease
 }
 
-// Granted is a lease that a host has granted to a peer.
-type Granted struct {
+// GrantedLease is a lease that a host has granted to a peer.
+type GrantedLease struct {
 	Host        string        // the peer
 	Incarnation string        // of the peer
 	Left        time.Duration // until it expires, by the granting host's clock
@@ -31,20 +31,20 @@
 
 // Timing holds the durations of leases and decisions.
 type Timing struct {
-	Lease  time.Duration // added by a renewal, by the holder's clock
-	Decide time.Duration // timeout for acknowledgements
+	LeaseDuration time.Duration // added by a renewal, by the holder's clock
+	DecideTimeout time.Duration // timeout for acknowledgements
 }
 
 // LeaseWait returns the time after which a lease has certainly expired, measured by
 // another host's clock. It adds the largest clock drift to the lease.
 func (t Timing) LeaseWait() time.Duration {
-	return time.Duration(float64(t.Lease) * (1 + raft.MaxClockDrift))
+	return time.Duration(float64(t.LeaseDuration) * (1 + raft.MaxClockDrift))
 }
 
-// Tally records the latest report of each host and decides the pending change from
+// AckTracker records the latest report of each host and decides the pending change from
 // them. It is held in memory only: a new leader starts with an empty one. Use
-// NewTally to create one.
-type Tally struct {
+// NewAckTracker to create one.
+type AckTracker struct {
 	timing       Timing
 	reports      map[string]receivedReport
 	changeID     string // change that pendingSince and majorityAt refer to
@@ -59,16 +59,16 @@
 	at     time.Time
 }
 
-// NewTally returns a tracker without reports.
-func NewTally(timing Timing) *Tally {
-	return &Tally{timing: timing, reports: make(map[string]receivedReport)}
+// NewAckTracker returns a tracker without reports.
+func NewAckTracker(timing Timing) *AckTracker {
+	return &AckTracker{timing: timing, reports: make(map[string]receivedReport)}
 }
 
-// Report records a host's report and reports whether the host's lease may be renewed,
+// RecordReport records a host's report and reports whether the host's lease may be renewed,
 // which requires the latest view. A renewed host counts as established from then on,
 // because the latest view contains everything that its earlier incarnations can have
 // acknowledged.
-func (t *Tally) Report(now time.Time, r HostReport, view View) (renewed bool) {
+func (t *AckTracker) RecordReport(now time.Time, r HostReport, view View) (renewed bool) {
 	renewed = r.Seq == view.Seq && view.Seq > 0 // under an empty log no host may serve
 	if renewed {
 		r.Established = true
@@ -79,7 +79,7 @@
 
 // LastReport returns a host's latest report and when it was received. Both are zero
 // if there is none.
-func (t *Tally) LastReport(host string) (HostReport, time.Time) {
+func (t *AckTracker) LastReport(host string) (HostReport, time.Time) {
 	received := t.reports[host]
 	return received.report, received.at
 }
@@ -89,13 +89,13 @@
 	Decided bool // false while acknowledgements or lease expiry are awaited
 	Accept  bool
 	// The affected data centres without a majority.
-	Cut []string
+	Unreachable []string
 }
 
 // Decide returns the decision on the pending change of a view at time now. It accepts
 // the change once every affected data centre is done, and refuses it if a data centre
 // has no majority when the timeout has passed.
-func (t *Tally) Decide(now time.Time, view View) Decision {
+func (t *AckTracker) Decide(now time.Time, view View) Decision {
 	pending := view.Pending
 	if pending == nil {
 		return Decision{}
@@ -119,10 +119,10 @@
 	if ready {
 		return Decision{Decided: true, Accept: true}
 	}
-	if len(unreachable) > 0 && now.Sub(t.pendingSince) >= t.timing.Decide {
-		return Decision{Decided: true, Cut: unreachable}
+	if len(unreachable) > 0 && now.Sub(t.pendingSince) >= t.timing.DecideTimeout {
+		return Decision{Decided: true, Unreachable: unreachable}
 	}
-	return Decision{Cut: unreachable}
+	return Decision{Unreachable: unreachable}
 }
 
 // ackStatus is the progress of a pending change in one data centre.
@@ -138,7 +138,7 @@
 // requires a majority of both the old and the new set of hosts, so that a change of
 // the set cannot leave two disjoint majorities. Hosts that the change itself declares
 // gone are not counted in the old set: they can neither serve nor renew a lease.
-func (t *Tally) dataCentreStatus(now time.Time, dc string, view View) ackStatus {
+func (t *AckTracker) dataCentreStatus(now time.Time, dc string, view View) ackStatus {
 	after := HostsOf(view.Pending.Config, dc)
 	before := slices.DeleteFunc(HostsOf(view.Config, dc), func(host string) bool {
 		return isDeclaredGone(view.Pending.Config, host)
@@ -160,14 +160,14 @@
 
 // hasAcknowledged reports whether a host's established incarnation has acknowledged the
 // view seq or a later one.
-func (t *Tally) hasAcknowledged(host string, seq uint64) bool {
+func (t *AckTracker) hasAcknowledged(host string, seq uint64) bool {
 	r := t.reports[host].report
 	return r.Established && r.Seq >= seq
 }
 
 // majorityAcknowledged reports whether a majority of the hosts has acknowledged the view
 // seq. It is true if there are no hosts.
-func (t *Tally) majorityAcknowledged(hosts []string, seq uint64) bool {
+func (t *AckTracker) majorityAcknowledged(hosts []string, seq uint64) bool {
 	count := 0
 	for _, host := range hosts {
 		if t.hasAcknowledged(host, seq) {
@@ -177,7 +177,7 @@
 	return len(hosts) == 0 || count >= Majority(len(hosts))
 }
 
-func (t *Tally) allAcknowledged(hosts []string, seq uint64) bool {
+func (t *AckTracker) allAcknowledged(hosts []string, seq uint64) bool {
 	for _, host := range hosts {
 		if !t.hasAcknowledged(host, seq) {
 			return false
@@ -191,7 +191,7 @@
 // A host that restarts just after it acknowledged a view may hold such a lease under
 // the old view while its earlier acknowledgement still counts here. At least one host
 // of the majority that renewed it has reported the grant since.
-func (t *Tally) noOutdatedGrants(now time.Time, dc string) bool {
+func (t *AckTracker) noOutdatedGrants(now time.Time, dc string) bool {
 	for _, received := range t.reports {
 		if received.report.DataCentre != dc {
 			continue
--- a/control/tally_test.go
+++ b/control/tally_test.go
@@ -11,7 +11,7 @@
 	"github.com/linenscale/linenscale/declare"
 )
 
-var timing = control.Timing{Lease: 3 * time.Second, Decide: 5 * time.Second}
+var timing = control.Timing{LeaseDuration: 3 * time.Second, DecideTimeout: 5 * time.Second}
 
 const at = "127.0.0.1:1"
 
@@ -54,33 +54,33 @@
 }
 
 // reportCurrent records a report of the latest view from each host.
-func reportCurrent(tracker *control.Tally, now time.Time, view control.View, hosts ...string) {
+func reportCurrent(tracker *control.AckTracker, now time.Time, view control.View, hosts ...string) {
 	for _, host := range hosts {
-		tracker.Report(now, control.HostReport{Host: host, DataCentre: "d", Incarnation: host, Established: true, Seq: view.Seq}, view)
+		tracker.RecordReport(now, control.HostReport{Host: host, DataCentre: "d", Incarnation: host, Established: true, Seq: view.Seq}, view)
 	}
 }
 
 func TestChangeNeedsMajorityOfDataCentre(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a")
 	must.False(t, tracker.Decide(now, view).Decided)
-	late := now.Add(timing.Decide)
-	must.Eq(t, control.Decision{Decided: true, Cut: []string{"d"}}, tracker.Decide(late, view))
+	late := now.Add(timing.DecideTimeout)
+	must.Eq(t, control.Decision{Decided: true, Unreachable: []string{"d"}}, tracker.Decide(late, view))
 }
 
 func TestMajorityWaitsForLeasesOfOthersToExpire(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a", "b")
 	must.False(t, tracker.Decide(now, view).Decided)
-	must.False(t, tracker.Decide(now.Add(timing.Lease), view).Decided, must.Sprint("a host with a slow clock may still have a lease"))
+	must.False(t, tracker.Decide(now.Add(timing.LeaseDuration), view).Decided, must.Sprint("a host with a slow clock may still have a lease"))
 	must.Eq(t, control.Decision{Decided: true, Accept: true}, tracker.Decide(now.Add(timing.LeaseWait()), view))
 }
 
 func TestAcknowledgedByAllIsAcceptedAtOnce(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a", "b", "c")
 	must.True(t, tracker.Decide(now, view).Accept)
 }
@@ -91,28 +91,28 @@
 // before the restart, completes the count.
 func TestGrantToOtherIncarnationDelaysAcceptance(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a", "b")
 	reportCurrent(tracker, now, view, "c")
 	granted := func(incarnation string) control.HostReport {
-		return control.HostReport{Host: "c", DataCentre: "d", Established: true, Seq: view.Seq, Granted: []control.Granted{{Host: "b", Incarnation: incarnation, Left: 2 * time.Second}}}
+		return control.HostReport{Host: "c", DataCentre: "d", Established: true, Seq: view.Seq, Granted: []control.GrantedLease{{Host: "b", Incarnation: incarnation, Left: 2 * time.Second}}}
 	}
-	tracker.Report(now, granted("b/2"), view)
+	tracker.RecordReport(now, granted("b/2"), view)
 	must.False(t, tracker.Decide(now, view).Decided)
 	must.False(t, tracker.Decide(now.Add(2*time.Second), view).Decided)
 	must.True(t, tracker.Decide(now.Add(2300*time.Millisecond), view).Accept)
-	tracker.Report(now, granted("b"), view)
+	tracker.RecordReport(now, granted("b"), view)
 	must.True(t, tracker.Decide(now, view).Accept, must.Sprint("the incarnation that acknowledged no longer serves under the old view"))
 }
 
 func TestReportOfOldViewIsNeitherRenewedNorCounted(t *testing.T) {
 	view := stateWithPending(t, engineIn("d", 1)).View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	old := control.HostReport{Host: "a", DataCentre: "d", Established: true, Seq: view.Seq - 1}
-	must.False(t, tracker.Report(now, old, view))
+	must.False(t, tracker.RecordReport(now, old, view))
 	reportCurrent(tracker, now, view, "b")
 	must.False(t, tracker.Decide(now.Add(time.Minute), view).Accept)
-	must.False(t, tracker.Report(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("no host may serve under an empty log"))
+	must.False(t, tracker.RecordReport(now, control.HostReport{Host: "a"}, control.View{}), must.Sprint("no host may serve under an empty log"))
 }
 
 func TestHostSetChangeNeedsBothMajorities(t *testing.T) {
@@ -123,7 +123,7 @@
 	swap.Deletes = []declare.Ref{{Kind: declare.KindHost, Name: "b"}, {Kind: declare.KindHost, Name: "c"}}
 	must.Eq(t, []string{"d"}, apply(t, s, control.Command{Propose: &control.Propose{Change: swap}}).DataCentres)
 	view := s.View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a", "x", "y")
 	tracker.Decide(now, view)
 	must.False(t, tracker.Decide(now.Add(timing.LeaseWait()), view).Accept, must.Sprint("b and c can still renew each other"))
@@ -134,7 +134,7 @@
 func TestRemainingHostCanDeclareOthersGone(t *testing.T) {
 	s := stateWithPending(t, hostIn("b", "d", declare.HostGone), hostIn("c", "d", declare.HostGone))
 	view := s.View()
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a")
 	tracker.Decide(now, view)
 	must.True(t, tracker.Decide(now.Add(timing.LeaseWait()), view).Accept)
@@ -142,7 +142,7 @@
 
 func TestLostDataCentreCanBeDeclaredGone(t *testing.T) {
 	s := stateWithPending(t, hostIn("z", "e", declare.HostGone))
-	tracker, now := control.NewTally(timing), time.Now()
+	tracker, now := control.NewAckTracker(timing), time.Now()
 	must.False(t, tracker.Decide(now, s.View()).Decided, must.Sprint("a lease may still run in the lost data centre"))
 	must.True(t, tracker.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -51,7 +51,7 @@
 
 	mu          sync.Mutex
 	trackerTerm uint64 // Raft term in which tracker was created
-	tracker     *control.Tally
+	tracker     *control.AckTracker
 	statuses    map[string]receivedStatus // by host name
 }
 
@@ -72,12 +72,12 @@
 		ID: opts.ID, ElectionTimeout: opts.Timing.Election, HeartbeatInterval: opts.Timing.Heartbeat, Folder: opts.Folder,
 		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEntries, Log: opts.Log, Seed: opts.Seed,
 	})
-	l.tracker = control.NewTally(l.timing())
+	l.tracker = control.NewAckTracker(l.timing())
 	return l, errors.Trace(err)
 }
 
 func (l *Leader) timing() control.Timing {
-	return control.Timing{Lease: l.opts.Timing.Lease, Decide: l.opts.Timing.Decide}
+	return control.Timing{LeaseDuration: l.opts.Timing.Lease, DecideTimeout: l.opts.Timing.Decide}
 }
 
 // Run runs the replica, the decisions and the replacement of lost voters until ctx ends.
@@ -129,7 +129,7 @@
 func (l *Leader) resetOnNewTerm() {
 	if term := l.replica.Status().Term; term != l.trackerTerm {
 		l.trackerTerm = term
-		l.tracker = control.NewTally(l.timing())
+		l.tracker = control.NewAckTracker(l.timing())
 	}
 }
 
@@ -147,7 +147,7 @@
 	l.mu.Lock()
 	l.resetOnNewTerm()
 	for _, r := range args.Reports {
-		renewed := l.tracker.Report(now, r.Lease, view)
+		renewed := l.tracker.RecordReport(now, r.Lease, view)
 		l.statuses[r.Lease.Host] = receivedStatus{r.Status, now.Add(-r.Status.Age)}
 		reply.Renewals = append(reply.Renewals, Renewal{r.Lease.Host, renewed, view.Seq})
 	}
@@ -416,9 +416,9 @@
 	if !decision.Decided {
 		return
 	}
-	decide := control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Cut, At: now.UTC()}
+	decide := control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Unreachable, At: now.UTC()}
 	if !decision.Accept {
-		decide.Why = "no majority of the hosts of " + strings.Join(decision.Cut, ", ") + " acknowledged it in time"
+		decide.Why = "no majority of the hosts of " + strings.Join(decision.Unreachable, ", ") + " acknowledged it in time"
 	}
 	out, err := l.proposeCommand(ctx, control.Command{Decide: &decide})
 	if err != nil {
@@ -427,5 +427,5 @@
 	}
 	l.opts.Metrics.Change(string(out.Status))
 	l.opts.Log.Info("change decided", zap.String("change", decide.ID), zap.String("status", string(out.Status)),
-		zap.Uint64("revision", out.Revision), zap.Strings("cut", decision.Cut), zap.Duration("after", now.Sub(view.Pending.At)))
+		zap.Uint64("revision", out.Revision), zap.Strings("cut", decision.Unreachable), zap.Duration("after", now.Sub(view.Pending.At)))
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -86,15 +86,15 @@
 
 // runningPeerLeases returns the leases granted to peers that may not have expired yet, and
 // forgets the others.
-func (h *Holder) runningPeerLeases(now time.Time) []control.Granted {
-	var grants []control.Granted
+func (h *Holder) runningPeerLeases(now time.Time) []control.GrantedLease {
+	var grants []control.GrantedLease
 	for host, g := range h.peerLeases {
 		left := g.grantedAt.Add(h.duration).Sub(now)
 		if left <= 0 {
 			delete(h.peerLeases, host)
 			continue
 		}
-		grants = append(grants, control.Granted{Host: host, Incarnation: g.incarnation, Left: left})
+		grants = append(grants, control.GrantedLease{Host: host, Incarnation: g.incarnation, Left: left})
 	}
 	return grants
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -44,7 +44,7 @@
 	now             time.Duration // real time
 	hosts           []*host
 	state           *control.State
-	tally           *control.Tally // nil while there is no leader
+	tally           *control.AckTracker // nil while there is no leader
 	leaderChangedAt time.Duration
 	partitioned     map[string]bool // data centres partitioned from the leader
 	isolated        map[string]bool // hosts partitioned from all others
@@ -157,7 +157,7 @@
 }
 
 func (s *simulation) electLeader() {
-	s.tally = control.NewTally(control.Timing{Lease: leaseDuration, Decide: decideTimeout})
+	s.tally = control.NewAckTracker(control.Timing{LeaseDuration: leaseDuration, DecideTimeout: decideTimeout})
 	s.leaderChangedAt = s.now
 }
 
@@ -176,7 +176,7 @@
 			return
 		}
 		view := s.state.View()
-		renewed := s.tally.Report(s.leaderClock(), report, view)
+		renewed := s.tally.RecordReport(s.leaderClock(), report, view)
 		s.transmit(func() {
 			if h.isRunning(incarnation) && renewed {
 				h.holder.ApplyLeaderRenewal(sentAt, view.Seq)
@@ -295,7 +295,7 @@
 	if !decision.Decided {
 		return
 	}
-	outcome := s.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Cut}})
+	outcome := s.apply(control.Command{Decide: &control.Decide{ID: view.Pending.Change.ID, Accept: decision.Accept, Cut: decision.Unreachable}})
 	s.decisions[outcome.Status]++
 	if outcome.Status == control.StatusAccepted {
 		for _, dc := range view.Pending.Matters {
