--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -162,7 +162,7 @@
 	}
 	d.leader, err = leader.New(leader.Options{
 		ID: d.replicaID, Timing: d.settings.Control, Folder: folder, Send: d.sendTo(d.controlSender),
-		Clock: steady.Time, Initial: initial, Voters: len(d.settings.Voters()), Log: d.log, Metrics: d.metrics, Seed: d.seed,
+		Clock: steady.Time, InitialConfig: initial, WantedVoters: len(d.settings.Voters()), Log: d.log, Metrics: d.metrics, Seed: d.seed,
 	})
 	if err != nil {
 		return errors.Annotate(err, "control log")
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -23,16 +23,16 @@
 
 // Options configures a Leader.
 type Options struct {
-	ID      raft.ID
-	Timing  settings.Timing
-	Folder  disk.Folder
-	Send    func(raft.Envelope)
-	Clock   func() time.Time // must advance while the machine is suspended
-	Initial declare.Config   // first configuration of an empty control log
-	Voters  int              // wanted number of voters
-	Log     *zap.Logger
-	Metrics *telemetry.Metrics
-	Seed    uint64
+	ID            raft.ID
+	Timing        settings.Timing
+	Folder        disk.Folder
+	Send          func(raft.Envelope)
+	Clock         func() time.Time // must advance while the machine is suspended
+	InitialConfig declare.Config   // first configuration of an empty control log
+	WantedVoters  int              // wanted number of voters
+	Log           *zap.Logger
+	Metrics       *telemetry.Metrics
+	Seed          uint64
 }
 
 // snapshotEntries is the number of log entries after which a snapshot replaces them.
@@ -85,7 +85,7 @@
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(l.replica.Run)
 	group.Go(l.runDecisions)
-	group.Go(voters.New(l.replica, l.spareReplicas, voters.Policy{Wanted: l.opts.Voters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
+	group.Go(voters.New(l.replica, l.spareReplicas, voters.Policy{Wanted: l.opts.WantedVoters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
 	return group.Wait()
 }
 
@@ -396,7 +396,7 @@
 // leaders from applying it twice.
 func (l *Leader) proposeInitial(ctx context.Context) {
 	change := declare.Change{ID: "first-configuration", Author: "linenscaled"}
-	for _, object := range l.opts.Initial.Objects() {
+	for _, object := range l.opts.InitialConfig.Objects() {
 		change.Puts = append(change.Puts, declare.Envelope{Object: object})
 	}
 	out, err := l.proposeOnce(ctx, change)
