--- a/agent/agent.go
+++ b/agent/agent.go
@@ -45,10 +45,10 @@
 	Replica raft.ID
 	Fleet   *fleet.Fleet
 	// Clients for short calls and for calls that wait for an event, in this order.
-	Near, Long *wire.Client
-	Log        *zap.Logger
-	Metrics    *telemetry.Metrics
-	Random     func() uint64
+	ShortCalls, LongCalls *wire.Client
+	Log                   *zap.Logger
+	Metrics               *telemetry.Metrics
+	Random                func() uint64
 	// Incarnation is unique to each start of the process.
 	Incarnation string
 	// KeyReplica returns the identity of this host's replica of its region's key log,
@@ -252,13 +252,13 @@
 	return status
 }
 
-// Explain returns the state of this host's lease, for operators.
-func (a *Agent) Explain() Standing {
+// LeaseStatus returns the state of this host's lease, for operators.
+func (a *Agent) LeaseStatus() LeaseStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Time()
 	view := a.holder.View()
-	s := Standing{
+	s := LeaseStatus{
 		Host: a.Host.Name, Seq: view.Seq, Revision: view.Config.Revision(), Pending: view.Pending != nil,
 		Serving: a.holder.MayServe(now), Established: a.holder.IsEstablished(), Lease: max(0, a.holder.ExpiresAt().Sub(now)), Leader: a.leader,
 	}
@@ -266,8 +266,8 @@
 	return s
 }
 
-// Standing is the state of a host's view and lease.
-type Standing struct {
+// LeaseStatus is the state of a host's view and lease.
+type LeaseStatus struct {
 	Host        string        `json:"host"`
 	Seq         uint64        `json:"seq"`
 	Revision    uint64        `json:"revision"`
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -128,7 +128,7 @@
 		next := args
 		next.Hops++
 		reply = leader.ReportReply{}
-		err := a.Near.Call(ctx, address, "Host.Report", next, &reply)
+		err := a.ShortCalls.Call(ctx, address, "Host.Report", next, &reply)
 		return reply.NotLeader, err
 	})
 	return reply, err
@@ -159,7 +159,7 @@
 			continue
 		}
 		group.Go(func() {
-			if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{req, a.ownStatus()}, &replies[i]); err != nil {
+			if err := a.ShortCalls.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{req, a.ownStatus()}, &replies[i]); err != nil {
 				replies[i] = GrantReply{}
 			}
 		})
@@ -199,7 +199,7 @@
 	}
 	view, _ := a.View()
 	var reply leader.WatchReply
-	if err := a.Near.WithTimeout(ctx, localCallTimeout, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
+	if err := a.ShortCalls.WithTimeout(ctx, localCallTimeout, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
 		return
 	}
 	if err := a.applyChanges(reply); err != nil {
@@ -209,7 +209,7 @@
 
 // logServing logs when the host starts or stops serving.
 func (a *Agent) logServing() {
-	status := a.Explain()
+	status := a.LeaseStatus()
 	a.mu.Lock()
 	changed := a.wasServing != status.Serving
 	a.wasServing = status.Serving
@@ -246,7 +246,7 @@
 		next.Hops++
 		next.Relay = target.relay
 		reply = leader.WatchReply{}
-		err := a.Long.Call(ctx, address, "Host.Watch", next, &reply)
+		err := a.LongCalls.Call(ctx, address, "Host.Watch", next, &reply)
 		return reply.NotLeader, err
 	})
 	return reply, err
@@ -283,7 +283,7 @@
 		next := args
 		next.Hops++
 		reply = leader.MembersReply{}
-		err := a.Near.Call(ctx, address, "Host.Members", next, &reply)
+		err := a.ShortCalls.Call(ctx, address, "Host.Members", next, &reply)
 		return reply.NotLeader, err
 	})
 	return reply, err
@@ -322,7 +322,7 @@
 // pingOnce measures the round trip to a host and records the result for its region.
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
-	err := a.Near.WithTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
+	err := a.ShortCalls.WithTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.links[region]
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -52,9 +52,9 @@
 	return ok && received.status.KeyLeader && steady.Time().Sub(received.issuedAt) < statusTTL
 }
 
-// KeySpares returns the replicas of the key log on this region's hosts, as candidate
+// KeyLogReplicas returns the replicas of the key log on this region's hosts, as candidate
 // voters.
-func (a *Agent) KeySpares() []voters.Spare {
+func (a *Agent) KeyLogReplicas() []voters.Spare {
 	var out []voters.Spare
 	if id, _ := a.KeyReplica(); id != raft.None {
 		out = append(out, voters.Spare{ID: id, Region: a.Host.Region})
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -27,7 +27,7 @@
 		return reply.NotLeader
 	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
 		reply, localErr = leader.ProposeReply{}, nil
-		err := a.Long.Call(ctx, address, "Host.Propose", args, &reply)
+		err := a.LongCalls.Call(ctx, address, "Host.Propose", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
@@ -45,7 +45,7 @@
 		return reply.NotLeader
 	}, func(ctx context.Context, _ candidate, address string) (*leader.NotLeader, error) {
 		reply, localErr = leader.StateReply{}, nil
-		err := a.Long.Call(ctx, address, "Host.State", args, &reply)
+		err := a.LongCalls.Call(ctx, address, "Host.State", args, &reply)
 		return reply.NotLeader, err
 	})
 	if err == nil {
@@ -72,31 +72,31 @@
 	return nil
 }
 
-// Drain is the progress of draining an engine before it is stopped.
-type Drain struct {
+// DrainStatus is the progress of draining an engine before it is stopped.
+type DrainStatus struct {
 	Engine   string   `json:"engine"`
 	Stopping bool     `json:"stopping"` // declared stopping in the effective configuration
 	InFlight int      `json:"in_flight"`
 	Unknown  []string `json:"unknown"` // hosts without a reply, or with an older view
 }
 
-// Empty reports whether the engine has no requests in flight and gets no new ones.
-func (d Drain) Empty() bool { return d.Stopping && d.InFlight == 0 && len(d.Unknown) == 0 }
+// IsDrained reports whether the engine has no requests in flight and gets no new ones.
+func (d DrainStatus) IsDrained() bool { return d.Stopping && d.InFlight == 0 && len(d.Unknown) == 0 }
 
-// Drain collects the requests in flight on an engine from each host of its region. A host
+// DrainStatus collects the requests in flight on an engine from each host of its region. A host
 // that does not reply, or whose view is older, is listed as unknown, and the engine then
 // does not count as empty.
-func (a *Agent) Drain(ctx context.Context, name string) (Drain, error) {
+func (a *Agent) DrainStatus(ctx context.Context, name string) (DrainStatus, error) {
 	view, _ := a.View()
 	if state, err := a.State(ctx, leader.StateArgs{}); err == nil {
 		view = state.View // this host's view may be older
 	}
 	object, ok := view.Config.Get(declare.Ref{Kind: declare.KindEngine, Name: name})
 	if !ok {
-		return Drain{}, errors.NotFoundf("engine %q", name)
+		return DrainStatus{}, errors.NotFoundf("engine %q", name)
 	}
 	engine := object.(declare.Engine)
-	drain := Drain{Engine: name, Stopping: engine.State == declare.EngineStopping}
+	drain := DrainStatus{Engine: name, Stopping: engine.State == declare.EngineStopping}
 	region := view.Config.RegionOf(engine.DataCentre)
 	for _, host := range declare.Each[declare.Host](view.Config) {
 		if view.Config.RegionOf(host.DataCentre) != region || host.State == declare.HostGone {
@@ -123,6 +123,6 @@
 		return EngineReply{}, errors.NotFoundf("host %q", host)
 	}
 	var reply EngineReply
-	err := a.Near.WithTimeout(ctx, timeout, address, "Host.InFlight", EngineArgs{engine}, &reply)
+	err := a.ShortCalls.WithTimeout(ctx, timeout, address, "Host.InFlight", EngineArgs{engine}, &reply)
 	return reply, errors.Trace(err)
 }
--- a/agent/service.go
+++ b/agent/service.go
@@ -216,5 +216,5 @@
 	return nil
 }
 
-// Known returns the recent statuses of all hosts, including this one.
-func (a *Agent) Known() []leader.HostStatus { return a.hostStatuses() }
+// HostStatuses returns the recent statuses of all hosts, including this one.
+func (a *Agent) HostStatuses() []leader.HostStatus { return a.hostStatuses() }
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -104,12 +104,12 @@
 	if err != nil {
 		return "", 0, false
 	}
-	return Reach(a.Host, host)
+	return ControlAddress(a.Host, host)
 }
 
-// Reach returns the control address at which one host of the settings reaches another,
+// ControlAddress returns the control address at which one host of the settings reaches another,
 // and the timeout of a call. The last result is always true.
-func Reach(from, to settings.Host) (string, time.Duration, bool) {
+func ControlAddress(from, to settings.Host) (string, time.Duration, bool) {
 	if from.Region == to.Region {
 		return to.Control, localCallTimeout, true
 	}
--- a/cmd/linenscale/read.go
+++ b/cmd/linenscale/read.go
@@ -116,7 +116,7 @@
 		until := time.Now().Add(longest)
 		for {
 			drain, err := t.client.Drain(ctx, engine)
-			if err == nil && drain.Empty() {
+			if err == nil && drain.IsDrained() {
 				return t.print(drain, []string{"ENGINE", "IN FLIGHT"}, [][]string{{engine, "0, and gets nothing new"}})
 			}
 			if err == nil && !drain.Stopping {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -175,7 +175,7 @@
 func (d *process) sendTo(sender *wire.Sender[raft.Envelope]) func(raft.Envelope) {
 	return func(e raft.Envelope) {
 		if host, err := d.settings.Host(voters.HostOf(e.To)); err == nil {
-			address, _, _ := agent.Reach(d.host, host)
+			address, _, _ := agent.ControlAddress(d.host, host)
 			sender.Post(address, e)
 		}
 	}
@@ -187,7 +187,7 @@
 func (d *process) buildAgent() {
 	d.agent = agent.New(agent.Deps{
 		Settings: d.settings, Host: d.host, Leader: d.leader, Replica: d.replicaID, KeyReplica: d.keys.replicaID,
-		Fleet: d.fleet, Near: d.near, Long: d.long, Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
+		Fleet: d.fleet, ShortCalls: d.near, LongCalls: d.long, Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
 		Incarnation: uuid.NewString(),
 		InFlight:    func() int64 { return d.gateway.InFlight() },
 		Stopping:    func() bool { return d.gateway.Stopping() },
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -192,7 +192,7 @@
 		if v.Name == j.host.Name {
 			continue
 		}
-		address, _, _ := agent.Reach(j.host, v)
+		address, _, _ := agent.ControlAddress(j.host, v)
 		var state FormationState
 		if err := j.calls.WithTimeout(ctx, formCall, address, "Formation.State", j.group, &state); err != nil {
 			answered = false
--- a/operator/client.go
+++ b/operator/client.go
@@ -80,8 +80,8 @@
 }
 
 // Drain asks for what an engine has in flight.
-func (c *Client) Drain(ctx context.Context, engine string) (agent.Drain, error) {
-	var out agent.Drain
+func (c *Client) Drain(ctx context.Context, engine string) (agent.DrainStatus, error) {
+	var out agent.DrainStatus
 	return out, c.do(ctx, http.MethodGet, "/v1/drain/"+url.PathEscape(engine), nil, &out)
 }
 
--- a/operator/server.go
+++ b/operator/server.go
@@ -81,7 +81,7 @@
 
 // Status is the answer to GET /v1/status.
 type Status struct {
-	Asked    agent.Standing      `json:"asked"` // the host that was asked
+	Asked    agent.LeaseStatus   `json:"asked"` // the host that was asked
 	Reached  bool                `json:"leader_reached"`
 	Leader   string              `json:"leader,omitempty"`
 	Term     uint64              `json:"term,omitempty"`
@@ -95,11 +95,11 @@
 func (s *Server) status(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), stateWait)
 	defer cancel()
-	status := Status{Asked: s.agent.Explain()}
+	status := Status{Asked: s.agent.LeaseStatus()}
 	status.Revision = status.Asked.Revision
 	state, err := s.agent.State(ctx, leader.StateArgs{})
 	if err != nil {
-		status.Hosts = s.agent.Known()
+		status.Hosts = s.agent.HostStatuses()
 		reply(w, http.StatusOK, status)
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	drain, err := s.agent.Drain(r.Context(), params.ByName("engine"))
+	drain, err := s.agent.DrainStatus(r.Context(), params.ByName("engine"))
 	if errors.Is(err, errors.NotFound) {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
