--- a/dispatch/accounts.go
+++ b/dispatch/accounts.go
@@ -90,7 +90,7 @@
 	return allowance.Usage{AdmittedRate: units(use.AdmittedRate), SmoothedRate: units(use.SmoothedRate), RequestedRate: units(use.RequestedRate), WindowTotal: float64(max(0, use.WindowTotal))}
 }
 
-// usageScale is the number of steps per unit in reported usage. With whole units, an
+// usageScale is the number of steps per unit in reported rates. With whole units, an
 // account counted in requests was missing from the reports where each gateway had less
 // than one request a second.
 const usageScale = 100
--- a/dispatch/accounts_test.go
+++ b/dispatch/accounts_test.go
@@ -43,7 +43,7 @@
 	for _, g := range env.gateways {
 		g.ApplyState(state, catalog.NewTable(state.Catalog))
 	}
-	meanAsked := 0.0
+	meanRequested := 0.0
 	for step := range 100 { // ten seconds; each gateway admits one request every two seconds
 		for i, m := range meters {
 			if step%gateways == i {
@@ -54,8 +54,8 @@
 		env.exchangeReports()
 		env.advance(rollup.ReportInterval)
 		if step >= 50 {
-			meanAsked += meters[0].Statuses(env.now)[0].Requested / 50
+			meanRequested += meters[0].Statuses(env.now)[0].Requested / 50
 		}
 	}
-	must.Between(t, 7, meanAsked, 13, must.Sprint("ten requests per second"))
+	must.Between(t, 7, meanRequested, 13, must.Sprint("ten requests per second"))
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -28,8 +28,8 @@
 	// target. In a long burst, a larger margin makes fewer answers late; in a short
 	// overload, rejecting early gains nothing.
 	errorMargin = 2
-	// noEngineRetryAfter is the Retry-After where no engine can be used: engines are
-	// replaced within a second or two.
+	// noEngineRetryAfter is the shortest Retry-After where no engine can be used, or none in
+	// time: engines are replaced within a second or two.
 	noEngineRetryAfter = 400 * time.Millisecond
 )
 
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -29,8 +29,9 @@
 }
 
 // transferSourceFor returns the engine to transfer a prompt's shared blocks from: of the
-// holders, the one that got them last, since cached blocks are evicted over time. The
-// result is empty if the service's engines can't transfer.
+// holders, the one to which they were sent last, since cached blocks are evicted over
+// time. The result is empty if no holder can serve the transfer, the service's engines
+// can't transfer, or the blocks are too small to be worth it.
 func (d *Dispatcher) transferSourceFor(p *pool, prompt Prompt, holders []*engine, now time.Time) transferSource {
 	if p.service.Model == nil || !p.service.Model.Copies() || prompt.sharedTokens() < minTransferTokens {
 		return transferSource{}
@@ -49,13 +50,13 @@
 }
 
 // allowsTransfer reports whether an engine with this exclusion may serve transfers. A
-// cold or rate-limited one may; one that is backing off, about to end or failing may not.
+// cold or rate-limited one may; one that is backing off, draining or failing may not.
 func (x exclusion) allowsTransfer() bool {
 	return x == "" || x == excludedLimited || x == excludedCold
 }
 
-// tokensFor returns how many tokens an engine could transfer from the source; 0 if too
-// few to be worth it.
+// tokensFor returns how many tokens an engine could transfer from the source in addition
+// to those that it has cached; 0 if too few to be worth it.
 func (s transferSource) tokensFor(to *engine, cached int) int {
 	if s.engine == nil || s.engine == to || s.tokens-cached < minTransferTokens {
 		return 0
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -56,8 +56,8 @@
 }
 
 // TestNoTransferWithoutUsableSource checks engines that can't transfer, and cache holders
-// that can't serve transfers: the block is read again, or the request waits for the
-// holder.
+// that can't serve transfers: the block must be read again, or the request must be sent to
+// the holder.
 func TestNoTransferWithoutUsableSource(t *testing.T) {
 	for name, change := range map[string]func(env *testEnv, holder string){
 		"engines without transfers": func(env *testEnv, _ string) { env.applyState() },
@@ -79,7 +79,8 @@
 }
 
 // TestNoTransferFromEngineWithPushback has the cache holder ask for backoff or announce
-// draining. Transfers would load an engine that wants less load, or that is about to end.
+// draining. A transfer would add load to an engine that asked for less, or that is about
+// to end.
 func TestNoTransferFromEngineWithPushback(t *testing.T) {
 	for name, announce := range map[string]func(ticket *dispatch.Ticket){
 		"backing off": func(ticket *dispatch.Ticket) { ticket.ApplyPushback(pushback.Backoff{Duration: time.Second}) },
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -111,13 +111,13 @@
 // they ran it. The lock is held.
 func (d *Dispatcher) checkQuarantine(req Request, now time.Time) error {
 	err := d.quarantine.Check(req.Fingerprint, now)
-	var refused *quarantine.RejectedError
-	if !errors.As(err, &refused) {
+	var rejection *quarantine.RejectedError
+	if !errors.As(err, &rejection) {
 		return nil
 	}
 	return &request.NotRun{
-		Reason: request.ReasonQuarantined, RetryAfter: refused.RetryAfter,
-		Message: refused.Error() + ", " + strconv.Itoa(refused.Crashes) + " of them; fingerprint " + req.Fingerprint.String(),
+		Reason: request.ReasonQuarantined, RetryAfter: rejection.RetryAfter,
+		Message: rejection.Error() + ", " + strconv.Itoa(rejection.Crashes) + " of them; fingerprint " + req.Fingerprint.String(),
 	}
 }
 
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -21,7 +21,7 @@
 )
 
 // TestEngineIsSuspectedOnce breaks two connections to an engine, which must make it a
-// suspect once. After an answer of the engine, the next broken connection makes it a
+// suspect once. After an answer to a later request, the next broken connection makes it a
 // suspect again, and so does one to its next incarnation.
 func TestEngineIsSuspectedOnce(t *testing.T) {
 	env := newTestEnv(1, 1)
@@ -30,7 +30,7 @@
 	acquire(t, g, longRequest("r1", "p")).Done(dispatch.Broken)
 	must.Eq(t, 1, len(g.SuspectEngines()))
 	must.Eq(t, "i-0", (<-g.SuspectEngines()).Incarnation)
-	env.advance(1)
+	env.advance(1) // so that the next request is later than the breaks
 	acquire(t, g, longRequest("r2", "p")).FirstByte(true)
 	acquire(t, g, longRequest("r3", "p")).Done(dispatch.Broken)
 	must.Eq(t, 1, len(g.SuspectEngines()), must.Sprint("suspected again: it had answered after the first breaks"))
@@ -162,7 +162,7 @@
 				data, err := cbor.Marshal(out.Message)
 				must.NoError(t, err)
 				largest = max(largest, len(data))
-				if len(out.Message.Members) == 0 {
+				if len(out.Message.Members) == 0 { // only messages between regions have none
 					crossRegion += len(data) * len(out.To)
 				}
 				env.deliver(out)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -29,7 +29,8 @@
 	RegionOf   map[string]string // region of each data centre
 	Engines    *registry.Table
 	Peers      func() []roster.Host // reachable gateways of all regions
-	// Estimate of the usual round trip to another region, and whether one was measured.
+	// RoundTripTo returns the usual round trip to another region, and whether one was
+	// measured.
 	RoundTripTo func(region string) (time.Duration, bool)
 	RetryBudget retry.Policy
 	// Allowances receives the account usage that other gateways report; nil where no
@@ -45,6 +46,7 @@
 type Dispatcher struct {
 	Deps
 
+	// mu guards the fields below, the pools and their engines. Comments call it the lock.
 	mu                sync.Mutex
 	state             ledger.State
 	catalog           *catalog.Table
@@ -59,7 +61,7 @@
 	enginesByHash     map[uint64]*engine
 	accountNames      map[uint32]string         // account names by hash
 	sentBlocks        []sentBlock               // recently sent prompt blocks, for the next reports
-	lastCleanup       time.Time                 // when expired blocks were last removed
+	lastCleanup       time.Time                 // when expired entries were last removed
 	crashDetector     *quarantine.CrashDetector // distinguishes crashes from broken connections
 	suspectEngines    chan SuspectEngine
 	// quarantine holds the requests that were running when engines crashed.
@@ -110,7 +112,7 @@
 	d.refresh(d.Clock())
 }
 
-// cleanupInterval is how often expired blocks are removed and the estimates are logged.
+// cleanupInterval is how often expired entries are removed and the estimates are logged.
 const cleanupInterval = 5 * time.Second
 
 // refresh updates the pools and everything derived from them. The lock is held.
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -1,4 +1,4 @@
-// This file defines the engine states that operators can query.
+// This file defines the status of engines that operators can query.
 
 package dispatch
 
@@ -14,8 +14,8 @@
 	Engine          string        `json:"engine"`
 	Service         string        `json:"service"`
 	Exclusion       string        `json:"why"`           // exclusion; "" if it gets requests
-	ExcludedFor     time.Duration `json:"for_ns"`        // how long the reason has applied; 0 if not known
-	ExclusionEndsIn time.Duration `json:"ends_ns"`       // remaining time; 0 if not known or for good
+	ExcludedFor     time.Duration `json:"for_ns"`        // how long the exclusion has applied; 0 if not known
+	ExclusionEndsIn time.Duration `json:"ends_ns"`       // remaining time; 0 if not known or if it never ends
 	Requests        int           `json:"requests"`      // of this gateway, in flight
 	PeerRequests    int           `json:"others"`        // of the region's other gateways, as last reported
 	Limit           string        `json:"limit"`         // announced by the engine; "" for none
--- a/dispatch/expect.go
+++ b/dispatch/expect.go
@@ -32,8 +32,8 @@
 	// cacheFillLimit is the share of an engine's cache above which requests are sent
 	// elsewhere. It is below 1 because the estimates are not exact.
 	cacheFillLimit = 0.85
-	// overflowPenalty is the cost of a request that exceeds the limit by the size of the
-	// whole cache.
+	// overflowPenalty is the cost of a request that exceeds cacheFillLimit by the size of
+	// the whole cache, in addition to a fifth of it for any excess.
 	overflowPenalty = 3 * time.Second
 	// failurePenalty is the cost of a failed request: its caller usually retries after
 	// some seconds, with less time left.
@@ -59,7 +59,7 @@
 	failureRate  float64       // share of recent requests that failed beyond the baseline
 	throughput   Throughput    // of the service's engines
 	usualError   time.Duration // mean error of the time estimates
-	slowdown     float64       // time relative to the engine's peers; 0 if not known
+	slowdown     float64       // response time relative to the service's other engines; 0 if not known
 	preferred    bool          // ranked first for the prompt's shared blocks
 	transferable int           // further tokens of the prompt that the engine could transfer
 	transferTime time.Duration // how long that transfer takes
@@ -92,7 +92,9 @@
 	return s.rank > o.rank
 }
 
-// String formats the score for the log.
+// String formats the score for the log. Some labels differ from the field names: kept is
+// cached, copied is transferred, first is preferred, held is load.Reserved, and silent is
+// unresponsive.
 func (s score) String() string {
 	return fmt.Sprintf("wait=%v cost=%v kept=%d copied=%d first=%t requests=%d unread=%d held=%d silent=%t",
 		s.wait.Round(time.Millisecond), s.cost.Round(time.Millisecond), s.cached, s.transferred, s.preferred, s.load.Requests, s.load.Unread, s.load.Reserved, s.unresponsive)
--- a/dispatch/failing_test.go
+++ b/dispatch/failing_test.go
@@ -89,7 +89,8 @@
 	must.MapContainsKey(t, engines, "i-0")
 }
 
-// acquireNth acquires a ticket for the nth of several requests without shared blocks.
+// acquireNth acquires a ticket for the nth of several short requests without shared
+// blocks.
 func acquireNth(t *testing.T, g *dispatch.Dispatcher, n int) *dispatch.Ticket {
 	t.Helper()
 	return acquire(t, g, dispatch.Request{ID: fmt.Sprint("any", n), Service: "review", Prompt: dispatch.Prompt{InputTokens: 10, OutputTokens: 10}})
--- a/dispatch/far.go
+++ b/dispatch/far.go
@@ -12,7 +12,7 @@
 type remoteRegion struct {
 	reportedAt time.Time // when its last report arrived in this region
 	digests    map[string]Digest
-	inFlight   []*RemoteRequest        // sent there, and not in its report yet
+	inFlight   []*RemoteRequest        // sent there, and not in its last report yet
 	cached     map[string]cachedBlocks // by service: prompt blocks sent there
 }
 
--- a/dispatch/illness.go
+++ b/dispatch/illness.go
@@ -1,5 +1,5 @@
-// This file estimates how much more often an engine fails than the requests that it gets
-// fail at any engine.
+// This file estimates how far an engine's failure rate exceeds the rate at which its
+// requests fail at any engine.
 
 package dispatch
 
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -33,8 +33,9 @@
 	return t.limit.String()
 }
 
-// chargeLimits counts a ticket against the rate limit of its engine, and counts for each
-// other engine whose share is used up that the request was kept away. The lock is held.
+// chargeLimits counts a ticket against the rate limit of its engine. For each other engine
+// that was excluded because this gateway's share of its limit is used up, it counts the
+// exclusion. The lock is held.
 func (d *Dispatcher) chargeLimits(t *Ticket, now time.Time) {
 	for _, e := range t.pool.limited {
 		if e != t.engine && !d.limits.Allows(e.hash, now) {
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -33,14 +33,14 @@
 
 // countLimits returns the number of known limits over all gateways, and the sum of the
 // gateways' shares.
-func (env *testEnv) countLimits() (gateways int, share float64) {
+func (env *testEnv) countLimits() (known int, share float64) {
 	for _, g := range env.gateways {
 		for _, l := range g.LimitStatuses() {
-			gateways++
+			known++
 			share += l.Share
 		}
 	}
-	return gateways, share
+	return known, share
 }
 
 // TestLimitsReachManyGateways has one of 100 gateways receive an engine's rate limit, and
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -28,8 +28,8 @@
 	ownContactTime = 500 * time.Millisecond
 	// minBackoffReporters is the number of gateways to which an engine must have sent a
 	// backoff for the others to back off too, so that not each of them has to be rejected
-	// first. A single gateway may have been rejected for reasons of its own; the engine
-	// then accepts as many more requests from the others.
+	// first. An engine may reject a single gateway for a reason specific to it, and then
+	// has that much more capacity for the others.
 	minBackoffReporters = 2
 )
 
@@ -109,7 +109,8 @@
 		}
 	}
 	for _, hash := range m.Report.Unreachable {
-		// This gateway's own reports come back to it in totals.
+		// Totals include this gateway's own reports, so engines that it couldn't connect
+		// to itself are left out.
 		if e, ok := d.enginesByHash[hash]; ok && e.connectFailures == 0 && now.Sub(e.lastHeard) > ownContactTime && now.After(e.excludedUntil) {
 			e.excludedUntil = now.Add(peerExclusionTime)
 		}
@@ -159,9 +160,9 @@
 	d.applyPeerReports()
 }
 
-// updateGateways updates the lists of gateways of this region, and the number of all
-// gateways. Gateways that are stopping get few requests and no share of rate limits. The
-// lock is held.
+// updateGateways updates the list of this region's gateways, the gateways that share rate
+// limits, and the number of all gateways. Gateways that are stopping get few requests and
+// so no share. The lock is held.
 func (d *Dispatcher) updateGateways(now time.Time) {
 	names, sharing, all := []string{d.Name}, []string{d.Name}, 1
 	for _, h := range d.Peers() {
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -14,7 +14,7 @@
 	"github.com/linenscale/linenscale/retry"
 )
 
-// engine is this gateway's state of one engine.
+// engine is what this gateway knows about one incarnation of an engine.
 type engine struct {
 	registry.Engine
 	pool             *pool
@@ -27,10 +27,10 @@
 	failures         excessFailures // failures beyond the baseline
 	slowdown         pace.Slowdown
 	replaced         bool      // another incarnation answers at its address
-	replacedAt       time.Time // when this gateway saw that itself
+	replacedAt       time.Time // when this gateway detected it; zero if others reported it
 	connectFailures  int       // consecutive failed connections
 	connectFailedAt  time.Time
-	excludedUntil    time.Time
+	excludedUntil    time.Time // end of excludedFailing
 	peerBackoffUntil time.Time // end of the backoff that other gateways report
 	nextWarmRequest  time.Time // when a cold engine may get its next request
 	warmer           string    // the gateway that sends it requests while it is cold
@@ -57,7 +57,7 @@
 type pool struct {
 	service          catalog.Service
 	engines          map[string]*engine   // by ID
-	sorted           []*engine            // engines by ID
+	sorted           []*engine            // engines in the order of their IDs
 	usable           []*engine            // engines that choices draw from
 	limited          []*engine            // usable but for their rate limits, and not in usable
 	pushedBack       []*engine            // backing off or draining
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -19,7 +19,7 @@
 	defer d.mu.Unlock()
 	now := d.Clock()
 	if d.pushback.ApplySignal(e.hash, signal, now) {
-		d.Log.Info("engine asked for backoff", zap.String("engine", e.ID), zap.Stringer("for", signal))
+		d.Log.Info("excluding engine until its backoff ends", zap.String("engine", e.ID), zap.Stringer("for", signal))
 	}
 }
 
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -70,7 +70,7 @@
 	must.Eq(t, request.ReasonNoEngine, rejection.Reason)
 	must.Eq(t, time.Second, rejection.RetryAfter)
 	must.Eq(t, time.Second, env.gateways[0].AvailableIn("review"))
-	acquire(t, env.gateways[1], unsharedRequest("r")) // not asked for backoff
+	acquire(t, env.gateways[1], unsharedRequest("r")) // the engines haven't asked this gateway for backoff
 	must.Eq(t, 0, reportedEngines(t, env.gateways[0], "review"), must.Sprint("engines that back off are no capacity for other regions"))
 	env.advance(time.Second)
 	must.Eq(t, "i-1", acquire(t, env.gateways[0], unsharedRequest("s")).Engine)
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -236,8 +236,8 @@
 
 // roundTrip returns the usual round trip to another region.
 func (d *Dispatcher) roundTrip(region string) time.Duration {
-	if known, ok := d.RoundTripTo(region); ok {
-		return known
+	if measured, ok := d.RoundTripTo(region); ok {
+		return measured
 	}
 	return defaultRoundTrip
 }
--- a/dispatch/speeds.go
+++ b/dispatch/speeds.go
@@ -12,10 +12,10 @@
 	"github.com/linenscale/linenscale/pace"
 )
 
-// Throughput is the expected speed of a service's engines.
+// Throughput describes how fast a service's engines are expected to answer.
 type Throughput struct {
 	_              struct{}      `cbor:",toarray"`
-	Overhead       time.Duration // until the first event, in addition to reading the prompt
+	Overhead       time.Duration // time until the first event, in addition to reading the prompt
 	ReadPerToken   time.Duration // to read one prompt token
 	OutputPerToken time.Duration // to generate one token of the answer
 	SlotTime       time.Duration // how long a request occupies its slot
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -23,10 +23,10 @@
 	excludedDraining    exclusion = "leaving"          // it announced draining in its answers
 	excludedBackoff     exclusion = "resting"          // it asked this gateway for backoff
 	excludedTrial       exclusion = "trying"           // the trial after its backoff is in flight
-	excludedLimited     exclusion = "limited"          // no share of its rate limit, or it is used up
-	excludedFailing     exclusion = "failing"          // a failed connection here or at others, or overload
-	excludedPeerBackoff exclusion = "rests for others" // others report its backoff, and no recent answer here
-	excludedCold        exclusion = "cold"             // not this gateway's to warm up, or too soon
+	excludedLimited     exclusion = "limited"          // this gateway has no share of its rate limit, or has used it up
+	excludedFailing     exclusion = "failing"          // a connection failed here or at other gateways, or it shed a request
+	excludedPeerBackoff exclusion = "rests for others" // other gateways report its backoff, and it hasn't answered this one recently
+	excludedCold        exclusion = "cold"             // another gateway warms it up, or the next request would exceed ColdRate
 	excludedTried       exclusion = "tried"            // this request was already sent there
 )
 
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -28,7 +28,7 @@
 	sentAt       time.Time
 	firstEventAt time.Time // when the answer began; zero if it isn't used for estimates
 	load         Load      // that the request adds to the engine
-	readTokens   float64   // to read before the first event, for earlier requests too
+	readTokens   float64   // prompt tokens to read before the first event, including those of earlier requests
 	outputTokens int       // expected length of the answer
 	queued       bool      // no slot was free
 	route        string
@@ -103,12 +103,12 @@
 	Unreached           // no connection could be opened
 	Shed                // the engine rejected the request because of overload
 	Misdirected         // another incarnation answered
-	Abandoned           // the caller went away, which says nothing about the engine
+	Abandoned           // the caller disconnected, which says nothing about the engine
 	Broken              // the connection ended before the answer did
 	Unsent              // nothing was sent: the engine stopped accepting requests
 )
 
-// String returns the name used in logs and metrics.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"answered", "failed", "unreached", "shed", "misdirected", "abandoned", "broken", "unsent"}[o]
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -31,7 +31,7 @@
 	index    uint64
 }
 
-// services are the services of every testEnv: one with a model and one without.
+// services lists the services of every testEnv: one with a model and one without.
 var services = []catalog.Service{
 	{Name: "review", ColdRate: 2, Model: &catalog.ModelSpec{Slots: 16, CacheTokens: 100_000}},
 	{Name: "portal"},
--- a/internal/dispatchbench/dispatchbench_test.go
+++ b/internal/dispatchbench/dispatchbench_test.go
@@ -31,9 +31,9 @@
 
 // TestManyGatewaysServeAsWellAsFew simulates the first peak of a site of 160 engines, at
 // 1.1 times its usual load, with 30 and with 294 gateways. Each of many gateways sends
-// only few requests, of which the others must learn in time. When each gateway reported
-// to all others every 1.3 s, 294 gateways earned 0.81 of the value over the whole run
-// instead of 0.90.
+// only few requests, and must receive the others' reports in time. When each gateway
+// reported to all others every 1.3 s, 294 gateways earned 0.81 of the value over the whole
+// run instead of 0.90.
 func TestManyGatewaysServeAsWellAsFew(t *testing.T) {
 	simulate := func(gateways int) dispatchbench.Result {
 		o := dispatchbench.LargeSite(1, 1.1, gateways)
@@ -65,8 +65,8 @@
 
 // TestRateLimitsAreObservedAndUsed has about a sixth of a region's engines, or all of
 // them, announce a rate limit to few or many gateways. Within four seconds, each engine
-// may get one and a half times its limit plus five requests. It must also get most of
-// what its limit allows, since the rest is lost to callers.
+// may get at most one and a half times its limit plus five requests. The engines must also
+// get most of what their limits allow, since callers get no answers from the rest.
 func TestRateLimitsAreObservedAndUsed(t *testing.T) {
 	for _, gateways := range []int{6, 60} {
 		for _, perSecond := range []float64{1, 4} {
--- a/internal/dispatchbench/engine.go
+++ b/internal/dispatchbench/engine.go
@@ -7,15 +7,15 @@
 	"github.com/linenscale/linenscale/internal/virtual"
 )
 
-// EngineModel describes the capacity and the speed of an engine. The values used are
-// those of the users' engines.
+// EngineModel describes the capacity and the speed of an engine. The values that the
+// simulations use are those of the users' engines.
 type EngineModel struct {
 	Slots            int     // requests in one batch
 	QueueSize        int     // requests that may wait for a slot
 	MemoryTokens     int     // tokens of running requests and cached blocks together
 	StepMS           float64 // duration of a step that generates one token for each stream
 	StepMSPerRequest float64 // additional duration per running request
-	StepMSPerKToken  float64 // additional duration per 1,000 tokens in their memory
+	StepMSPerKToken  float64 // additional duration per 1,000 tokens of running requests in memory
 	ReadTokensPerMS  float64 // prompt tokens read per millisecond
 	ReadMSPerMPairs  float64 // additional read time per million pairs of tokens (attention)
 	ReadChunk        int     // prompt tokens read per step at most
@@ -28,8 +28,8 @@
 	ReadTokensPerMS: 38.7, ReadMSPerMPairs: 0.737, ReadChunk: 2048, EventTokens: 6,
 }
 
-// withSpeed returns the model of an engine that is faster by the given factor in
-// everything.
+// withSpeed returns the model of an engine that reads prompts and runs steps faster by the
+// given factor.
 func (m EngineModel) withSpeed(factor float64) EngineModel {
 	m.StepMS /= factor
 	m.StepMSPerRequest /= factor
--- a/internal/dispatchbench/exchange.go
+++ b/internal/dispatchbench/exchange.go
@@ -16,14 +16,14 @@
 	arrival     *arrival
 	deadline    time.Duration // since the start of the simulation
 	tried       []string      // IDs of the engines that it was sent to
-	failedSends int           // answers that failed
+	failedSends int           // sends that an engine accepted and then failed
 	engine      *engine
 	active      *activeRequest
 	lastEvent   time.Duration           // when the caller received the last event
 	remote      *dispatch.RemoteRequest // set if package dispatch handed it over to another region
 }
 
-// endRemote ends the counting of the request as load of another region.
+// endRemote stops counting the request as load of another region.
 func (x *exchange) endRemote() {
 	if x.remote != nil {
 		x.remote.End()
@@ -44,8 +44,7 @@
 	})
 }
 
-// chooseRegion chooses the region and forwards the request to it, as the filter of
-// package ingress does.
+// chooseRegion chooses the region and forwards the request to it, as package ingress does.
 func (s *Simulation) chooseRegion(x *exchange, g *gateway) {
 	var reachable []string
 	for _, r := range s.Regions {
@@ -153,8 +152,8 @@
 	})
 }
 
-// countRereads counts the shared tokens that this engine must read although some engine
-// has read them within rereadWindow.
+// countRereads counts the shared tokens that this engine must read although a request with
+// them was sent to some engine within rereadWindow.
 func (s *Simulation) countRereads(a *arrival, e *engine) {
 	cached := e.cache.lookup(a.blocks[:len(a.blocks)-1])
 	total := 0
--- a/internal/dispatchbench/limit.go
+++ b/internal/dispatchbench/limit.go
@@ -18,12 +18,12 @@
 	limitSettleTime = 6 * time.Second
 )
 
-// announcedLimit is the rate limit that an engine announces, and the requests that it has
-// received since. The zero value announces none.
+// announcedLimit is the rate limit that an engine announces, and the requests that it
+// received once the bound applied. The zero value announces none.
 type announcedLimit struct {
 	perSecond float64
-	since     time.Duration // when it was first announced; 0 for never
-	arrivals  []time.Duration
+	since     time.Duration   // when it was first announced; 0 for never
+	arrivals  []time.Duration // times since the start of the simulation
 }
 
 // signal returns the limit as the engine's answers announce it.
@@ -41,7 +41,8 @@
 	}
 }
 
-// AnnounceLimits has a share of a region's engines announce a rate limit from now on.
+// AnnounceLimits has a share of a region's engines announce a rate limit from now on, in
+// requests per second.
 func (s *Simulation) AnnounceLimits(region string, share, perSecond float64) {
 	engines := s.enginesByRegion[region]
 	for _, e := range engines[:int(math.Ceil(share*float64(len(engines))))] {
@@ -55,16 +56,16 @@
 	for _, r := range s.Regions {
 		for _, e := range s.enginesByRegion[r.Name] {
 			if e.limit.since > 0 {
-				out = append(out, e.limit.outcome(s.Duration))
+				out = append(out, e.limit.result(s.Duration))
 			}
 		}
 	}
 	return out
 }
 
-// outcome computes the result of a simulation whose arrivals end after the given
+// result computes the engine's result in a simulation whose arrivals end after the given
 // duration.
-func (l *announcedLimit) outcome(duration time.Duration) LimitedEngine {
+func (l *announcedLimit) result(duration time.Duration) LimitedEngine {
 	peak := 0
 	for i, from := range l.arrivals {
 		count := 0
--- a/internal/dispatchbench/scenarios.go
+++ b/internal/dispatchbench/scenarios.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// threeRegions is a site with 63 gateways and 140 engines in three regions, which peak
+// threeRegions returns a site with 63 gateways and 140 engines in three regions, which peak
 // one after the other.
 func threeRegions(load float64) Options {
 	return Options{
@@ -47,9 +47,9 @@
 	}
 }
 
-// LargeSite is a site with 160 engines of 32 slots, in three regions that peak one after
-// the other, and about the given number of gateways. Half of one region's engines crash
-// at its peak.
+// LargeSite returns a site with 160 engines of 32 slots, in three regions that peak one
+// after the other, and about the given number of gateways. Half of one region's engines
+// crash at its peak.
 func LargeSite(seed uint64, load float64, gateways int) Options {
 	model := defaultEngine
 	model.Slots, model.QueueSize, model.MemoryTokens, model.EventTokens = 32, 67, 232_000, 9
@@ -75,12 +75,12 @@
 	}
 }
 
-// Overload is a site of twelve engines that for eight seconds get five times their usual
-// load, which is several times what they can serve.
+// Overload returns a site of twelve engines that for eight seconds get five times their
+// usual load, which is several times what they can serve.
 func Overload(seed uint64) Options { return Burst(seed, 5, 1) }
 
-// Burst is a site of twelve engines that for eight seconds get their usual load times the
-// factor. The engines are faster than the default by the factor speed, which the
+// Burst returns a site of twelve engines that for eight seconds get their usual load times
+// the factor. The engines are faster than the default by the factor speed, which the
 // dispatchers don't know at first.
 func Burst(seed uint64, factor, speed float64) Options {
 	model := defaultEngine
@@ -94,7 +94,7 @@
 	}
 }
 
-// RateLimits is a site with two regions and the given number of gateways. After one
+// RateLimits returns a site with two regions and the given number of gateways. After one
 // second, a share of one region's engines announce a rate limit in requests per second.
 func RateLimits(seed uint64, gateways int, share, perSecond float64) Options {
 	model := defaultEngine
@@ -160,8 +160,8 @@
 	return s.result()
 }
 
-// CompareStrategies compares the strategies at a site with 140 engines and 63 gateways, or runs
-// package dispatch alone.
+// CompareStrategies runs each scenario with each strategy, or with package dispatch alone,
+// at a site with 140 engines and 63 gateways.
 func CompareStrategies(seed uint64, dispatchOnly bool) []Table {
 	var out []Table
 	for _, s := range scenarios() {
--- a/internal/dispatchbench/traffic.go
+++ b/internal/dispatchbench/traffic.go
@@ -37,7 +37,8 @@
 	tokens   lognormal
 }
 
-// lognormal is a lognormal distribution of tokens, by its mean, bounded by a limit.
+// lognormal is a lognormal distribution of token counts. sigma is the standard deviation
+// of the logarithm, and limit the largest count.
 type lognormal struct {
 	mean, sigma, limit float64
 }
@@ -60,9 +61,9 @@
 	blocks      []block
 	tokensIn    int
 	tokensOut   int
-	valueFactor float64 // value relative to the kind's
+	valueFactor float64 // value relative to the kind's: longer requests are worth more
 
-	firstEvent, end time.Duration // when the caller received them
+	firstEvent, end time.Duration // when the caller received the first event and the end
 	pausedTooLong   bool          // for longer than the kind's MaxPause
 	answered        bool
 	rejections      int
--- a/internal/dispatchbench/ways.go
+++ b/internal/dispatchbench/ways.go
@@ -57,7 +57,7 @@
 	}}, nil
 }
 
-// baselineStrategy runs requests in the region where they arrive, or in the first
+// baselineStrategy runs requests in the region where they arrive, or else in the first
 // permitted one, and admits all.
 type baselineStrategy struct {
 	// choose returns one of the region's warm engines.
--- a/internal/dispatchbench/world.go
+++ b/internal/dispatchbench/world.go
@@ -33,13 +33,13 @@
 	Regions  []Region
 	Kinds    []*RequestKind
 	Engine   EngineModel
-	ColdTime time.Duration
-	ColdRate float64
+	ColdTime time.Duration // how long a restarted engine is cold
+	ColdRate float64       // requests per second that a cold engine may get
 	Strategy Strategy
-	Faults   func(s *Simulation)
+	Faults   func(s *Simulation) // schedules crashes and rate limits; may be nil
 }
 
-// Delays of the model; those of networks are one-way.
+// Times and other constants of the model. Network delays are one-way.
 const (
 	callerDelay = time.Millisecond
 	localDelay  = time.Millisecond
@@ -58,8 +58,8 @@
 	rereadWindow = 10 * time.Second
 	// callerRetries is how often a caller retries after a rejection.
 	callerRetries = 1
-	// drainTime is how long a simulation continues after the last arrival.
-	drainTime = 10 * time.Second
+	// postArrivalTime is how long gateways exchange reports after the arrivals end.
+	postArrivalTime = 10 * time.Second
 )
 
 const serviceName = "model"
@@ -131,7 +131,7 @@
 // fixedRoundTrip returns the round trip between regions.
 func fixedRoundTrip(string) (time.Duration, bool) { return 2 * remoteDelay, true }
 
-// At runs event at a time since the start.
+// At schedules an event at a time since the start. It is called before the simulation runs.
 func (s *Simulation) At(at time.Duration, event func()) { s.clock.After(at, event) }
 
 // Crash ends a share of a region's engines. They restart after the downtime, cold and
@@ -168,7 +168,7 @@
 
 // run runs the simulation until no event is left.
 func (s *Simulation) run() {
-	running := func() bool { return s.clock.Now().Sub(s.start) < s.Duration+drainTime }
+	running := func() bool { return s.clock.Now().Sub(s.start) < s.Duration+postArrivalTime }
 	for _, r := range s.Regions {
 		s.scheduleArrival(r, 0)
 		for i, g := range s.gateways[r.Name] {
