--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,10 +49,10 @@
 
 // Peers provides the state of other entry hosts and of all regions.
 type Peers interface {
-	// Regions returns a digest of the service's engines for each region, including
+	// RegionDigests returns a digest of the service's engines for each region, including
 	// this host's own.
 	RegionDigests(service string) []route.Digest
-	// Entries returns the entry hosts that accept requests now. Those of this data
+	// EntryHosts returns the entry hosts that accept requests now. Those of this data
 	// centre come first, then those of this region, then the others.
 	EntryHosts() []declare.Host
 }
--- a/ingress/pushback_test.go
+++ b/ingress/pushback_test.go
@@ -45,7 +45,7 @@
 // requests from each gateway in that time and rejected them all, while four of a region's
 // six engines could have served them. The gateways relayed the Retry-After to callers, but
 // chose engines by a constant exclusion of 150 ms. Now package pushback stores the backoff,
-// and every path that sends a request checks it (dispatch/standing.go).
+// and every path that sends a request checks it (dispatch/exclusion.go).
 func TestBackoffOfEnginesIsObserved(t *testing.T) {
 	r := newSimulatedRegion(t, 4)
 	r.run(t, time.Second, 20)
--- a/raft/node.go
+++ b/raft/node.go
@@ -95,8 +95,8 @@
 	round uint64
 }
 
-// ReadResult is the result of Node.Read: the read may be served once Index has been applied. OK is
-// false if the replica is not the leader or lost the leadership before the confirmation.
+// ReadResult is the result of Node.ReadIndex: the read may be served once Index has been
+// applied. OK is false if the replica is not the leader or lost the leadership before the confirmation.
 type ReadResult struct {
 	ID    uint64
 	Index uint64
