--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -113,7 +113,7 @@
 		sim.run(2 * time.Second)
 		sim.setDemand(0)
 		sim.run(time.Second)
-		for region, all := range sim.meters {
+		for region, all := range sim.limiters {
 			for i := range all {
 				all[i] = newMeterLimiter(sim, region)
 			}
@@ -129,7 +129,7 @@
 	sim.setDemand(0.9)
 	sim.run(5 * time.Second)
 	sim.limit = tokens(40_000)
-	for _, all := range sim.meters {
+	for _, all := range sim.limiters {
 		for _, l := range all {
 			l.(*meterLimiter).SetAccounts([]catalog.Account{{Name: "club", Allowance: sim.limit}}, sim.now)
 		}
@@ -176,7 +176,7 @@
 	free.Refund(now) // a nil Grant: the account has no limit
 }
 
-// TestSilentGatewaysKeepTheirShare guards against a gateway that uses the share of the
+// TestSilentGatewaysKeepTheirShare guards against a gateway that uses the share of those
 // gateways in its region that are alive but send no reports: here, half of them.
 func TestSilentGatewaysKeepTheirShare(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -205,9 +205,9 @@
 	sim.setDemand(0.6)
 	sim.run(10 * time.Second)
 	sim.wronglyRejected = 0
-	all := sim.meters
+	all := sim.limiters
 	for region := range all {
-		sim.meters[region] = all[region][:7]
+		sim.limiters[region] = all[region][:7]
 	}
 	sim.run(time.Second)
 	must.LessEq(t, 0.01*sim.admitted, sim.wronglyRejected, must.Sprint(sim))
@@ -262,7 +262,7 @@
 		sim := newSimulation(6, catalog.Allowance{Unit: catalog.UnitRequests, Rate: 20, Burst: 20}, newMeterLimiter)
 		sim.random = rand.New(rand.NewPCG(seed, 1))
 		sim.policy = allowance.Policy{Window: 4 * time.Second, Overage: 0.1, Slack: 20}
-		for region, all := range sim.meters {
+		for region, all := range sim.limiters {
 			for i := range all {
 				all[i] = newMeterLimiter(sim, region)
 			}
--- a/allowance/doc.go
+++ b/allowance/doc.go
@@ -11,11 +11,11 @@
 // fits.
 //
 // The reported rates are up to a second out of date. Two rules bound what they miss.
-// First, if callers request far more of an account than its limit, each gateway admits at
-// most its share of what is left over the time that a report may take: the shares add up,
-// even if some gateways are isolated or paused. Second, each report includes the sum
-// admitted within the last window, so the first report after a partition or a pause makes
-// up for those that were lost.
+// First, if callers request far more of an account than its limit, each gateway admits,
+// within the time that a report may take, at most its share of what is left: together the
+// shares don't exceed it, even if some gateways are isolated or paused. Second, each
+// report includes the sum admitted within the last window, so the first report after a
+// partition or a pause makes up for those that were lost.
 //
 // A partitioned region keeps the share of the limit that it had before, or what it had
 // used of the window if that is more, and the other regions do without it. Gateways of
--- a/allowance/faults_test.go
+++ b/allowance/faults_test.go
@@ -39,7 +39,7 @@
 		return newMeterLimiter(sim, region)
 	})
 	sim.random = rand.New(rand.NewPCG(seed, 1))
-	for region, all := range sim.meters {
+	for region, all := range sim.limiters {
 		for i := range all {
 			all[i] = newMeterLimiter(sim, region)
 		}
@@ -54,7 +54,7 @@
 }
 
 func randomGateway(sim *simulation, r *rand.Rand) *meterLimiter {
-	all := sim.meters[r.IntN(regions)]
+	all := sim.limiters[r.IntN(regions)]
 	return all[r.IntN(len(all))].(*meterLimiter)
 }
 
@@ -89,7 +89,7 @@
 	}},
 	{"restart", func(sim *simulation, r *rand.Rand, length time.Duration) {
 		region := r.IntN(regions)
-		sim.meters[region][r.IntN(len(sim.meters[region]))] = newMeterLimiter(sim, region)
+		sim.limiters[region][r.IntN(len(sim.limiters[region]))] = newMeterLimiter(sim, region)
 		sim.run(length)
 	}},
 	{"moved callers", func(sim *simulation, r *rand.Rand, length time.Duration) {
--- a/allowance/hot_test.go
+++ b/allowance/hot_test.go
@@ -13,7 +13,7 @@
 func newHotSimulation(seed uint64) *simulation {
 	sim := newSmallSimulation(20)
 	sim.random = rand.New(rand.NewPCG(seed, 1))
-	for region, all := range sim.meters {
+	for region, all := range sim.limiters {
 		for i := range all {
 			all[i] = newMeterLimiter(sim, region)
 		}
@@ -37,10 +37,10 @@
 			sim.run(length)
 			sim.partitioned[region] = false
 		case 1: // restart
-			sim.meters[region][i] = newMeterLimiter(sim, region)
+			sim.limiters[region][i] = newMeterLimiter(sim, region)
 			sim.run(length)
 		case 2:
-			m := sim.meters[region][i].(*meterLimiter)
+			m := sim.limiters[region][i].(*meterLimiter)
 			m.paused = true
 			sim.run(length)
 			m.paused = false
@@ -56,8 +56,8 @@
 // requests within four seconds with a limit of 130: what was admitted in one burst
 // expires in one burst 4 s later, and all gateways refill it before they receive each
 // other's reports; and regions partitioned in the second when the account turns hot
-// compute their shares from their own new demand and the others' stale reports. 132 of
-// 400 seeds exceeded the limit.
+// compute their shares from their own new demand and the others' stale reports. Before the
+// fix, 132 of 400 seeds exceeded the limit.
 func TestAnAccountThatStaysHotIsHeld(t *testing.T) {
 	const seeds = 40
 	for seed := range uint64(seeds) {
@@ -87,7 +87,7 @@
 	for seed := range uint64(40) {
 		sim := newHotSimulation(seed)
 		sim.run(time.Duration(seed%5) * 100 * time.Millisecond)
-		gateway := sim.meters[seed%regions][seed%2].(*meterLimiter)
+		gateway := sim.limiters[seed%regions][seed%2].(*meterLimiter)
 		gateway.isolated = true
 		sim.run(time.Duration(1+seed%4) * time.Second)
 		gateway.isolated = false
--- a/allowance/jump.go
+++ b/allowance/jump.go
@@ -34,8 +34,8 @@
 // surge detects that a gateway's callers suddenly request much more of an account than
 // before. The same may happen at all gateways, and none receives the others' reports of
 // it for propagationTime; until then each admits at most its share of what is left
-// (TestASuddenStartIsHeld). If the whole limit is suddenly requested at one gateway
-// alone, nothing is rejected (TestSurgeAtOneGatewayIsAdmitted). The zero value has
+// (TestASuddenStartIsHeld). If an account's whole rate is suddenly requested at one
+// gateway alone, nothing is rejected (TestSurgeAtOneGatewayIsAdmitted). The zero value has
 // counted nothing.
 type surge struct {
 	recent   movingSum // requests
@@ -67,11 +67,11 @@
 	s.start, s.admitted, s.limit, s.inUse = now, admitted, limit, inUse
 }
 
-// admits reports whether a request may be admitted in addition to what was since the
-// surge began. requestedRate is in units per second; awaitsReports means that the reports
-// of other gateways may not include the surge yet. If the account was in use elsewhere,
-// reports bound a moderate surge well enough: one that fits within the limit even if
-// every gateway has it.
+// admits reports whether a request may be admitted in addition to what was admitted since
+// the surge began. requestedRate is in units per second; awaitsReports means that the
+// reports of other gateways may not include the surge yet. If the account was in use
+// elsewhere, reports bound a moderate surge well enough: one that fits within the limit
+// even if every gateway has it.
 func (s *surge) admits(cost, requestedRate float64, awaitsReports bool) bool {
 	if !awaitsReports || s.admitted+cost <= s.limit {
 		return true
--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -19,7 +19,8 @@
 	Slack   float64 // units
 }
 
-// Usage is the usage of an account, in units a second unless noted.
+// Usage is how much of an account is admitted and requested, in units a second unless
+// noted.
 type Usage struct {
 	AdmittedRate  float64 // over the last 0.2 s
 	SmoothedRate  float64 // admitted over the last 0.5 s
@@ -70,8 +71,8 @@
 	// a second; one may be lost or late.
 	reportLifetime = 900 * time.Millisecond
 	// localRatePeriod and remoteRatePeriod are the periods of the admitted rates reported
-	// within a region and between regions: twice as long as a report is used until the
-	// next one arrives.
+	// within a region and between regions: twice the time for which a report is used,
+	// until the next one arrives.
 	localRatePeriod  = 200 * time.Millisecond
 	remoteRatePeriod = 500 * time.Millisecond
 	// requestedTimeConstant is that of the average of the requested rate: long enough for
@@ -118,8 +119,8 @@
 	return &Meter{Deps: deps, accounts: make(map[string]*account), active: make(map[string]*account), local: localUsage{coverage: 1}, remote: make(map[string]regionReport)}
 }
 
-// SetAccounts sets the accounts to the declared ones that have a limit. A new one is assumed to
-// be fully used, because this gateway may have restarted.
+// SetAccounts sets the accounts to the declared ones that have a limit. The limit of a new
+// one is assumed to be used up, because this gateway may have restarted.
 func (m *Meter) SetAccounts(accounts []catalog.Account, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -210,12 +211,12 @@
 	return &Grant{meter: m, account: a, cost: cost}, nil
 }
 
-// awaitsReports reports whether what other gateways do since start isn't known yet: for
-// propagationTime, and for as long as gateways count as reachable whose latest reports
-// were sent too early to include it. Without the second condition, a gateway of six that
-// was isolated as an account turned hot exceeded its share in 19 of 40 simulated runs,
-// and the limit for the window by 10% at worst; with it in 5 runs, and by 2%
-// (TestGatewayIsolatedAtSurgeHoldsAnAccount). The caller holds m.mu.
+// awaitsReports reports whether what other gateways have done since start may not have been
+// reported yet: for propagationTime, and for as long as gateways count as reachable whose
+// latest reports were sent too early to include it. Without the second condition, a
+// gateway of six that was isolated as an account turned hot exceeded its share in 19 of 40
+// simulated runs, and the limit for the window by 10% at worst; with it in 5 runs, and by
+// 2% (TestGatewayIsolatedAtSurgeHoldsAnAccount). The caller holds m.mu.
 func (m *Meter) awaitsReports(start, now time.Time) bool {
 	if now.Sub(start) < propagationTime {
 		return true
@@ -252,9 +253,9 @@
 	m.gatewayCount = n
 }
 
-// ReceiveLocal applies the summed usage of the other gateways of this region. coverage is the
-// fraction of the region's live gateways, including this one, that the sum includes. Those
-// that drop out of the sum are assumed to continue as before for missingReportHold.
+// ReceiveLocal applies the summed usage of the other gateways of this region. coverage is
+// the fraction of the region's live gateways, including this one, that the sum includes.
+// Those that drop out of the sum are assumed to continue as before for missingReportHold.
 func (m *Meter) ReceiveLocal(usage map[string]Usage, coverage float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/allowance/moving.go
+++ b/allowance/moving.go
@@ -8,9 +8,9 @@
 	movingSlots    = 21 // one second, and the current slot
 )
 
-// movingSum sums what a gateway admitted within the last second, in slots. Each request
-// counts for exactly as long as a report of it is used by its receivers, so that the
-// reported rates add up to what was admitted, whatever its timing. An exponentially
+// movingSum sums what a gateway admitted or received within the last second, in slots. Each
+// request counts for exactly as long as a report of it is used by its receivers, so that
+// the reported rates add up to what was admitted, whatever its timing. An exponentially
 // decaying average would count between half of a short burst and nearly twice it,
 // depending on when it is read.
 type movingSum struct {
--- a/allowance/standing.go
+++ b/allowance/standing.go
@@ -27,7 +27,7 @@
 // accountState is the state of an account at one moment, as estimated by this gateway.
 type accountState struct {
 	regions      []string // reachable ones, including this one
-	limit        float64  // units per window for this gateway and those it hears from
+	limit        float64  // units per window for this gateway and those it receives reports from
 	used         float64  // units in the window, as estimated
 	unreported   float64  // units that others have admitted but not reported, less those that expire
 	expiryRate   float64  // units a second that leave the window
@@ -97,8 +97,10 @@
 		return max(estimate, a.ownSum(now)+m.local.usage[name].WindowTotal-localSumError*a.limit)
 	}
 	report := m.remote[region]
-	freshness := 1 - float64(now.Sub(report.at))/float64(m.Policy.Window)
-	return max(estimate, freshness*report.usage[name].WindowTotal)
+	// Since the report was sent, part of its sum has left the window, assumed to be spread
+	// evenly.
+	remaining := 1 - float64(now.Sub(report.at))/float64(m.Policy.Window)
+	return max(estimate, remaining*report.usage[name].WindowTotal)
 }
 
 // withinGatewayShare reports whether a request for a hot account stays within this
--- a/allowance/status.go
+++ b/allowance/status.go
@@ -9,7 +9,7 @@
 // Status is one gateway's estimate of an account's use of its allowance, for operators.
 type Status struct {
 	Account   string  `json:"account"`
-	Limit     float64 `json:"most"`     // units that this gateway and those it hears from may admit in a window
+	Limit     float64 `json:"most"`     // units that this gateway and those it receives reports from may admit in a window
 	Used      float64 `json:"used"`     // units admitted in the window, as estimated
 	Requested float64 `json:"asked"`    // units a second requested at those gateways
 	Admitted  float64 `json:"admitted"` // units a second admitted at those gateways
--- a/allowance/sudden_test.go
+++ b/allowance/sudden_test.go
@@ -24,8 +24,8 @@
 // TestASuddenStartIsHeld guards against gateways that each admit all requests until they
 // receive the others' reports, when callers of an unused or little used account suddenly
 // request many times its rate everywhere. With twelve times the rate, six gateways
-// admitted 1.28 times the limit for the window; of real processes, 131 to 141 requests in
-// four seconds, 63 of them in the first half second, with a limit of 130.
+// admitted 1.28 times the limit for the window; real processes admitted 131 to 141 requests
+// in four seconds, 63 of them in the first half second, with a limit of 130.
 //
 // With more than twelve times the rate, or twelve times at sixty gateways, the fullest
 // window still exceeds the limit: three requests pass at each gateway until it detects
@@ -67,7 +67,7 @@
 	sim.run(10 * time.Second)
 	rejected := 0
 	for range 500 { // a hundred a second, for five seconds
-		if !sim.meters[0][0].admit(1, sim.now) {
+		if !sim.limiters[0][0].admit(1, sim.now) {
 			rejected++
 		}
 		sim.run(10 * time.Millisecond)
--- a/allowance/world_test.go
+++ b/allowance/world_test.go
@@ -17,7 +17,7 @@
 	random          *rand.Rand
 	policy          allowance.Policy
 	limit           catalog.Allowance
-	meters          [][]limiter  // by region and gateway
+	limiters        [][]limiter  // by region and gateway
 	demand          []float64    // units a second, by region
 	partitioned     map[int]bool // by region
 	arrivals        []arrival
@@ -60,7 +60,7 @@
 		for range gateways / regions {
 			all = append(all, newLimiter(sim, region))
 		}
-		sim.meters = append(sim.meters, all)
+		sim.limiters = append(sim.limiters, all)
 	}
 	return sim
 }
@@ -68,7 +68,7 @@
 // run advances the simulation by d.
 func (sim *simulation) run(d time.Duration) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(step) {
-		for region, all := range sim.meters {
+		for region, all := range sim.limiters {
 			for i := range all {
 				if (int(sim.now.UnixNano()/int64(step))+i)%10 == 0 {
 					all[i].exchangeReports(sim.now)
@@ -190,7 +190,7 @@
 	}
 	sums := make([]allowance.Usage, regions)
 	reporting := 1
-	for region, all := range m.sim.meters {
+	for region, all := range m.sim.limiters {
 		age := remoteReportAge
 		if region == m.region {
 			age = localReportAge
@@ -242,7 +242,7 @@
 func (e *equalLimiter) exchangeReports(time.Time) {}
 
 func (e *equalLimiter) admit(cost float64, now time.Time) bool {
-	n := float64(len(e.sim.meters) * len(e.sim.meters[0]))
+	n := float64(len(e.sim.limiters) * len(e.sim.limiters[0]))
 	e.tokens = min(e.sim.limit.Burst/n, e.tokens+e.sim.limit.Rate/n*now.Sub(e.last).Seconds())
 	e.last = now
 	if e.tokens <= 0 {
--- a/follow/brief_test.go
+++ b/follow/brief_test.go
@@ -62,9 +62,10 @@
 }
 
 // TestOnlyOneControlHostIsAskedForHostsAndEngines guards against control hosts that all
-// send the same hosts and engines. The one of the own data centre is polled in full, the other
-// one of the region only while the first isn't connected to it, and the remote one only
-// while neither answers. Hosts received before a link became brief must not be used.
+// send the same hosts and engines. The one in the gateway's own data centre is polled in
+// full, the region's other one only while the first isn't connected to it, and the remote
+// one only while neither answers. Hosts received before a link became brief must not be
+// used.
 func TestOnlyOneControlHostIsAskedForHostsAndEngines(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -155,11 +155,11 @@
 		var reply SyncReply
 		err := f.Client.WithTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
 		if err != nil {
-			f.noteFailure(l, err)
+			f.recordFailure(l, err)
 			duty.Pause(ctx, retryInterval)
 			continue
 		}
-		if f.noteKnownSelf(l, reply) {
+		if f.recordKnownSelf(l, reply) {
 			continue
 		}
 		if f.applyReply(l, args, reply, sentAt) {
@@ -179,6 +179,7 @@
 		l.wait = BriefSyncWait
 	}
 	args := SyncArgs{Self: self, Life: l.incarnation, Engines: l.engineCursor, Index: f.state.Index, Roster: l.rosterCursor, Wait: l.wait, Brief: brief, Sure: len(l.freshness) > 0}
+	// The first answer, a newer state of the ledger or the list of hosts is needed at once.
 	if l.incarnation == "" || !l.aheadSince.IsZero() || (!brief && l.hosts == nil) {
 		args.Wait = 0
 	}
@@ -192,8 +193,8 @@
 	return args
 }
 
-// noteFailure records a failed poll and logs the loss of the control host once.
-func (f *Follower) noteFailure(l *link, err error) {
+// recordFailure records a failed poll and logs the loss of the control host once.
+func (f *Follower) recordFailure(l *link, err error) {
 	f.mu.Lock()
 	age := f.Clock().Sub(l.answeredAt)
 	first := !l.lost && age > l.timeout()
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -46,8 +46,8 @@
 }
 
 // TestRemoteControlHostsAreSyncedLessOften checks that the control host of a remote region
-// is polled with a longer wait while one of the own region answers, and with the usual wait
-// afterwards.
+// is polled with a longer wait while one of the gateway's own region answers, and with the
+// usual wait afterwards.
 func TestRemoteControlHostsAreSyncedLessOften(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
--- a/follow/link.go
+++ b/follow/link.go
@@ -56,7 +56,8 @@
 	return false
 }
 
-// ConnectedControlHosts returns the names of the control hosts of a region that are connected, sorted.
+// ConnectedControlHosts returns the names of the control hosts of a region that are
+// connected, sorted.
 func (f *Follower) ConnectedControlHosts(region string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,9 +80,9 @@
 	return l.incarnation != "" && now.Sub(l.answeredAt) <= l.timeout()
 }
 
-// noteKnownSelf records which description of this host the control host has. It reports
+// recordKnownSelf records which description of this host the control host has. It reports
 // whether the control host has none, in which case the answer contains nothing else.
-func (f *Follower) noteKnownSelf(l *link, reply SyncReply) (unknown bool) {
+func (f *Follower) recordKnownSelf(l *link, reply SyncReply) (unknown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l.knownSelf = l.sentSelf
@@ -91,8 +92,8 @@
 	return reply.Stranger
 }
 
-// resetCursors drops the hosts and cursors that a control host has sent before it is polled
-// briefly: they would be outdated when it is asked for hosts and engines again.
+// resetCursors drops a control host's hosts and cursors when it is polled briefly: they
+// would be outdated when it is asked for hosts and engines again.
 func (l *link) resetCursors() {
 	l.engineCursor, l.rosterCursor, l.hosts, l.controls = 0, 0, nil, nil
 }
--- a/follow/messages.go
+++ b/follow/messages.go
@@ -21,9 +21,9 @@
 // SyncArgs describes the caller to a control host and asks for changes.
 type SyncArgs struct {
 	Self roster.Host
-	// Known says that Self has not changed since the last call, and contains just the name
-	// and the incarnation. A full description in every call was most of what gateways
-	// sent to other regions.
+	// Known says that Self has not changed since the last call. Self then contains just
+	// the name and the incarnation. A full description in every call was most of what
+	// gateways sent to other regions.
 	Known   bool
 	Life    string        // incarnation of the control host that Engines and Roster refer to
 	Engines uint64        // change number up to which the caller has the engines
@@ -75,7 +75,7 @@
 // EngineUpdate is the state of an engine as it is sent to another host. Its times are
 // durations, because the clocks of hosts differ.
 type EngineUpdate struct {
-	Engine   registry.Engine // without times; Source is empty if it is the sender
+	Engine   registry.Engine // without times; Source is empty if the sender is the source
 	ColdFor  time.Duration
 	GoneIn   time.Duration // 0 if not known
 	HeardAgo time.Duration
--- a/follow/surety.go
+++ b/follow/surety.go
@@ -19,12 +19,12 @@
 // recordFreshness records a control host's Freshness. The answer was sent at sentAt+Held at
 // the earliest, so the resulting time may be too early, but never too late, however long
 // the call or either host took.
-func (l *link) recordFreshness(s Freshness, sentAt time.Duration) {
-	if !s.Known {
+func (l *link) recordFreshness(freshness Freshness, sentAt time.Duration) {
+	if !freshness.Known {
 		return
 	}
-	point := freshnessPoint{s.Index, sentAt + s.Held - s.Age}
-	if last := len(l.freshness) - 1; last >= 0 && l.freshness[last].index == s.Index {
+	point := freshnessPoint{freshness.Index, sentAt + freshness.Held - freshness.Age}
+	if last := len(l.freshness) - 1; last >= 0 && l.freshness[last].index == freshness.Index {
 		l.freshness[last] = point
 		return
 	}
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -2,10 +2,10 @@
 // accepts.
 //
 // An overloaded engine names a limit in its responses: the requests per second that it
-// accepts from all gateways together, for as long as the limit holds. What a gateway
-// knows of the others' requests is some tenths of a second old, and the limit may be one
-// request per second for hundreds of gateways. Nine gateways that added up each other's
-// reports sent 5.9 times as much as an engine accepted (TestSharingStrategies). So
+// accepts from all gateways together, for as long as the limit holds. A gateway
+// receives reports of the others' requests some tenths of a second late, and the limit may
+// be one request per second for hundreds of gateways. Nine gateways that added up each
+// other's reports sent 5.9 times as much as an engine accepted (TestSharingStrategies). So
 // gateways do not count each other's requests. Each has a fixed share of the limit, which
 // all compute alike from the names of the region's gateways and the limit:
 //
--- a/ratelimit/notes.go
+++ b/ratelimit/notes.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// LatestReports returns the most recently updated limits, as many as fit one message, for a
-// host that is polled for them.
+// LatestReports returns the most recently updated limits, as many as fit one message, for
+// a host that is polled for them.
 func (t *Table) LatestReports(now time.Time) []LimitReport {
 	engines := t.sortedEngines()
 	slices.SortStableFunc(engines, func(a, b uint64) int { return t.engines[b].since.Compare(t.engines[a].since) })
--- a/ratelimit/share.go
+++ b/ratelimit/share.go
@@ -13,7 +13,7 @@
 
 const (
 	// minShare is the smallest share of a gateway that has one, in requests per second.
-	// It makes sure that its callers use the share, and that it accumulates a request
+	// A share of this size is used by the gateway's callers, and accumulates a request
 	// within a second: with an equal share for each of many gateways, none would ever
 	// send one (TestSharingStrategies).
 	minShare = 1.0
@@ -23,9 +23,9 @@
 	// burstPeriod is the period over which an unused share accumulates. extraBurst is
 	// what accumulates in addition, in requests, over all gateways together: if each
 	// could accumulate only one request, much of a share would be lost by chance
-	// (TestSharingStrategies). Within 4 s, an engine so receives at most 5 times its
-	// limit and one request, plus what gateways that haven't yet received a change send
-	// within a second of it.
+	// (TestSharingStrategies). Within 4 s, an engine thus receives at most what
+	// its limit allows in 5 s and one request, plus what gateways that haven't yet received
+	// a change send within a second of it.
 	burstPeriod = time.Second
 	extraBurst  = 1.0
 	// memberTimeout is how long a gateway that is no longer listed still counts as a
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -47,8 +47,8 @@
 	t.members.update(names, now)
 }
 
-// ApplySignal applies the signal of a response that was received at the given time, to a request
-// sent at the given time. It reports whether the limit changed.
+// ApplySignal applies the signal of a response. sent is when its request was sent, received
+// when the response arrived. It reports whether the limit changed.
 func (t *Table) ApplySignal(id uint64, signal Signal, sent, received time.Time) (changed bool) {
 	if _, malformed := signal.(Malformed); malformed || signal == nil {
 		return false
@@ -91,6 +91,7 @@
 	return !limited || updated.PerSecond > old.PerSecond
 }
 
+// set replaces an engine's signal and schedules it to be sent as a change.
 func (t *Table) set(e *engineLimit, id uint64, signal Signal, since, now time.Time) {
 	e.signal, e.since, e.sendsLeft = signal, since, sendsPerChange
 	t.updateShare(e, id, now)
@@ -162,7 +163,8 @@
 	}
 }
 
-// CountExcluded counts a request for which an engine is excluded because its share is used up.
+// CountExcluded counts a request for which an engine is excluded because this gateway's
+// share is used up.
 func (t *Table) CountExcluded(id uint64, now time.Time) {
 	if e := t.limitedEngine(id, now); e != nil {
 		e.excluded++
--- a/ratelimit/word.go
+++ b/ratelimit/word.go
@@ -37,7 +37,7 @@
 func (Unlimited) String() string { return "none" }
 
 // String implements Signal.
-func (u Malformed) String() string { return "unclear: " + strconv.Quote(u.Text) }
+func (m Malformed) String() string { return "unclear: " + strconv.Quote(m.Text) }
 
 // Parse parses the limits in a response's header values, as decimal numbers. If there are
 // several, for example two header lines that a proxy joined, the lowest counts.
--- a/ratelimit/world_test.go
+++ b/ratelimit/world_test.go
@@ -165,11 +165,11 @@
 	for i := range s.gateways {
 		names = append(names, fmt.Sprintf("gateway-%03d", i))
 	}
-	tables := make([]limiter, s.gateways)
+	limiters := make([]limiter, s.gateways)
 	limitedAt := make([]time.Duration, s.gateways) // when the gateway first received a limit; -1 for never
 	down := make([]bool, s.gateways)
-	for i := range tables {
-		tables[i], limitedAt[i] = s.newLimiter(names[i]), -1
+	for i := range limiters {
+		limiters[i], limitedAt[i] = s.newLimiter(names[i]), -1
 	}
 	var out outcome
 	queue := make(map[time.Duration][]func())
@@ -187,49 +187,49 @@
 		if at >= warmUp {
 			accepted += max(0, s.limit(at)) * step.Seconds()
 		}
-		for i := range tables {
+		for i := range limiters {
 			if s.isDown != nil && s.isDown(i, at) {
 				down[i] = true
 				continue
 			}
 			if down[i] {
-				tables[i], limitedAt[i], down[i] = s.newLimiter(names[i]), -1, false
+				limiters[i], limitedAt[i], down[i] = s.newLimiter(names[i]), -1, false
 			}
 			if at%(200*time.Millisecond) == 0 {
 				members := names
 				if s.membersSeenBy != nil {
 					members = s.membersSeenBy(i, at)
 				}
-				tables[i].setMembers(members, now)
+				limiters[i].setMembers(members, now)
 			}
 			if (at+time.Duration(i%10)*step)%reportInterval == 0 {
-				reports := tables[i].outgoing(now)
+				reports := limiters[i].outgoing(now)
 				// A report takes 250 ms to the others, and one in fifty is lost.
 				later(at+250*time.Millisecond, func() {
-					for j := range tables {
+					for j := range limiters {
 						if j != i && !down[j] && random.IntN(50) > 0 {
-							tables[j].receive(i, reports, now.Add(230*time.Millisecond))
+							limiters[j].receive(i, reports, now.Add(230*time.Millisecond))
 						}
 					}
 				})
 			}
-			if random.Float64() >= s.perSecond*step.Seconds() || !tables[i].allows(now) {
+			if random.Float64() >= s.perSecond*step.Seconds() || !limiters[i].allows(now) {
 				continue
 			}
-			tables[i].takeToken(now)
+			limiters[i].takeToken(now)
 			if at >= warmUp {
 				out.received++
 			}
 			if limitedAt[i] >= 0 && at >= limitedAt[i]+reactionTime {
 				out.arrivals = append(out.arrivals, at)
 			}
-			table, latency := tables[i], time.Duration(20+random.IntN(400))*time.Millisecond
+			sender, latency := limiters[i], time.Duration(20+random.IntN(400))*time.Millisecond
 			later(at+latency, func() {
-				if tables[i] != table {
+				if limiters[i] != sender {
 					return // the gateway has restarted
 				}
 				signal := s.signal(at + latency)
-				table.applySignal(signal, now, now.Add(latency))
+				sender.applySignal(signal, now, now.Add(latency))
 				if _, named := signal.(ratelimit.Limited); named && limitedAt[i] < 0 {
 					limitedAt[i] = at + latency
 				}
--- a/registry/lives_test.go
+++ b/registry/lives_test.go
@@ -9,7 +9,7 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// heartbeatOf returns a heartbeat of the incarnation of i-1 that was born then.
+// heartbeatOf returns a heartbeat of the incarnation of i-1 with that start time.
 func heartbeatOf(born, sequence int64) registry.Engine {
 	e := heartbeat("i-1", sequence)
 	e.Born = born
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -33,7 +33,7 @@
 	Left               // it has ended or is about to
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs, where Unresponsive is called silent.
 func (p Phase) String() string {
 	return [...]string{"ready", "silent", "draining", "left"}[p]
 }
@@ -127,9 +127,9 @@
 	return t.lastChange
 }
 
-// Heartbeat applies a heartbeat that an engine sent to this host. It reports whether anything
-// changed that other hosts need. A delayed heartbeat that arrives when another incarnation
-// has the address changes nothing.
+// Heartbeat applies a heartbeat that an engine sent to this host. It reports whether
+// anything changed that other hosts need. A delayed heartbeat that arrives when another
+// incarnation has the address changes nothing.
 func (t *Table) Heartbeat(e Engine) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +162,7 @@
 // MarkLeft records that an engine has deregistered with this host. A delayed call of an
 // earlier incarnation changes nothing. An engine without any heartbeat so far is recorded
 // too, so that its delayed heartbeats have no effect. born is 0 if the engine reports no
-// start time.
+// start time. MarkLeft reports whether that is a change for other hosts.
 func (t *Table) MarkLeft(id string, born int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,7 +210,7 @@
 		t.engines[e.ID] = current
 		t.addAddress(current)
 		if e.Phase == Ready || e.Phase == Draining {
-			t.retireOtherOwners(e)
+			t.markOtherOwnersUnresponsive(e)
 		}
 		t.recordChange(current)
 		return true
@@ -232,7 +232,7 @@
 	}
 	current.Engine = e
 	if (newIncarnation || old.Phase == Unresponsive) && e.Phase != Unresponsive && e.Phase != Left {
-		t.retireOtherOwners(e)
+		t.markOtherOwnersUnresponsive(e)
 	}
 	if sameForOthers(old, e) {
 		return false
@@ -267,9 +267,9 @@
 		a.GoneAt.IsZero() == b.GoneAt.IsZero() && (bothWarm || shift < coldEndTolerance)
 }
 
-// retireOtherOwners marks the other engines at an engine's address as Unresponsive: an address
-// is reassigned only after its engine has ended.
-func (t *Table) retireOtherOwners(e Engine) {
+// markOtherOwnersUnresponsive marks the other engines at an engine's address as
+// Unresponsive: an address is reassigned only after its engine has ended.
+func (t *Table) markOtherOwnersUnresponsive(e Engine) {
 	for _, other := range t.byAddress[e.Address] {
 		if other.ID != e.ID && other.Phase != Left && other.Phase != Unresponsive {
 			other.Phase = Unresponsive
@@ -300,8 +300,8 @@
 	t.changed = make(chan struct{})
 }
 
-// ConfirmSource records that the control host with that incarnation has answered. It counts as
-// a heartbeat of every engine whose source it is, but for those that are Unresponsive.
+// ConfirmSource records that the control host with that incarnation has answered. That
+// counts as a heartbeat of every engine whose source it is, except Unresponsive ones.
 func (t *Table) ConfirmSource(source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -313,9 +313,9 @@
 	}
 }
 
-// Expire marks engines as Unresponsive whose heartbeats this host should receive and doesn't,
-// and removes engines that have had no heartbeat for the retention. It returns the engines
-// that have become Unresponsive.
+// Expire marks ready engines as Unresponsive whose heartbeats this host should receive and
+// doesn't, and removes engines that have had no heartbeat for the retention time. It
+// returns the engines that have become Unresponsive.
 func (t *Table) Expire() []Engine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -338,8 +338,8 @@
 	return unresponsive
 }
 
-// ChangedSince returns the engines that match and have changed after the given number, sorted by
-// ID, and the number of the last change.
+// ChangedSince returns the engines that match and whose last change has a higher number
+// than the given one, sorted by ID, and the number of the table's last change.
 func (t *Table) ChangedSince(number uint64, matches func(e Engine) bool) ([]Engine, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/rollup/board.go
+++ b/rollup/board.go
@@ -11,11 +11,11 @@
 
 // Intervals and timeouts of the exchange.
 const (
-	// ReportInterval is the interval at which gateways send reports. A report takes up to three
-	// hops, one interval each, so that no gateway's data is older than 0.3 s.
+	// ReportInterval is the interval at which gateways send reports. A report takes up to
+	// three hops, one interval each, so that no gateway's data is older than 0.3 s.
 	ReportInterval = 100 * time.Millisecond
 	// ReportTTL is how long a received report counts. Six reports arrive within it, so
-	// that the loss of single datagrams does no harm.
+	// that the loss of single datagrams doesn't expire it.
 	ReportTTL = 600 * time.Millisecond
 	// leaderTimeout is how long after the last message from a leader the next candidate
 	// is sent reports too. One lost and one late message don't exceed it.
@@ -37,15 +37,15 @@
 	Clock func() time.Time
 }
 
-// Aggregator holds the reports that one gateway has received and computes the messages that
-// it sends. It isn't safe for concurrent use. New makes one.
+// Aggregator holds the reports that one gateway has received and computes the messages
+// that it sends. It isn't safe for concurrent use. New makes one.
 type Aggregator struct {
 	Deps
 	topology      topology
 	topologyAt    time.Time
 	lastNumber    uint32
 	sentReports   [reportHistory]Report      // own reports, by number modulo reportHistory
-	memberReports map[uint32]receivedMessage // of the own group, by the hash of the sender's name
+	memberReports map[uint32]receivedMessage // of its own group, by the hash of the sender's name
 	groupSums     map[Group]receivedMessage  // of other groups
 	regionTotal   receivedMessage
 	leaderSeen    map[string]time.Time    // time of the last message from each leader, by name
@@ -58,7 +58,10 @@
 	Message
 }
 
+// isFresh reports whether the message is recent enough to show that its sender still leads.
 func (m receivedMessage) isFresh(now time.Time) bool { return now.Sub(m.receivedAt) <= leaderTimeout }
+
+// isValid reports whether the message's report still counts.
 func (m receivedMessage) isValid(now time.Time) bool { return now.Sub(m.receivedAt) <= ReportTTL }
 
 // remoteReport is the latest report of another region.
@@ -117,7 +120,7 @@
 
 // isLeader reports whether this gateway sums its group: it has received reports of
 // members, or it is a candidate and none of higher rank has sent a sum within
-// leaderTimeout.
+// leaderTimeout. In a full mesh no gateway leads.
 func (a *Aggregator) isLeader(now time.Time) bool {
 	if a.topology.fullMesh || len(a.memberReports) > 0 {
 		return !a.topology.fullMesh
@@ -187,8 +190,8 @@
 	return out
 }
 
-// Receive applies a received message. It returns the reports of other regions that are newer
-// than those received before.
+// Receive applies a received message. It returns the reports of other regions that are
+// newer than those received before.
 func (a *Aggregator) Receive(m Message) (newer []RegionReport) {
 	now := a.Clock()
 	for _, report := range m.Remote {
@@ -311,10 +314,12 @@
 // PeerTotals returns the sum of what the other gateways of the region do.
 func (a *Aggregator) PeerTotals() PeerTotals {
 	s, gateways := a.sumOthers()
-	return PeerTotals{Loads: s.loads, Accounts: s.uses, Reporting: gateways, Listed: a.topology.size() - 1}
+	return PeerTotals{Loads: s.loads, Accounts: s.accounts, Reporting: gateways, Listed: a.topology.size() - 1}
 }
 
-// sumOthers sums the latest valid reports, and counts the gateways that they cover.
+// sumOthers sums the latest valid reports of the other gateways, and counts the gateways
+// that they cover. It uses the leader's total of the region if that covers more members of
+// the group than have sent their reports to this gateway.
 func (a *Aggregator) sumOthers() (s *sum, gateways int) {
 	now := a.Clock()
 	s = newSum()
@@ -355,12 +360,12 @@
 	return s, gateways
 }
 
-// LeaderStatus reports whether this gateway sums its group, and how many other members' reports
-// it has.
+// LeaderStatus reports whether this gateway sums its group, and how many other members'
+// reports it has.
 func (a *Aggregator) LeaderStatus() (leads bool, members int) {
 	return a.isLeader(a.Clock()), len(a.memberReports)
 }
 
-// IsFullMesh reports whether the region has so few gateways that each sends its reports to all
-// others directly.
+// IsFullMesh reports whether the region has so few gateways that each sends its reports to
+// all others directly.
 func (a *Aggregator) IsFullMesh() bool { return a.topology.fullMesh }
--- a/rollup/doc.go
+++ b/rollup/doc.go
@@ -7,9 +7,10 @@
 // compute alike. Ten times a second each gateway sends its own Report to its leader. A
 // leader sends the sum of its group to the leaders of the region's other groups, and the
 // sum of the region to the members of its group. A change thus reaches every gateway
-// within 0.3 s. A member sends and receives ten messages a second, a leader about forty
-// for each ten groups and members. Up to nine gateways send their reports to each other
-// directly; if 100 gateways did that, each would send and receive 1,000 messages a second.
+// within 0.3 s. A member sends and receives ten messages a second. A leader sends and
+// receives ten for each other leader and each member of its group; of 100 gateways, the
+// busiest leader sends and receives 240. Up to nine gateways send their reports to each
+// other directly; if 100 gateways did that, each would send and receive 1,000.
 //
 // There is no election. A gateway that receives reports sums them, and a gateway that
 // receives nothing from its highest-ranked leader sends its report to the next candidate
--- a/rollup/group.go
+++ b/rollup/group.go
@@ -19,7 +19,7 @@
 	maxFullMeshPeers = 8
 	// maxGroupSize bounds the mean size of a data centre's groups; as hashes are uneven,
 	// a group may be larger. 100 gateways in two data centres form eight groups of about
-	// twelve, near the square root, where a leader sends the fewest messages.
+	// twelve, near the square root of 100, where a leader sends the fewest messages.
 	maxGroupSize = 16
 	// leaderCandidates is how many gateways of a group may lead it, in order of rank.
 	leaderCandidates = 3
@@ -65,7 +65,8 @@
 	return Group{DataCentre: h.DataCentre, Low: low, High: low + uint32(1<<width-1)}
 }
 
-// rank orders the gateways of a group; the one with the highest rank leads.
+// rank orders the gateways of a group; the one with the highest rank leads. It mixes the
+// bits of the name's hash and the group's range as splitmix64 does.
 func (g Group) rank(name string) uint64 {
 	x := uint64(hashOf(name))<<32 | uint64(g.Low)
 	x ^= x >> 30
--- a/rollup/report.go
+++ b/rollup/report.go
@@ -40,8 +40,8 @@
 	Gateways int
 }
 
-// AccountUsage is what the callers of one client account do. All but WindowTotal are in
-// hundredths of a unit per second.
+// AccountUsage is what the callers of one client account do. The rates are in hundredths
+// of a unit per second.
 type AccountUsage struct {
 	_             struct{} `cbor:",toarray"`
 	Account       uint32   // hash of its name
@@ -80,16 +80,17 @@
 type RegionReport struct {
 	Region  string        `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint,omitempty"` // since it reached the receiving region
-	Digests []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Board
+	Digests []byte        `cbor:"3,keyasint"`           // encoded by the owner of the Aggregator
 	// What the region's callers do.
 	Accounts []AccountUsage `cbor:"4,keyasint,omitempty"`
 	// The crash records of requests that the region's gateways report.
 	Crashes []quarantine.CrashReport `cbor:"5,keyasint,omitempty"`
 }
 
-// Message is what gateways send to each other: the Report of a group, to other leaders;
-// the Report of the whole region, to the members of a group; or just a region's report
-// in Remote, where From is a gateway of another region.
+// Message is what gateways send to each other: the Report of one gateway, to its leader or
+// to all others; the Report of a group, to other leaders; the Report of the whole region,
+// to the members of a group; or just a region's report in Remote, where From is a gateway
+// of another region.
 type Message struct {
 	From          string         `cbor:"1,keyasint"`
 	Group         Group          `cbor:"2,keyasint"`
@@ -112,7 +113,7 @@
 	replaced    map[uint64]bool
 	draining    map[uint64]bool
 	backingOff  map[uint64]int // number of gateways that the engine asked for backoff
-	uses        map[uint32]AccountUsage
+	accounts    map[uint32]AccountUsage
 	// crashes keeps the greatest age reported for each crash: a report that is forwarded
 	// appears younger than it is.
 	crashes map[crashKey]quarantine.CrashReport
@@ -155,16 +156,16 @@
 		s.loads[e.Engine] = l
 	}
 	for _, a := range r.Accounts {
-		u := s.uses[a.Account]
+		u := s.accounts[a.Account]
 		u.Account = a.Account
 		u.AdmittedRate += factor * a.AdmittedRate
 		u.SmoothedRate += factor * a.SmoothedRate
 		u.WindowTotal += factor * a.WindowTotal
 		u.RequestedRate += factor * a.RequestedRate
-		s.uses[a.Account] = u
+		s.accounts[a.Account] = u
 	}
-	for _, p := range r.SentBlocks {
-		s.blocks[p] = true
+	for _, block := range r.SentBlocks {
+		s.blocks[block] = true
 	}
 	for _, hash := range r.Unreachable {
 		s.unreachable[hash] = true
@@ -178,15 +179,15 @@
 	for _, b := range r.BackingOff {
 		s.backingOff[b.Engine] += b.Gateways
 	}
-	for _, n := range r.Crashes {
-		key := crashKey{n.Request, n.Engine}
-		if known, ok := s.crashes[key]; !ok || n.Age > known.Age {
-			s.crashes[key] = n
+	for _, crash := range r.Crashes {
+		key := crashKey{crash.Request, crash.Engine}
+		if known, ok := s.crashes[key]; !ok || crash.Age > known.Age {
+			s.crashes[key] = crash
 		}
 	}
-	for _, n := range r.Limits {
-		if known, ok := s.limits[n.Engine]; !ok || n.Age < known.Age {
-			s.limits[n.Engine] = n
+	for _, limit := range r.Limits {
+		if known, ok := s.limits[limit.Engine]; !ok || limit.Age < known.Age {
+			s.limits[limit.Engine] = limit
 		}
 	}
 }
@@ -196,8 +197,8 @@
 	for _, l := range s.loads {
 		r.Engines = append(r.Engines, l)
 	}
-	for p := range s.blocks {
-		r.SentBlocks = append(r.SentBlocks, p)
+	for block := range s.blocks {
+		r.SentBlocks = append(r.SentBlocks, block)
 	}
 	for hash := range s.unreachable {
 		r.Unreachable = append(r.Unreachable, hash)
@@ -211,17 +212,17 @@
 	for hash, gateways := range s.backingOff {
 		r.BackingOff = append(r.BackingOff, Backoff{Engine: hash, Gateways: gateways})
 	}
-	for _, u := range s.uses {
+	for _, u := range s.accounts {
 		r.Accounts = append(r.Accounts, u)
 	}
-	for _, n := range s.crashes {
+	for _, crash := range s.crashes {
 		if len(r.Crashes) < maxCrashes {
-			r.Crashes = append(r.Crashes, n)
+			r.Crashes = append(r.Crashes, crash)
 		}
 	}
-	for _, n := range s.limits {
+	for _, limit := range s.limits {
 		if len(r.Limits) < maxLimits {
-			r.Limits = append(r.Limits, n)
+			r.Limits = append(r.Limits, limit)
 		}
 	}
 	slices.SortFunc(r.Engines, func(a, b EngineLoad) int { return compareHash(a.Engine, b.Engine) })
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -278,10 +278,11 @@
 }
 
 // BenchmarkBytes measures what the busiest and the average gateway send and receive per
-// second; each uses eight of 72 engines. At 10, 30, 100 and 200 gateways, leaders have 78,
-// 245, 444 and 550 KB and the mean is 28, 32, 44 and 56 KB, with data no older than 0.3 s.
-// When every gateway sent its report to all others itself, the traffic was 16, 26, 27 and
-// 28 KB, and data were 0.2, 0.4, 1.3 and 2.5 s old.
+// second; each uses eight of 72 engines. At 10, 30, 100 and 200 gateways, the
+// busiest gateway, a leader, has 78, 245, 444 and 550 KB and the mean is 28, 32, 44 and 56
+// KB, with data no older than 0.3 s. When every gateway sent its report to all others
+// itself, the traffic was 16, 26, 27 and 28 KB, and the data were 0.2, 0.4, 1.3 and 2.5 s
+// old.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
