--- a/wal/wal.go
+++ b/wal/wal.go
@@ -35,15 +35,15 @@
 // maxRecord bounds a record's body, in bytes. A longer one is damage.
 const maxRecord = 256 << 20
 
-// DamageError says that a file's content can't be right.
-type DamageError struct {
+// CorruptionError says that a file's content can't be right.
+type CorruptionError struct {
 	File   string
 	Offset int
 	Cause  string
 }
 
 // Error implements error.
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s is damaged at byte %d: %s", e.File, e.Offset, e.Cause)
 }
 
@@ -130,16 +130,16 @@
 	for size < len(data) {
 		r, n, whole, err := decode(data[size:])
 		if err != nil {
-			return raft.State{}, size, &DamageError{name, size, err.Error()}
+			return raft.State{}, size, &CorruptionError{name, size, err.Error()}
 		}
 		if !whole {
 			if recordAfter(data[size+1:]) {
-				return raft.State{}, size, &DamageError{name, size, "a record is wrong before the last one"}
+				return raft.State{}, size, &CorruptionError{name, size, "a record is wrong before the last one"}
 			}
 			return state, size, nil
 		}
 		if err := replay(&state, r); err != nil {
-			return raft.State{}, size, &DamageError{name, size, err.Error()}
+			return raft.State{}, size, &CorruptionError{name, size, err.Error()}
 		}
 		size += n
 	}
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -73,7 +73,7 @@
 		broken := append([]byte(nil), data...)
 		broken[at] ^= 0x40
 		_, _, err := wal.Decode("file", broken)
-		var damage *wal.DamageError
+		var damage *wal.CorruptionError
 		must.True(t, errors.As(err, &damage))
 	}
 }
--- a/wire/client.go
+++ b/wire/client.go
@@ -24,22 +24,22 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Kind says what went wrong with a call.
-type Kind uint8
+// ErrorKind says what went wrong with a call.
+type ErrorKind uint8
 
 // The kinds of failure.
 const (
 	// Unsent calls have not left: no connection could be opened.
-	Unsent Kind = iota
+	Unsent ErrorKind = iota
 	// Unanswered calls may have been carried out.
 	Unanswered
-	// Refused calls were answered with an error.
-	Refused
+	// RemoteError calls were answered with an error.
+	RemoteError
 )
 
 // Error is the failure of a call.
 type Error struct {
-	Kind    Kind
+	Kind    ErrorKind
 	Address string
 	Method  string
 	cause   error
@@ -91,7 +91,7 @@
 		reflect.ValueOf(reply).Elem().Set(got.Elem())
 		return nil
 	case errors.As(call.Error, &refused):
-		return &Error{Refused, address, method, call.Error}
+		return &Error{RemoteError, address, method, call.Error}
 	default:
 		c.drop(address, conn)
 		return &Error{Unanswered, address, method, call.Error}
--- a/wire/sender.go
+++ b/wire/sender.go
@@ -137,14 +137,14 @@
 			if open == 0 {
 				answered = time.Now()
 			}
-			client.Go(s.method, batch(first, queue), new(Nothing), done)
+			client.Go(s.method, batch(first, queue), new(Empty), done)
 			open++
 		}
 	}
 }
 
-// Nothing is the answer of a call that has none.
-type Nothing struct{}
+// Empty is the answer of a call that has none.
+type Empty struct{}
 
 // batch takes what else is queued.
 func batch[T any](first T, queue <-chan T) []T {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -44,7 +44,7 @@
 }
 
 // Take counts messages.
-func (e *Echo) Take(messages []int, _ *wire.Nothing) error {
+func (e *Echo) Take(messages []int, _ *wire.Empty) error {
 	e.calls.Add(int64(len(messages)))
 	return nil
 }
@@ -67,7 +67,7 @@
 	return echo, listener.Addr().String()
 }
 
-func kindOf(t *testing.T, err error) wire.Kind {
+func kindOf(t *testing.T, err error) wire.ErrorKind {
 	t.Helper()
 	var failed *wire.Error
 	must.True(t, errors.As(err, &failed))
@@ -85,7 +85,7 @@
 		must.Eq(t, wire.Unanswered, kindOf(t, err))
 		must.NoError(t, client.WithTimeout(context.Background(), time.Second, address, "Echo.Say", "hello", &reply))
 		must.Eq(t, "hello", reply)
-		must.Eq(t, wire.Refused, kindOf(t, client.WithTimeout(context.Background(), time.Second, address, "Echo.Fail", "x", &reply)))
+		must.Eq(t, wire.RemoteError, kindOf(t, client.WithTimeout(context.Background(), time.Second, address, "Echo.Fail", "x", &reply)))
 	})
 }
 
