--- a/request/doc.go
+++ b/request/doc.go
@@ -1,13 +1,12 @@
-// Package request holds what is known of a caller's request, and the two kinds
-// of refusal.
+// Package request describes a caller's request and the two kinds of refusal.
 //
-// A Request is identified from its method, path and headers alone, before one
-// byte of the body is read, because whether the body may be read here at all
-// depends on it. Identify is the first filter; those that follow take a
-// Request and give back a new one by its With methods, or a refusal.
+// Identify builds a Request from the method, path and headers alone, before any
+// byte of the body is read, because they decide whether this host may read the
+// body. Identify is the first filter. Each later filter receives a Request and
+// returns either a new one, built with the With methods, or a refusal.
 //
-// The two kinds of refusal are two types. A *NotRun is given only where it can
-// be shown that no engine has seen any of the request; everything else that
-// goes wrong after the first byte may have left is an *OutcomeUnknown. Code
-// that retries takes only the former for a request that may not be repeated.
+// The two kinds of refusal are two types. A *NotRun guarantees that no engine
+// has received any part of the request. Any other failure after the first byte
+// may have been sent is an *OutcomeUnknown. A request that must not run twice
+// is retried only after a *NotRun.
 package request
--- a/request/handover.go
+++ b/request/handover.go
@@ -1,6 +1,6 @@
-// This file defines the headers by which one entry host hands a request over
-// to another. They are taken only on the listener for entry hosts; a caller
-// who sends one is refused.
+// This file defines the headers with which one entry host hands a request over
+// to another. Only the listener for entry hosts accepts them; a caller's request
+// that has one is rejected.
 
 package request
 
@@ -11,30 +11,32 @@
 	"time"
 )
 
-// handoverPrefix begins every header that only entry hosts may send.
+// handoverPrefix starts the name of every header that only entry hosts may send.
 const handoverPrefix = "Linenscale-Handover-"
 
-// Headers of a hand-over.
+// Headers that describe a hand-over.
 const (
-	headerPath      = handoverPrefix + "Path"      // entry hosts so far, comma separated
+	headerPath      = handoverPrefix + "Path"      // entry hosts visited so far, separated by commas
 	headerRemaining = handoverPrefix + "Remaining" // milliseconds until the deadline
-	headerRevision  = handoverPrefix + "Revision"  // the configuration the sender permitted under
-	headerSends     = handoverPrefix + "Sends"     // sends to engines so far
+	headerRevision  = handoverPrefix + "Revision"  // configuration revision that the sender admitted the request under
+	headerSends     = handoverPrefix + "Sends"     // number of sends to engines so far
 )
 
-// HeaderSends is set on every answer to a request that was handed over: how often
-// it has been sent to engines by now. A stream that breaks after that ends with it as
-// a trailer, beside the outcome.
+// HeaderSends is set on every answer to a request that was handed over. Its value is
+// the number of times that the request has been sent to engines so far. A stream that
+// breaks later repeats it as a trailer, next to HeaderOutcome.
 const HeaderSends = "Linenscale-Sends"
 
-// HeaderReason is set beside the outcome on a refusal between entry hosts: its Reason.
+// HeaderReason carries the Reason of a refusal between entry hosts, next to
+// HeaderOutcome.
 const HeaderReason = "Linenscale-Reason"
 
-// MaxHandovers is how often a request may go from one entry host to another.
+// MaxHandovers bounds how many times one request is handed over.
 const MaxHandovers = 1
 
-// forgedHeader gives the first header that callers may not send, or "".
-func forgedHeader(header http.Header) string {
+// findReservedHeader returns a header that callers may not send, or "" if there is
+// none.
+func findReservedHeader(header http.Header) string {
 	for name := range header {
 		if strings.HasPrefix(http.CanonicalHeaderKey(name), handoverPrefix) {
 			return name
@@ -43,8 +45,7 @@
 	return ""
 }
 
-// DropHandover takes off the headers that only entry hosts may send, where a
-// caller sent them.
+// DropHandover removes all headers that only entry hosts may send.
 func DropHandover(header http.Header) {
 	for name := range header {
 		if strings.HasPrefix(http.CanonicalHeaderKey(name), handoverPrefix) {
@@ -53,7 +54,8 @@
 	}
 }
 
-// SetHandover writes the hand-over headers for the next entry host.
+// SetHandover sets the hand-over headers for the next entry host. The time that
+// remains is sent instead of the deadline, so that the hosts' clocks need not agree.
 func (r Request) SetHandover(header http.Header, now time.Time, revision uint64) {
 	header.Set(headerPath, strings.Join(r.Path, ","))
 	header.Set(headerRemaining, strconv.FormatInt(r.Deadline.Sub(now).Milliseconds(), 10))
@@ -64,25 +66,26 @@
 	}
 }
 
-// TakeSends gives how often a request that was handed over has been sent to
-// engines before. It must be called before TakeHandover removes the headers.
+// TakeSends returns how many times a request was sent to engines before it was
+// handed over. Call it before TakeHandover, which removes the header.
 func TakeSends(header http.Header) int {
 	sends, err := strconv.Atoi(header.Get(headerSends))
 	if err != nil {
-		return 0 // none is said: it has not been sent
+		return 0 // SetHandover omits the header if the request has not been sent
 	}
 	return max(0, sends)
 }
 
-// TakeHandover reads and removes the hand-over headers. It gives the path so
-// far and the time that remains. Headers that are missing, malformed or show
-// too many hand-overs are an error.
+// TakeHandover reads and removes the hand-over headers. It returns the entry hosts
+// visited so far and the time left until the deadline. The error is a *NotRun if a
+// header is missing or malformed, no time is left, or there were more than
+// MaxHandovers hand-overs.
 func TakeHandover(header http.Header) (path []string, remaining time.Duration, err error) {
-	pathText, err := single(header, headerPath)
+	pathText, err := singleValue(header, headerPath)
 	if err != nil {
 		return nil, 0, err
 	}
-	remainingText, err := single(header, headerRemaining)
+	remainingText, err := singleValue(header, headerRemaining)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -8,10 +8,11 @@
 	"github.com/juju/errors"
 )
 
-// Reason says in one word why a request was not run. It is logged and sent.
+// Reason is a code for why a request was not run. It appears in logs and in
+// HeaderReason.
 type Reason string
 
-// The reasons.
+// Reasons for which a request is not run.
 const (
 	ReasonBadRequest   Reason = "bad_request"
 	ReasonUnknown      Reason = "unknown_service"
@@ -32,25 +33,25 @@
 	ReasonQuarantined  Reason = "crashes_engines"
 )
 
-// Refusal is the sealed set of final answers that are not an engine's:
-// *NotRun and *OutcomeUnknown.
+// Refusal is a final answer that doesn't come from an engine. It is either a
+// *NotRun or an *OutcomeUnknown; no other type can implement it.
 type Refusal interface {
 	error
 	refusal()
 }
 
-// NotRun says that no engine has seen any part of the request.
+// NotRun is the refusal of a request of which no engine has received any part.
 type NotRun struct {
 	Reason     Reason
 	Message    string
-	RetryAfter time.Duration // when to come back; 0 where it would not help
-	Location   string        // URL of an entry host that may take it; empty for none
+	RetryAfter time.Duration // how long to wait before a retry; 0 if a retry would not help
+	Location   string        // URL of an entry host that may accept the request, or ""
 }
 
-// OutcomeUnknown says that an engine may have run the request.
+// OutcomeUnknown is the refusal of a request that an engine may have run.
 type OutcomeUnknown struct {
 	Message string
-	Late    bool // it was given up because its time was over
+	Late    bool // the request was abandoned because its deadline passed
 }
 
 var (
@@ -67,12 +68,13 @@
 func (*NotRun) refusal()         {}
 func (*OutcomeUnknown) refusal() {}
 
-// BadRequestf gives the refusal of a request that is malformed.
+// BadRequestf returns the refusal of a malformed request, with a formatted message
+// for the caller.
 func BadRequestf(format string, args ...any) *NotRun {
 	return &NotRun{Reason: ReasonBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
-// Status gives the HTTP status of a refusal.
+// Status returns the HTTP status code of a refusal.
 func Status(refusal Refusal) int {
 	switch r := refusal.(type) {
 	case *NotRun:
@@ -110,8 +112,8 @@
 	}
 }
 
-// AsRefusal turns any error into a final answer. What isn't a refusal yet is
-// one whose outcome is unknown.
+// AsRefusal returns the Refusal that err wraps. Any other error becomes an
+// *OutcomeUnknown, because nothing shows that no engine has run the request.
 func AsRefusal(err error) Refusal {
 	var refusal Refusal
 	if errors.As(err, &refusal) {
--- a/request/request.go
+++ b/request/request.go
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 )
 
-// Headers that callers set. Home is required; the rest have defaults.
+// Headers that callers set. HeaderHome is required; the others are optional.
 const (
 	HeaderHome        = "Linenscale-Home"
 	HeaderAccount     = "Linenscale-Account"
@@ -19,7 +19,7 @@
 	HeaderIdempotency = "Idempotency-Key"
 )
 
-// HeaderOutcome is set on every refusal: OutcomeNotRun or OutcomeUnknown.
+// HeaderOutcome is set on every refusal, to NotRunValue or OutcomeUnknownValue.
 const HeaderOutcome = "Linenscale-Outcome"
 
 // Values of HeaderOutcome.
@@ -28,20 +28,21 @@
 	OutcomeUnknownValue = "unknown"
 )
 
-// maxHeaderValue bounds every header value that identification reads.
+// maxHeaderValue bounds each header value that this package reads, in bytes.
 const maxHeaderValue = 256
 
-// Class is how urgent a request is.
+// Class is the urgency of a request.
 type Class string
 
-// The classes, most urgent first.
+// Classes, most urgent first.
 const (
-	ClassInteractive Class = "interactive" // somebody waits at the bench
+	ClassInteractive Class = "interactive" // a person waits for the answer
 	ClassStandard    Class = "standard"
-	ClassBatch       Class = "batch" // long reviews
+	ClassBatch       Class = "batch" // long jobs
 )
 
-// Priority gives 0 for the most urgent class, then 1 and 2.
+// Priority returns the rank of the class: 0 for interactive, 1 for standard and 2
+// for batch.
 func (c Class) Priority() int {
 	switch c {
 	case ClassInteractive:
@@ -54,50 +55,52 @@
 }
 
 // Request is an immutable description of one request. The zero value is not
-// valid; Identify makes one.
+// valid; Identify builds one.
 type Request struct {
 	ID          string
 	Service     string
-	Rest        string // the path after the service's name, with its leading slash
+	Rest        string // the URL path after the service's name, with its leading slash
 	Method      string
 	Home        string // the member's home region
 	Account     string
 	Class       Class
-	Key         string // idempotency key; empty for none
+	Key         string // idempotency key, or ""
 	Deadline    time.Time
-	Model       string   // known only once the body has been read
-	Path        []string // entry hosts that have had the request, first one first
-	Repeatable  bool     // may be run more than once
-	Sends       int      // to engines, before it was handed over
-	PrefixChain []uint64 // hashes of the growing prefixes of the prompt
+	Model       string   // set once the body has been read
+	Path        []string // entry hosts visited so far, in order
+	Repeatable  bool     // the request may run more than once
+	Sends       int      // number of sends to engines before the request was handed over
+	PrefixChain []uint64 // hashes of the prompt's prefixes, each one block longer
 }
 
-// WithModel gives the request with the model that its body names.
+// WithModel returns a copy of the request with the model that its body names.
 func (r Request) WithModel(model string) Request {
 	r.Model = model
 	return r
 }
 
-// WithPrefix gives the request with the hashes of its prompt's prefixes.
+// WithPrefix returns a copy of the request with the hashes of its prompt's prefixes.
 func (r Request) WithPrefix(chain []uint64) Request {
 	r.PrefixChain = chain
 	return r
 }
 
-// WithVisit gives the request with one more entry host on its path.
+// WithVisit returns a copy of the request with host appended to the visited entry
+// hosts.
 func (r Request) WithVisit(host string) Request {
 	r.Path = append(slices.Clone(r.Path), host)
 	return r
 }
 
-// WithRepeatable gives the request with its repeatability decided.
+// WithRepeatable returns a copy of the request that states whether it may run more
+// than once.
 func (r Request) WithRepeatable(repeatable bool) Request {
 	r.Repeatable = repeatable
 	return r
 }
 
-// WithDeadline gives the request with an earlier deadline; a later one leaves
-// it unchanged.
+// WithDeadline returns a copy of the request with the earlier of its deadline and
+// the given one.
 func (r Request) WithDeadline(deadline time.Time) Request {
 	if r.Deadline.IsZero() || deadline.Before(r.Deadline) {
 		r.Deadline = deadline
@@ -105,19 +108,20 @@
 	return r
 }
 
-// IsHandover tells whether another entry host has had the request before.
+// IsHandover reports whether another entry host handed the request over.
 func (r Request) IsHandover() bool { return len(r.Path) > 0 }
 
-// Identify reads a request's identity from its method, path and headers. It
-// doesn't touch the body. now and longest give the deadline.
-func Identify(service, rest, method string, header http.Header, now time.Time, longest time.Duration) (Request, error) {
-	if forged := forgedHeader(header); forged != "" {
+// Identify builds a Request from its method, path and headers, without the body. The
+// deadline is maxDuration after now, or earlier if HeaderDeadline asks for it. A
+// missing request id is generated. The error is a *NotRun.
+func Identify(service, rest, method string, header http.Header, now time.Time, maxDuration time.Duration) (Request, error) {
+	if forged := findReservedHeader(header); forged != "" {
 		return Request{}, BadRequestf("header %s is reserved for entry hosts", forged)
 	}
-	r := Request{Service: service, Rest: rest, Method: method, Deadline: now.Add(longest)}
+	r := Request{Service: service, Rest: rest, Method: method, Deadline: now.Add(maxDuration)}
 	fields := []struct {
-		name string
-		into *string
+		name   string
+		target *string
 	}{
 		{HeaderHome, &r.Home},
 		{HeaderAccount, &r.Account},
@@ -125,11 +129,11 @@
 		{HeaderRequestID, &r.ID},
 	}
 	for _, f := range fields {
-		value, err := single(header, f.name)
+		value, err := singleValue(header, f.name)
 		if err != nil {
 			return Request{}, err
 		}
-		*f.into = value
+		*f.target = value
 	}
 	if r.Home == "" {
 		return Request{}, BadRequestf("header %s must name the member's home region", HeaderHome)
@@ -137,11 +141,12 @@
 	if r.ID == "" {
 		r.ID = uuid.NewString()
 	}
-	return r.withOptional(header, now)
+	return r.parseOptional(header, now)
 }
 
-func (r Request) withOptional(header http.Header, now time.Time) (Request, error) {
-	class, err := single(header, HeaderClass)
+// parseOptional sets the class and the deadline from their optional headers.
+func (r Request) parseOptional(header http.Header, now time.Time) (Request, error) {
+	class, err := singleValue(header, HeaderClass)
 	if err != nil {
 		return Request{}, err
 	}
@@ -153,20 +158,21 @@
 	default:
 		return Request{}, BadRequestf("header %s must be interactive, standard or batch, is %q", HeaderClass, class)
 	}
-	text, err := single(header, HeaderDeadline)
-	if err != nil || text == "" {
+	deadlineText, err := singleValue(header, HeaderDeadline)
+	if err != nil || deadlineText == "" {
 		return r, err
 	}
-	wait, err := time.ParseDuration(text)
-	if err != nil || wait <= 0 {
-		return Request{}, BadRequestf("header %s must be a duration such as 2s, is %q", HeaderDeadline, text)
+	timeout, err := time.ParseDuration(deadlineText)
+	if err != nil || timeout <= 0 {
+		return Request{}, BadRequestf("header %s must be a duration such as 2s, is %q", HeaderDeadline, deadlineText)
 	}
-	return r.WithDeadline(now.Add(wait)), nil
+	return r.WithDeadline(now.Add(timeout)), nil
 }
 
-// single gives the only value of a header. Two values, a long one, or one with
-// control characters are errors, so that two hosts can't read it differently.
-func single(header http.Header, name string) (string, error) {
+// singleValue returns the value of a header, or "" if it is missing. It rejects a
+// repeated header, a value longer than maxHeaderValue and one with control
+// characters, so that no two hosts can interpret the header differently.
+func singleValue(header http.Header, name string) (string, error) {
 	values := header.Values(name)
 	if len(values) == 0 {
 		return "", nil
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -15,10 +15,10 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-const longest = time.Minute
+const maxDuration = time.Minute
 
-// FuzzIdentify checks that whatever stands in the headers, identification gives
-// either a sound request or a refusal as not run.
+// FuzzIdentify checks that Identify returns either a valid request or a *NotRun for
+// any headers.
 func FuzzIdentify(f *testing.F) {
 	f.Add("Linenscale-Home", "lagos", "Linenscale-Class", "batch", "Linenscale-Deadline", "2s")
 	f.Add("Linenscale-Home", "a", "linenscale-handover-path", "x", "Idempotency-Key", "k")
@@ -28,7 +28,7 @@
 		for _, h := range [][2]string{{n1, v1}, {n2, v2}, {n3, v3}} {
 			header.Add(h[0], h[1])
 		}
-		r, err := request.Identify("s", "/x", http.MethodPost, header, now, longest)
+		r, err := request.Identify("s", "/x", http.MethodPost, header, now, maxDuration)
 		if err != nil {
 			var refusal *request.NotRun
 			must.True(t, errors.As(err, &refusal))
@@ -37,14 +37,14 @@
 		must.NotEq(t, "", r.Home)
 		must.NotEq(t, "", r.ID)
 		must.False(t, r.IsHandover())
-		must.False(t, r.Deadline.After(now.Add(longest)))
+		must.False(t, r.Deadline.After(now.Add(maxDuration)))
 		must.Between(t, 0, r.Class.Priority(), 2)
 		must.False(t, strings.ContainsAny(r.Home+r.Account+r.Key+r.ID, "\r\n\x00"))
 	})
 }
 
-// FuzzTakeHandover checks that no hand-over headers make a path that is too
-// long, or leave one of them to be passed on.
+// FuzzTakeHandover checks that TakeHandover never accepts more than MaxHandovers
+// hosts and leaves no hand-over header that would be forwarded.
 func FuzzTakeHandover(f *testing.F) {
 	f.Add("host-a", "1000")
 	f.Add("host-a,host-b", "1000")
@@ -53,32 +53,34 @@
 		header := http.Header{}
 		header.Set("Linenscale-Handover-Path", path)
 		header.Set("Linenscale-Handover-Remaining", remaining)
-		visited, left, err := request.TakeHandover(header)
+		hosts, remainingTime, err := request.TakeHandover(header)
 		if err != nil {
 			return
 		}
-		must.LessEq(t, request.MaxHandovers, len(visited))
-		must.Greater(t, 0, left)
+		must.LessEq(t, request.MaxHandovers, len(hosts))
+		must.Greater(t, 0, remainingTime)
 		must.MapEmpty(t, header)
 	})
 }
 
-func TestHandoverKeepsTheDeadline(t *testing.T) {
+// TestHandoverPreservesDeadline guards against a hand-over that extends a request's
+// deadline, or forwards a request whose deadline has passed.
+func TestHandoverPreservesDeadline(t *testing.T) {
 	header := http.Header{}
 	header.Set(request.HeaderHome, "lagos")
-	r, err := request.Identify("s", "/x", http.MethodGet, header, now, longest)
+	r, err := request.Identify("s", "/x", http.MethodGet, header, now, maxDuration)
 	must.NoError(t, err)
-	sent := http.Header{}
-	r.WithVisit("host-a").SetHandover(sent, now.Add(10*time.Second), 7)
-	path, left, err := request.TakeHandover(sent)
+	forwarded := http.Header{}
+	r.WithVisit("host-a").SetHandover(forwarded, now.Add(10*time.Second), 7)
+	path, remaining, err := request.TakeHandover(forwarded)
 	must.NoError(t, err)
 	must.Eq(t, []string{"host-a"}, path)
-	must.Eq(t, longest-10*time.Second, left)
+	must.Eq(t, maxDuration-10*time.Second, remaining)
 	must.False(t, r.IsHandover(), must.Sprint("a request is immutable"))
 
-	late := http.Header{}
-	r.WithVisit("host-a").SetHandover(late, now.Add(2*longest), 7)
-	_, _, err = request.TakeHandover(late)
+	expired := http.Header{}
+	r.WithVisit("host-a").SetHandover(expired, now.Add(2*maxDuration), 7)
+	_, _, err = request.TakeHandover(expired)
 	var refusal *request.NotRun
 	must.True(t, errors.As(err, &refusal))
 	must.Eq(t, request.ReasonDeadline, refusal.Reason)
