--- a/relay/headers.go
+++ b/relay/headers.go
@@ -1,4 +1,4 @@
-// This file defines which headers are passed on.
+// This file defines which headers are forwarded.
 
 package relay
 
@@ -7,22 +7,24 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded (RFC 9110, section
+// 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// Forwardable copies the headers that may be passed on.
-func Forwardable(from http.Header) http.Header {
-	to := from.Clone()
-	for _, listed := range from.Values("Connection") {
-		for _, name := range strings.Split(listed, ",") {
-			to.Del(strings.TrimSpace(name))
+// Forwardable returns a copy of src without hop-by-hop headers: those listed in
+// hopByHopHeaders and those that a Connection header names.
+func Forwardable(src http.Header) http.Header {
+	dst := src.Clone()
+	for _, value := range src.Values("Connection") {
+		for _, name := range strings.Split(value, ",") {
+			dst.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		to.Del(name)
+	for _, name := range hopByHopHeaders {
+		dst.Del(name)
 	}
-	return to
+	return dst
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,12 +1,15 @@
-// Package relay sends one attempt to an engine, or to another entry host, and
-// brings its answer back whole or visibly failed.
+// Package relay sends one attempt of a request to an engine or to another entry
+// host, and forwards the answer. A caller gets either the complete answer or a
+// visible failure.
 //
-// Three rules make an answer safe to pass on. It must be the answer to this
-// attempt: model engines echo the attempt's identity, and connections to back
-// ends that don't are never used twice. It must be complete: framing says so
-// for ordinary answers, the final [DONE] event for streams. And it must not be
-// replayed by the HTTP library: a request that may not be repeated goes out on
-// a connection of its own, which net/http never retries.
+// Three rules make an answer safe to forward:
+//
+//   - It belongs to this attempt. Model engines echo the attempt's identity;
+//     connections to backend servers that don't echo it are never reused.
+//   - It is complete. HTTP framing shows this for ordinary answers, the final
+//     [DONE] event for streams.
+//   - The HTTP library has not sent the request twice. A request that must not be
+//     repeated uses a connection of its own, on which net/http never retries.
 package relay
 
 import (
@@ -23,32 +26,36 @@
 	"github.com/juju/errors"
 )
 
-// HeaderAttempt carries the identity of an attempt to an engine and back.
+// HeaderAttempt carries the identity of an attempt to an engine, which echoes it in
+// its answer.
 const HeaderAttempt = "Linenscale-Attempt"
 
-// HeaderNotRun is set to "true" by an engine that refuses a request before it
-// has run any of it.
+// HeaderNotRun is "true" in the answer of an engine that rejects a request before it
+// has run any part of it.
 const HeaderNotRun = "Engine-Not-Run"
 
-// HeaderLimit is how many requests a second an engine takes from all hosts together, for as
-// long as its answers name it.
+// HeaderLimit is the number of requests per second that an engine accepts from all
+// hosts together. The limit lasts as long as the engine's answers carry the header.
 const HeaderLimit = "Engine-Rate-Limit"
 
-// HeaderLeaving is "true" in each answer of an engine that is about to end: it wants no more
-// requests.
+// HeaderLeaving is "true" in each answer of an engine that is draining before it
+// stops, and accepts no new requests.
 const HeaderLeaving = "Engine-Leaving"
 
-// HeaderStream names a stream that can be resumed.
+// HeaderStream carries the identifier with which a broken stream can be resumed.
+// Streams without it can't be resumed.
 const HeaderStream = "Engine-Stream-Id"
 
-// Failure says how an attempt ended without an answer that can be passed on.
+// Failure is the error of an attempt that brought no answer that can be forwarded.
 type Failure struct {
-	// NotRun is true where no byte of the request can have been taken by the
-	// engine, or the engine itself says that it ran nothing.
+	// NotRun is true if the engine can't have received any byte of the request,
+	// or if it reports that it ran no part of it.
 	NotRun bool
-	// Shed is true where the engine refused for load: that is not ill health.
+	// Shed is true if the engine rejected the request because of its load. This
+	// doesn't count as a failure of the engine's health.
 	Shed bool
-	// Broken is true where the connection ended before the head of an answer came.
+	// Broken is true if the connection ended before the header of an answer
+	// arrived.
 	Broken bool
 	cause  error
 }
@@ -56,43 +63,49 @@
 // Error implements error.
 func (f *Failure) Error() string { return f.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Call is one attempt.
+// Call describes one attempt of a request.
 type Call struct {
 	Method  string
 	URL     string
-	Host    string // the Host header; "" for the URL's
+	Host    string // Host header; "" for the host of the URL
 	Header  http.Header
 	Body    io.Reader // nil for none
-	Length  int64     // of Body; -1 if unknown
-	Attempt string
-	// Echoes is true for an engine that echoes the attempt's identity.
+	Length  int64     // length of Body in bytes; -1 if unknown
+	Attempt string    // identity of the attempt, sent in HeaderAttempt
+	// Echoes is true if the engine echoes the attempt's identity. Only then may
+	// the call use a pooled connection.
 	Echoes bool
-	// Fresh asks for a connection of its own, for a call that may not be
+	// Fresh requires a connection of its own, for a call that must not be
 	// repeated.
 	Fresh bool
-	// Judge looks at the head of the answer, and gives a *Failure where it
-	// can't be passed on. Nil is the judgement of the product's own protocol
-	// towards engines, which also sets HeaderAttempt.
+	// Judge checks the status and headers of the answer, and returns an error,
+	// usually a *Failure, if the answer can't be forwarded. If Judge is nil, the
+	// call follows linenscale's own engine protocol: Send sets HeaderAttempt, and
+	// checks that the answer isn't marked as not run, echoes the attempt if Echoes
+	// is set, and is framed so that truncation can be detected.
 	Judge func(*http.Response) error
-	// Wanted is asked once a connection for the call has been opened, before anything is written
-	// to it: what opens late may have been waited for while the engine said that it wants
-	// nothing. Its error ends the call as not run; nil for none.
+	// Wanted runs once a new connection for the call is open, before anything is
+	// written to it. Opening may take so long that the engine has announced in
+	// the meantime that it accepts no requests. An error ends the call as not
+	// run. Wanted may be nil; it doesn't run if a pooled connection is reused.
 	Wanted func() error
-	// Head is shown an engine's answer to this attempt before it is judged, also a refusal, for
-	// what its head says of the engine; nil for none.
+	// Head receives an engine's answer to this attempt before Judge checks it,
+	// including a rejection, to read what the headers report about the engine. It
+	// may be nil.
 	Head func(*http.Response)
-	// Informed is shown the head of each informational answer (1xx), from another goroutine;
-	// nil for none.
+	// Informed receives the headers of each informational response (1xx), on
+	// another goroutine. It may be nil.
 	Informed func(http.Header)
 }
 
-// Client sends calls. New makes one.
+// Client sends calls over pooled connections, or over connections that serve one
+// call each. New creates one; it is safe for concurrent use.
 type Client struct {
-	kept  *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 // Dialer opens connections; *net.Dialer is one.
@@ -100,32 +113,33 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// bufferSize is that of each connection's read and write buffers, in bytes.
-// Open streams are many, so it is small.
+// bufferSize is the size of each connection's read buffer and write buffer, in
+// bytes. It is small because many streams are open at once.
 const bufferSize = 1 << 10
 
-// Options shapes a Client. Zero fields take the defaults.
+// Options configures a Client. Zero fields have the defaults below.
 type Options struct {
-	// AnswerTime bounds the wait for the first byte of an answer; 0 leaves it
-	// to the call's context.
+	// AnswerTime bounds the wait for the headers of an answer. If it is 0, only
+	// the call's context bounds the wait.
 	AnswerTime time.Duration
-	// IdleTime is how long an idle connection is kept. It should be shorter
-	// than the engines keep theirs, so that none is used as it closes.
+	// IdleTime is how long an idle connection stays open. It should be shorter
+	// than the engines' own idle timeout, so that no call uses a connection that
+	// the engine is closing.
 	IdleTime time.Duration
 	// IdlePerHost bounds the idle connections to one address.
 	IdlePerHost int
 }
 
-// New makes a client whose connections are opened by dialer.
+// New creates a client that opens its connections with dialer.
 func New(dialer Dialer, opts Options) *Client {
 	if opts.IdleTime == 0 {
-		opts.IdleTime = idleTime
+		opts.IdleTime = defaultIdleTime
 	}
 	if opts.IdlePerHost == 0 {
-		opts.IdlePerHost = idlePerHost
+		opts.IdlePerHost = defaultIdlePerHost
 	}
-	kept := &http.Transport{
-		DialContext:           wantedDialer{dialer}.DialContext,
+	pooled := &http.Transport{
+		DialContext:           checkingDialer{dialer}.DialContext,
 		MaxIdleConnsPerHost:   opts.IdlePerHost,
 		IdleConnTimeout:       opts.IdleTime,
 		ResponseHeaderTimeout: opts.AnswerTime,
@@ -134,25 +148,26 @@
 		WriteBufferSize:       bufferSize,
 		DisableCompression:    true,
 	}
-	fresh := kept.Clone()
-	fresh.DisableKeepAlives = true
-	return &Client{kept: kept, fresh: fresh}
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
+	return &Client{pooled: pooled, unpooled: unpooled}
 }
 
-// Defaults of Options.
+// Defaults of Options fields.
 const (
-	idlePerHost = 64
-	idleTime    = 90 * time.Second
+	defaultIdlePerHost = 64
+	defaultIdleTime    = 90 * time.Second
 )
 
-// Close drops the idle connections.
+// Close closes the idle connections. Calls in flight continue.
 func (c *Client) Close() {
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// Send makes the attempt and gives the answer, headers read and body open.
-// The error is a *Failure, or what the call's Judge gave. Ending ctx cancels the engine's work.
+// Send makes the attempt and returns the answer, with its headers read and its body
+// open. The error is a *Failure or the error that call.Judge returned. Cancelling
+// ctx closes the connection, which cancels the engine's work.
 func (c *Client) Send(ctx context.Context, call Call) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -162,28 +177,29 @@
 			return nil
 		}
 	}
-	// A body that net/http knows nothing of can't be sent a second time by it,
-	// and neither can a request that has none but isn't known to have none.
+	// net/http can't resend a body of a type that it doesn't know. A call without
+	// a body gets an opaque empty one for the same reason, unless it follows the
+	// engine protocol.
 	body := call.Body
 	switch {
 	case body != nil:
-		body = opaque{body}
+		body = opaqueReader{body}
 	case call.Judge != nil:
-		body = opaque{http.NoBody}
+		body = opaqueReader{http.NoBody}
 	}
 	if call.Wanted != nil {
-		ctx = context.WithValue(ctx, wantedKey{}, call.Wanted)
+		ctx = context.WithValue(ctx, usableCheckKey{}, call.Wanted)
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.Method, call.URL, body)
 	if err != nil {
-		return nil, &Failure{NotRun: true, cause: errors.Annotate(err, "request")}
+		return nil, &Failure{NotRun: true, cause: errors.Annotate(err, "create request")}
 	}
 	req.Header = call.Header
 	if call.Host != "" {
 		req.Host = call.Host
 	}
-	if _, given := req.Header["User-Agent"]; !given {
-		req.Header["User-Agent"] = nil // else net/http names itself
+	if _, present := req.Header["User-Agent"]; !present {
+		req.Header["User-Agent"] = nil // otherwise net/http sends its own name
 	}
 	if call.Judge == nil {
 		req.Header.Set(HeaderAttempt, call.Attempt)
@@ -191,9 +207,9 @@
 	if call.Body != nil {
 		req.ContentLength = call.Length
 	}
-	transport := c.fresh
+	transport := c.unpooled
 	if call.Echoes && !call.Fresh {
-		transport = c.kept
+		transport = c.pooled
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -202,87 +218,90 @@
 	if call.Head != nil && (!call.Echoes || call.Judge != nil || resp.Header.Get(HeaderAttempt) == call.Attempt) {
 		call.Head(resp)
 	}
-	judge := call.Judge
-	if judge == nil {
-		judge = func(resp *http.Response) error { return checkAnswer(call, resp) }
+	check := call.Judge
+	if check == nil {
+		check = func(resp *http.Response) error { return checkAnswer(call, resp) }
 	}
-	if err := judge(resp); err != nil {
+	if err := check(resp); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
 	return resp, nil
 }
 
-// wantedKey is where a call's context carries its Wanted to the dialer.
-type wantedKey struct{}
+// usableCheckKey is the context key with which a call's Wanted reaches the dialer.
+type usableCheckKey struct{}
 
-// wantedDialer opens connections and asks then whether the call is still wanted.
-type wantedDialer struct{ Dialer }
+// checkingDialer opens connections, then runs the Wanted function of the call.
+type checkingDialer struct{ Dialer }
 
 // DialContext implements Dialer.
-func (d wantedDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (d checkingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	wanted, ok := ctx.Value(wantedKey{}).(func() error)
+	checkUsable, ok := ctx.Value(usableCheckKey{}).(func() error)
 	if !ok {
 		return conn, nil
 	}
-	if err := wanted(); err != nil {
+	if err := checkUsable(); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// NewFailure makes the failure of an attempt, for a Judge.
+// NewFailure returns the error of an attempt, for use in a Call's Judge. shed
+// reports a rejection because of load.
 func NewFailure(notRun, shed bool, cause error) *Failure {
 	return &Failure{NotRun: notRun, Shed: shed, cause: cause}
 }
 
-// opaque hides the concrete reader, so that net/http can't rewind the body.
-type opaque struct{ io.Reader }
+// opaqueReader hides the concrete type of a body, so that net/http can't rewind it
+// to send it again.
+type opaqueReader struct{ io.Reader }
 
+// checkAnswer checks an answer under linenscale's own engine protocol.
 func checkAnswer(call Call, resp *http.Response) error {
 	if resp.Header.Get(HeaderNotRun) == "true" {
 		return &Failure{
 			NotRun: true,
 			Shed:   resp.StatusCode == http.StatusTooManyRequests,
-			cause:  errors.Errorf("engine refused with status %d", resp.StatusCode),
+			cause:  errors.Errorf("engine rejected the request with status %d", resp.StatusCode),
 		}
 	}
 	if call.Echoes && resp.Header.Get(HeaderAttempt) != call.Attempt {
-		return &Failure{cause: errors.Errorf("the answer is for attempt %q", resp.Header.Get(HeaderAttempt))}
+		return &Failure{cause: errors.Errorf("the answer belongs to another attempt, %q", resp.Header.Get(HeaderAttempt))}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.ProtoMajor == 1 {
-		return &Failure{cause: errors.New("the answer's length is not known, so that a cut can't be seen")}
+		return &Failure{cause: errors.New("the answer has neither a length nor chunked encoding, so truncation can't be detected")}
 	}
 	return nil
 }
 
-var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
+var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// chunkSize bounds what is read at once of a body that is passed on.
+// chunkSize bounds one read from a body that is forwarded, in bytes.
 const chunkSize = 1 << 10
 
-// Look sees each chunk of a body before it is passed on. It tells how much of
-// the chunk may pass, and whether the body ends there.
+// Look inspects each chunk of a body before it is forwarded. It returns how many of
+// the chunk's bytes to forward, and whether the body ends with them.
 type Look func(chunk []byte) (keep int, end bool)
 
-// Copy passes a body on as it comes, flushing whatever has been read. slow
-// bounds each wait for the caller; look may be nil. It gives the number of
-// bytes passed on; an error of the caller's side is a *CallerError.
-func Copy(w http.ResponseWriter, from io.Reader, slow time.Duration, look Look) (int64, error) {
-	out := NewWriter(w, slow)
-	chunk := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(chunk)
+// Copy forwards a body as it arrives, with a flush after each read. writeTimeout
+// bounds each write to the caller, and filter may be nil. Copy returns the number of
+// bytes forwarded. The error is a *CallerError if the write failed.
+func Copy(w http.ResponseWriter, src io.Reader, writeTimeout time.Duration, filter Look) (int64, error) {
+	out := NewWriter(w, writeTimeout)
+	chunk := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(chunk)
 	var total int64
 	for {
-		n, err := from.Read(chunk[:])
+		n, err := src.Read(chunk[:])
 		end := false
-		if n > 0 && look != nil {
-			n, end = look(chunk[:n])
+		if n > 0 && filter != nil {
+			n, end = filter(chunk[:n])
 		}
 		if n > 0 {
 			if err := out.Pass(chunk[:n]); err != nil {
@@ -294,41 +313,44 @@
 			return total, nil
 		}
 		if err != nil {
-			return total, errors.Annotate(err, "answer")
+			return total, errors.Annotate(err, "read answer")
 		}
 	}
 }
 
-// CallerError says that the caller went away or took bytes too slowly.
+// CallerError is the error of a write to a caller that has disconnected, or that
+// reads too slowly.
 type CallerError struct{ Cause error }
 
 // Error implements error.
 func (e *CallerError) Error() string { return "caller: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying error.
 func (e *CallerError) Unwrap() error { return e.Cause }
 
-// Writer writes to a caller and bounds each wait for it. NewWriter makes one.
+// Writer writes to a caller, with a deadline for each write. NewWriter creates one.
 type Writer struct {
-	w          http.ResponseWriter
-	controller *http.ResponseController
-	slow       time.Duration
-	until      time.Time // the deadline that is set
+	w            http.ResponseWriter
+	controller   *http.ResponseController
+	writeTimeout time.Duration
+	deadline     time.Time // write deadline last set on the connection
 }
 
-// NewWriter makes a writer; slow is the longest wait for the caller.
-func NewWriter(w http.ResponseWriter, slow time.Duration) *Writer {
-	return &Writer{w: w, controller: http.NewResponseController(w), slow: slow}
+// NewWriter returns a Writer to w that fails if a write takes longer than
+// writeTimeout.
+func NewWriter(w http.ResponseWriter, writeTimeout time.Duration) *Writer {
+	return &Writer{w: w, controller: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// Pass writes and flushes; the error is a *CallerError. The deadline is moved only when a quarter of it has
-// gone, since each move costs a timer: a caller so has between three quarters
-// and the whole of the time.
+// Pass writes data and flushes it; the error is a *CallerError. Because each change of
+// the deadline resets a timer, Pass extends the deadline only after a quarter of the
+// timeout has elapsed. A write may therefore take between three quarters of the
+// timeout and all of it.
 func (p *Writer) Pass(data []byte) error {
-	if now := time.Now(); p.until.Sub(now) < p.slow*3/4 {
-		p.until = now.Add(p.slow)
-		// A writer without deadlines, as in tests, is as good.
-		_ = p.controller.SetWriteDeadline(p.until)
+	if now := time.Now(); p.deadline.Sub(now) < p.writeTimeout*3/4 {
+		p.deadline = now.Add(p.writeTimeout)
+		// Ignore the error: a ResponseWriter without deadlines, as in tests, works too.
+		_ = p.controller.SetWriteDeadline(p.deadline)
 	}
 	if _, err := p.w.Write(data); err != nil {
 		return &CallerError{Cause: err}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -1,5 +1,5 @@
-// This file defines how a model engine's event stream is passed on: whole to
-// its last event, resumed if the connection breaks, or visibly failed.
+// This file forwards a model engine's event stream. The stream is complete up to its
+// last event, is resumed if the connection breaks, or fails visibly.
 
 package relay
 
@@ -14,19 +14,19 @@
 	"github.com/juju/errors"
 )
 
-// doneEvent ends every complete stream of the OpenAI interface.
+// doneEvent ends every complete stream of the OpenAI API.
 var doneEvent = []byte("data: [DONE]\n\n")
 
-// ending finds the last event of a stream. What an engine sends after it is
-// not part of the answer. The zero value is the start of a stream.
-type ending struct {
-	carry []byte // the end of what has been seen, shorter than doneEvent
-	done  bool
+// endDetector finds the last event of a stream; bytes after it are not part of the
+// answer. The zero value is ready for the start of a stream.
+type endDetector struct {
+	tail []byte // last bytes of the stream so far, shorter than doneEvent
+	done bool   // the last event has been found
 }
 
-// look implements Look.
-func (e *ending) look(chunk []byte) (keep int, end bool) {
-	if at := e.across(chunk); at > 0 {
+// filter implements Look.
+func (e *endDetector) filter(chunk []byte) (keep int, end bool) {
+	if at := e.findAcrossChunks(chunk); at > 0 {
 		e.done = true
 		return at, true
 	}
@@ -34,70 +34,74 @@
 		e.done = true
 		return at + len(doneEvent), true
 	}
-	e.remember(chunk)
+	e.keepTail(chunk)
 	return len(chunk), false
 }
 
-// across finds a last event that began in an earlier chunk; it gives where it
-// ends in this one, or 0.
-func (e *ending) across(chunk []byte) int {
-	head := chunk[:min(len(chunk), len(doneEvent)-1)]
-	both := append(e.carry, head...)
-	at := bytes.Index(both, doneEvent)
-	e.carry = both[:len(e.carry)]
+// findAcrossChunks looks for a last event that began in an earlier chunk. It returns
+// the offset in this chunk at which the event ends, or 0 if there is none.
+func (e *endDetector) findAcrossChunks(chunk []byte) int {
+	prefix := chunk[:min(len(chunk), len(doneEvent)-1)]
+	joined := append(e.tail, prefix...)
+	at := bytes.Index(joined, doneEvent)
+	e.tail = joined[:len(e.tail)]
 	if at < 0 {
 		return 0
 	}
-	return at + len(doneEvent) - len(e.carry)
+	return at + len(doneEvent) - len(e.tail)
 }
 
-func (e *ending) remember(chunk []byte) {
-	e.carry = append(e.carry, chunk[max(0, len(chunk)-len(doneEvent)+1):]...)
-	if over := len(e.carry) - len(doneEvent) + 1; over > 0 {
-		e.carry = append(e.carry[:0], e.carry[over:]...)
+// keepTail appends the end of chunk to the tail and trims the tail to one byte less
+// than doneEvent. This is the longest part of the event that can end a chunk before
+// the event is complete.
+func (e *endDetector) keepTail(chunk []byte) {
+	e.tail = append(e.tail, chunk[max(0, len(chunk)-len(doneEvent)+1):]...)
+	if excess := len(e.tail) - len(doneEvent) + 1; excess > 0 {
+		e.tail = append(e.tail[:0], e.tail[excess:]...)
 	}
 }
 
-// maxResumes bounds how often one stream is taken up again.
+// maxResumes bounds how many times one stream is resumed.
 const maxResumes = 2
 
-// Stream passes on an event stream. base is the engine's URL without a path.
-// A nil error means that every byte, to the last event, has been passed on.
-func (c *Client) Stream(ctx context.Context, w http.ResponseWriter, resp *http.Response, base string, slow time.Duration) error {
-	var end ending
-	var passed int64
-	id := resp.Header.Get(HeaderStream)
+// Stream forwards an event stream to a caller. baseURL is the engine's URL without a
+// path, for resuming the stream. If the error is nil, every byte up to the end of the
+// last event has been forwarded. writeTimeout bounds each write to the caller.
+func (c *Client) Stream(ctx context.Context, w http.ResponseWriter, resp *http.Response, baseURL string, writeTimeout time.Duration) error {
+	var detector endDetector
+	var forwarded int64
+	streamID := resp.Header.Get(HeaderStream)
 	attempt := resp.Header.Get(HeaderAttempt)
 	for resumes := 0; ; resumes++ {
-		n, err := Copy(w, resp.Body, slow, end.look)
+		n, err := Copy(w, resp.Body, writeTimeout, detector.filter)
 		resp.Body.Close()
-		passed += n
-		var gone *CallerError
-		if errors.As(err, &gone) || ctx.Err() != nil {
+		forwarded += n
+		var callerErr *CallerError
+		if errors.As(err, &callerErr) || ctx.Err() != nil {
 			return errors.Annotate(err, "stream")
 		}
-		if end.done {
+		if detector.done {
 			return nil
 		}
 		if err == nil {
 			err = errors.New("the stream ended before its last event")
 		}
-		if id == "" || resumes == maxResumes {
-			return errors.Annotatef(err, "stream after %d bytes", passed)
+		if streamID == "" || resumes == maxResumes {
+			return errors.Annotatef(err, "stream after %d bytes", forwarded)
 		}
-		next, resumeErr := c.resume(ctx, base, id, attempt, passed)
+		next, resumeErr := c.resume(ctx, baseURL, streamID, attempt, forwarded)
 		if resumeErr != nil {
-			return errors.Annotatef(err, "stream after %d bytes, not resumed (%v)", passed, resumeErr)
+			return errors.Annotatef(err, "stream after %d bytes, not resumed (%v)", forwarded, resumeErr)
 		}
 		resp = next
 	}
 }
 
-// resume asks the engine for the rest of a stream from a byte offset.
-func (c *Client) resume(ctx context.Context, base, id, attempt string, offset int64) (*http.Response, error) {
+// resume requests the rest of a stream from a byte offset.
+func (c *Client) resume(ctx context.Context, baseURL, streamID, attempt string, offset int64) (*http.Response, error) {
 	return c.Send(ctx, Call{
 		Method:  http.MethodGet,
-		URL:     base + "/engine/streams/" + id + "?offset=" + strconv.FormatInt(offset, 10),
+		URL:     baseURL + "/engine/streams/" + streamID + "?offset=" + strconv.FormatInt(offset, 10),
 		Header:  http.Header{},
 		Attempt: attempt,
 		Echoes:  true,
@@ -105,12 +109,13 @@
 	})
 }
 
-// ReadWhole reads an unstreamed answer of at most limit bytes.
+// ReadWhole reads and closes the body of an unstreamed answer. A body that is
+// truncated or longer than limit bytes is a *Failure.
 func ReadWhole(resp *http.Response, limit int64) ([]byte, error) {
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return nil, &Failure{cause: errors.Annotate(err, "answer")}
+		return nil, &Failure{cause: errors.Annotate(err, "read answer")}
 	}
 	if int64(len(data)) > limit {
 		return nil, &Failure{cause: errors.Errorf("the answer is longer than %d bytes", limit)}
--- a/relay/wanted_test.go
+++ b/relay/wanted_test.go
@@ -14,22 +14,22 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// TestACallThatIsNoLongerWantedWritesNothing opens a connection while the engine comes to want
-// nothing: the call ends as not run, and the engine never sees it. A connection that is kept
-// from an earlier call needs no asking: it opens at once.
-func TestACallThatIsNoLongerWantedWritesNothing(t *testing.T) {
-	unwanted := errors.New("unwanted")
+// TestCallNoLongerUsableWritesNothing guards against a request sent to an engine that stopped
+// accepting requests while the connection was being opened. The call must end as not run, and
+// the engine must not receive it. Pooled connections skip the check, as they need no opening.
+func TestCallNoLongerUsableWritesNothing(t *testing.T) {
+	errUnusable := errors.New("unwanted")
 	for name, fresh := range map[string]bool{"kept": false, "fresh": true} {
 		t.Run(name, func(t *testing.T) {
-			var arrived atomic.Int32
-			engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived.Add(1) }))
+			var received atomic.Int32
+			engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
 			t.Cleanup(engine.Close)
 			client := relay.New(&net.Dialer{}, relay.Options{})
 			t.Cleanup(client.Close)
-			send := func(wanted error) error {
+			send := func(usableErr error) error {
 				resp, err := client.Send(context.Background(), relay.Call{
 					Method: http.MethodPost, URL: engine.URL, Header: http.Header{}, Echoes: true, Fresh: fresh,
-					Wanted: func() error { return wanted },
+					Wanted: func() error { return usableErr },
 					Judge:  func(*http.Response) error { return nil },
 				})
 				if err == nil {
@@ -37,14 +37,14 @@
 				}
 				return err
 			}
-			err := send(unwanted)
-			must.ErrorIs(t, err, unwanted)
+			err := send(errUnusable)
+			must.ErrorIs(t, err, errUnusable)
 			var failure *relay.Failure
 			must.True(t, errors.As(err, &failure))
 			must.True(t, failure.NotRun)
-			must.Eq(t, 0, arrived.Load())
+			must.Eq(t, 0, received.Load())
 			must.NoError(t, send(nil))
-			must.Eq(t, 1, arrived.Load())
+			must.Eq(t, 1, received.Load())
 		})
 	}
 }
