--- a/wire/client.go
+++ b/wire/client.go
@@ -1,11 +1,13 @@
-// Package wire carries calls between linenscaled processes by net/rpc.
+// Package wire carries RPCs and messages between linenscaled processes.
 //
-// net/rpc has no deadlines. A Client adds them: a call whose context ends is
-// given up, and a connection on which nothing has been answered for too long
-// is closed, so that a peer that hangs, or a cut that drops every packet, holds
-// nothing up. A Sender is for messages that need no answer: it keeps a bounded
-// queue for each peer, sends without waiting for earlier answers, and drops
-// what doesn't fit.
+// net/rpc has no deadlines; Client and Server wrap it. A Client abandons a call when
+// its context ends, and closes the connection if the call's deadline passed, so that
+// neither a hung peer nor a partition that drops every packet blocks later calls.
+//
+// A Sender is for messages that need no answer. It has a bounded queue for each peer,
+// sends without waiting for earlier answers, and drops messages that don't fit the
+// queue. Datagrams sends messages over UDP. A Deployment keeps out connections and
+// datagrams of other deployments.
 package wire
 
 import (
@@ -24,20 +26,21 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// ErrorKind says what went wrong with a call.
+// ErrorKind classifies a failed call by whether the peer may have executed it.
 type ErrorKind uint8
 
-// The kinds of failure.
+// Kinds of failed calls.
 const (
-	// Unsent calls have not left: no connection could be opened.
+	// Unsent means that no connection could be opened: the peer has not received
+	// the call.
 	Unsent ErrorKind = iota
-	// Unanswered calls may have been carried out.
+	// Unanswered means that no answer arrived: the peer may have executed the call.
 	Unanswered
-	// RemoteError calls were answered with an error.
+	// RemoteError means that the peer answered with an error.
 	RemoteError
 )
 
-// Error is the failure of a call.
+// Error is the error of a failed call.
 type Error struct {
 	Kind    ErrorKind
 	Address string
@@ -48,11 +51,11 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Method + " to " + e.Address + ": " + e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Client makes calls, over one connection to each address. NewClient makes
-// one; it is safe for concurrent use.
+// Client makes calls over one connection to each address. NewClient creates one; it
+// is safe for concurrent use.
 type Client struct {
 	dialer Dialer
 
@@ -60,23 +63,23 @@
 	conns map[string]*rpc.Client
 }
 
-// NewClient makes a client whose connections are opened by dialer.
+// NewClient creates a client that opens its connections with dialer.
 func NewClient(dialer Dialer) *Client {
 	return &Client{dialer: dialer, conns: make(map[string]*rpc.Client)}
 }
 
-// Call makes one call. The error is always an *Error. ctx must have a
-// deadline; when it passes, the connection is closed, because an answer that
-// is late once is taken for a sign of a dead connection.
+// Call makes one call. The error is always an *Error. ctx must have a deadline; when
+// it passes, Call closes the connection, because one late answer is treated as a
+// sign that the connection is dead.
 func (c *Client) Call(ctx context.Context, address, method string, args, reply any) error {
 	conn, err := c.conn(ctx, address)
 	if err != nil {
 		return &Error{Unsent, address, method, err}
 	}
-	// A call that is given up may still be answered: the answer goes into a
-	// value that nobody else looks at.
-	got := reflect.New(reflect.TypeOf(reply).Elem())
-	call := conn.Go(method, args, got.Interface(), make(chan *rpc.Call, 1))
+	// The answer to an abandoned call may still arrive. It is decoded into a
+	// private value, so that it can't overwrite the caller's reply.
+	result := reflect.New(reflect.TypeOf(reply).Elem())
+	call := conn.Go(method, args, result.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
@@ -85,12 +88,12 @@
 		}
 		return &Error{Unanswered, address, method, ctx.Err()}
 	}
-	var refused rpc.ServerError
+	var remoteErr rpc.ServerError
 	switch {
 	case call.Error == nil:
-		reflect.ValueOf(reply).Elem().Set(got.Elem())
+		reflect.ValueOf(reply).Elem().Set(result.Elem())
 		return nil
-	case errors.As(call.Error, &refused):
+	case errors.As(call.Error, &remoteErr):
 		return &Error{RemoteError, address, method, call.Error}
 	default:
 		c.drop(address, conn)
@@ -98,7 +101,7 @@
 	}
 }
 
-// conn gives the connection to an address, opening one if there is none.
+// conn returns the connection to an address, and opens one if there is none.
 func (c *Client) conn(ctx context.Context, address string) (*rpc.Client, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -106,36 +109,37 @@
 	if ok {
 		return conn, nil
 	}
-	raw, err := c.dialer.DialContext(ctx, "tcp", address)
+	netConn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	fresh := rpc.NewClient(bounded{raw})
+	opened := rpc.NewClient(timedConn{netConn})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn, ok = c.conns[address]; ok {
-		fresh.Close()
+		opened.Close()
 		return conn, nil
 	}
-	c.conns[address] = fresh
-	return fresh, nil
+	c.conns[address] = opened
+	return opened, nil
 }
 
-// writeTime bounds each write to a connection: net/rpc writes while it holds a
-// lock, so that a peer which takes nothing would hold up every call to it.
-const writeTime = 2 * time.Second
+// writeTimeout bounds each write to a connection. net/rpc holds a lock while it
+// writes, so a peer that stops reading would block every call to it.
+const writeTimeout = 2 * time.Second
 
-// bounded is a connection whose writes end.
-type bounded struct{ net.Conn }
+// timedConn is a connection whose writes time out after writeTimeout.
+type timedConn struct{ net.Conn }
 
 // Write implements net.Conn.
-func (b bounded) Write(data []byte) (int, error) {
-	if err := b.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+func (b timedConn) Write(data []byte) (int, error) {
+	if err := b.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, errors.Trace(err)
 	}
 	return b.Conn.Write(data)
 }
 
+// drop closes a connection, and forgets it unless another one has replaced it.
 func (c *Client) drop(address string, conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +149,7 @@
 	conn.Close()
 }
 
-// Close closes all connections.
+// Close closes all connections. Calls in flight fail as Unanswered.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,9 +159,9 @@
 	}
 }
 
-// WithTimeout is Call with a deadline of its own.
-func (c *Client) WithTimeout(ctx context.Context, wait time.Duration, address, method string, args, reply any) error {
-	bound, cancel := context.WithTimeout(ctx, wait)
+// WithTimeout makes one call, as Call does, with a deadline after timeout.
+func (c *Client) WithTimeout(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.Call(bound, address, method, args, reply)
+	return c.Call(callCtx, address, method, args, reply)
 }
--- a/wire/datagram.go
+++ b/wire/datagram.go
@@ -9,18 +9,19 @@
 	"github.com/juju/errors"
 )
 
-// maxDatagram bounds a datagram in bytes, below what any UDP packet may hold.
-const maxDatagram = 60 << 10
+// maxDatagramSize bounds a datagram, in bytes. It is below the largest UDP payload.
+const maxDatagramSize = 60 << 10
 
-// Datagrams sends and receives messages of one type that may be lost: each must
-// stand by itself, and the next one replace it. ListenDatagrams makes one.
+// Datagrams sends and receives messages of one type over UDP. Because messages may be
+// lost, each must be complete in itself and be superseded by the next one.
+// ListenDatagrams creates one.
 type Datagrams[T any] struct {
 	conn    *net.UDPConn
-	preface [prefaceBytes]byte
+	preface [prefaceSize]byte
 }
 
-// ListenDatagrams opens an address for sending to, and receiving from, processes
-// of the same deployment.
+// ListenDatagrams opens a UDP socket at an address, to send to and receive from
+// processes of the same deployment.
 func ListenDatagrams[T any](address string, deployment Deployment) (*Datagrams[T], error) {
 	local, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -33,40 +34,40 @@
 	return &Datagrams[T]{conn, deployment.preface()}, nil
 }
 
-// Address is where the datagrams are received.
+// Address returns the local address of the socket.
 func (d *Datagrams[T]) Address() string { return d.conn.LocalAddr().String() }
 
-// Send sends one message to each of the addresses. What can't be sent is as
-// good as lost; the first such error is given, for the log.
+// Send sends one message to each of the addresses. It continues after an error, since
+// any datagram may be lost, and returns the first one for the log.
 func (d *Datagrams[T]) Send(message T, addresses []string) error {
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		return errors.Annotate(err, "datagram")
+		return errors.Annotate(err, "encode datagram")
 	}
 	data = append(d.preface[:], data...)
-	if len(data) > maxDatagram {
-		return errors.Errorf("datagram of %d bytes is longer than %d", len(data), maxDatagram)
+	if len(data) > maxDatagramSize {
+		return errors.Errorf("datagram of %d bytes exceeds the limit of %d", len(data), maxDatagramSize)
 	}
-	var first error
+	var firstErr error
 	for _, address := range addresses {
-		to, err := net.ResolveUDPAddr("udp4", address)
+		udpAddr, err := net.ResolveUDPAddr("udp4", address)
 		if err == nil {
-			_, err = d.conn.WriteToUDP(data, to)
+			_, err = d.conn.WriteToUDP(data, udpAddr)
 		}
-		if err != nil && first == nil {
-			first = errors.Annotatef(err, "datagram to %s", address)
+		if err != nil && firstErr == nil {
+			firstErr = errors.Annotatef(err, "send datagram to %s", address)
 		}
 	}
-	return first
+	return firstErr
 }
 
-// Run passes each message that arrives to take, until ctx ends. What can't be
-// read is dropped: it comes from another deployment or version, or is no message
-// at all.
-func (d *Datagrams[T]) Run(ctx context.Context, take func(T)) error {
+// Run calls handle with each message that arrives, until ctx ends. It drops datagrams
+// of other deployments and those that it can't decode, such as messages of another
+// version.
+func (d *Datagrams[T]) Run(ctx context.Context, handle func(T)) error {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
@@ -76,9 +77,9 @@
 			return errors.Annotate(err, "receive datagrams")
 		}
 		var message T
-		data, own := bytes.CutPrefix(buffer[:n], d.preface[:])
-		if own && cbor.Unmarshal(data, &message) == nil {
-			take(message)
+		body, sameDeployment := bytes.CutPrefix(buffer[:n], d.preface[:])
+		if sameDeployment && cbor.Unmarshal(body, &message) == nil {
+			handle(message)
 		}
 	}
 }
--- a/wire/deployment.go
+++ b/wire/deployment.go
@@ -12,27 +12,28 @@
 	"go.uber.org/zap"
 )
 
-// Deployment names the deployment that a process belongs to. Addresses are used
-// again: a process of another deployment may listen where a host of this one
-// did. Connections and datagrams begin with an identifier of the deployment, and
-// a receiver rejects those of another.
+// Deployment names the deployment that a process belongs to. Addresses are reused: a
+// process of another deployment may listen at the former address of a host of this
+// one. Therefore each connection and datagram begins with a preface that identifies
+// the deployment, and receivers reject those of other deployments.
 type Deployment string
 
-// ErrForeign says that a connection or datagram came from another deployment.
+// ErrForeign is the error of reads from a connection that a process of another
+// deployment opened.
 var ErrForeign = errors.New("the peer belongs to another deployment")
 
-// prefaceBytes is the length of what a connection or datagram begins with.
-const prefaceBytes = 8
+// prefaceSize is the length of the preface, in bytes.
+const prefaceSize = 8
 
-// preface gives the identifier of the deployment.
-func (d Deployment) preface() [prefaceBytes]byte {
-	var out [prefaceBytes]byte
+// preface returns the identifier of the deployment, a hash of its name.
+func (d Deployment) preface() [prefaceSize]byte {
+	var out [prefaceSize]byte
 	binary.BigEndian.PutUint64(out[:], xxhash.Sum64String("linenscale deployment "+string(d)))
 	return out
 }
 
-// Dialer gives a dialer whose connections begin with the identifier of the
-// deployment.
+// Dialer wraps a dialer. Connections that it opens begin with the deployment's
+// preface.
 func (d Deployment) Dialer(dialer Dialer) Dialer { return prefaceDialer{dialer, d} }
 
 type prefaceDialer struct {
@@ -49,12 +50,12 @@
 	return &prefacedConn{Conn: conn, preface: p.deployment.preface()}, nil
 }
 
-// prefacedConn sends the preface together with the first bytes written, in one
-// packet.
+// prefacedConn sends the preface in one write with the first data, so that both share
+// a packet.
 type prefacedConn struct {
 	net.Conn
-	preface [prefaceBytes]byte
-	mu      sync.Mutex // held during the first write, which goes before all others
+	preface [prefaceSize]byte
+	mu      sync.Mutex // held during the first write, so that it precedes all others
 	sent    bool
 }
 
@@ -68,11 +69,11 @@
 	defer c.mu.Unlock()
 	c.sent = true
 	n, err := c.Conn.Write(append(c.preface[:], data...))
-	return max(0, n-prefaceBytes), err
+	return max(0, n-prefaceSize), err
 }
 
-// Listener gives a listener whose connections fail with ErrForeign at the first
-// read where the caller belongs to another deployment.
+// Listener wraps a listener. Its connections fail with ErrForeign at the first read if
+// the peer belongs to another deployment; log receives a warning.
 func (d Deployment) Listener(listener net.Listener, log *zap.Logger) net.Listener {
 	return checkingListener{listener, d, log}
 }
@@ -83,8 +84,8 @@
 	log        *zap.Logger
 }
 
-// Accept implements net.Listener. It doesn't wait for the preface, so that one
-// slow caller holds up no other.
+// Accept implements net.Listener. It doesn't wait for the preface, so that a slow peer
+// doesn't block others.
 func (l checkingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -93,26 +94,27 @@
 	return &checkedConn{Conn: conn, preface: l.deployment.preface(), log: l.log}, nil
 }
 
+// checkedConn reads and checks the preface at the first read.
 type checkedConn struct {
 	net.Conn
-	preface [prefaceBytes]byte
-	log     *zap.Logger
-	once    sync.Once
-	err     error
+	preface   [prefaceSize]byte
+	log       *zap.Logger
+	checkOnce sync.Once
+	checkErr  error
 }
 
 // Read implements net.Conn.
 func (c *checkedConn) Read(data []byte) (int, error) {
-	c.once.Do(func() { c.err = c.check() })
-	if c.err != nil {
-		return 0, c.err
+	c.checkOnce.Do(func() { c.checkErr = c.checkPreface() })
+	if c.checkErr != nil {
+		return 0, c.checkErr
 	}
 	return c.Conn.Read(data)
 }
 
-// check reads the preface.
-func (c *checkedConn) check() error {
-	var got [prefaceBytes]byte
+// checkPreface reads the preface and returns ErrForeign if it differs from c.preface.
+func (c *checkedConn) checkPreface() error {
+	var got [prefaceSize]byte
 	if _, err := io.ReadFull(c.Conn, got[:]); err != nil {
 		return err
 	}
--- a/wire/deployment_test.go
+++ b/wire/deployment_test.go
@@ -13,7 +13,8 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// serveDeployment starts a server that takes connections of one deployment.
+// serveDeployment starts a server that accepts connections of one deployment only. It
+// returns the receiver and the address.
 func serveDeployment(t *testing.T, deployment wire.Deployment) (*Echo, string) {
 	t.Helper()
 	echo, server := &Echo{}, wire.NewServer()
@@ -30,8 +31,8 @@
 	return echo, listener.Addr().String()
 }
 
-// TestCallsOfAnotherDeploymentAreRejected guards against a host that takes part in another
-// deployment whose process listens at an address that is used again.
+// TestCallsOfAnotherDeploymentAreRejected guards against a host that joins another deployment
+// because a process of that deployment listens at a reused address.
 func TestCallsOfAnotherDeploymentAreRejected(t *testing.T) {
 	_, address := serveDeployment(t, "club")
 	for _, test := range []struct {
@@ -49,7 +50,8 @@
 	}
 }
 
-// TestMessagesOfAnotherDeploymentAreDropped is the same for messages that nobody answers.
+// TestMessagesOfAnotherDeploymentAreDropped guards against the same fault for the messages of
+// a Sender.
 func TestMessagesOfAnotherDeploymentAreDropped(t *testing.T) {
 	echo, address := serveDeployment(t, "club")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,21 +73,21 @@
 	must.Eq(t, 1, echo.calls.Load())
 }
 
-// TestDatagramsOfAnotherDeploymentAreDropped is the same for datagrams.
+// TestDatagramsOfAnotherDeploymentAreDropped guards against the same fault for datagrams.
 func TestDatagramsOfAnotherDeploymentAreDropped(t *testing.T) {
 	club, err := wire.ListenDatagrams[string]("127.0.0.1:0", "club")
 	must.NoError(t, err)
-	taken := make(chan string, 10)
+	received := make(chan string, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	defer group.Wait()
 	defer cancel()
-	group.Go(func() { _ = club.Run(ctx, func(message string) { taken <- message }) })
+	group.Go(func() { _ = club.Run(ctx, func(message string) { received <- message }) })
 	for _, from := range []wire.Deployment{"other", "club"} {
 		sender, err := wire.ListenDatagrams[string]("127.0.0.1:0", from)
 		must.NoError(t, err)
 		group.Go(func() { _ = sender.Run(ctx, func(string) {}) })
 		must.NoError(t, sender.Send(string(from), []string{club.Address()}))
 	}
-	must.Eq(t, "club", <-taken)
+	must.Eq(t, "club", <-received)
 }
--- a/wire/sender.go
+++ b/wire/sender.go
@@ -11,50 +11,53 @@
 	"github.com/linenscale/linenscale/internal/duty"
 )
 
-// Bounds of a Sender.
+// Limits of a Sender.
 const (
-	// senderQueue is how many messages wait for one peer.
-	senderQueue = 1024
-	// senderBatch is how many messages go in one call.
-	senderBatch = 64
-	// senderOpen is how many calls to one peer may be unanswered.
-	senderOpen = 64
-	// senderSilence is how long a peer may leave calls unanswered before the
-	// connection counts as dead.
-	senderSilence = 2 * time.Second
-	// senderPause is the wait after a connection could not be opened, or broke
-	// before the peer had answered anything.
-	senderPause = 100 * time.Millisecond
+	// queueSize bounds the messages queued for one peer.
+	queueSize = 1024
+	// maxBatch bounds the messages in one call.
+	maxBatch = 64
+	// maxUnanswered bounds the unanswered calls to one peer.
+	maxUnanswered = 64
+	// answerTimeout is how long a peer may leave all calls unanswered before its
+	// connection is treated as dead.
+	answerTimeout = 2 * time.Second
+	// retryPause is the wait before the next connection if one could not be
+	// opened, or broke before the peer answered a call.
+	retryPause = 100 * time.Millisecond
 )
 
-// Sender sends messages of one type to peers, each in the order of posting,
-// without promise of arrival. NewSender makes one; Run runs it. Its dialer bounds the
-// opening of connections: behind a cut none ever opens, and the sooner the next is
-// tried, the sooner messages flow after the cut.
+// Sender sends messages of one type to peers. Messages to one peer are sent in the
+// order of Post; any of them may be lost. NewSender creates one and Run runs it.
+//
+// The dialer must have a timeout. During a network partition no connection opens, and
+// the sooner the next one is tried, the sooner messages arrive after the partition
+// heals.
 type Sender[T any] struct {
 	dialer Dialer
 	method string
-	starts chan start[T]
+	starts chan peerStart[T]
 
 	mu     sync.Mutex
 	queues map[string]chan T
 }
 
-// start asks Run for a duty for one more peer.
-type start[T any] struct {
+// peerStart requests that Run start a goroutine for a new peer.
+type peerStart[T any] struct {
 	address string
 	queue   chan T
 }
 
-// maxPeers bounds the peers that wait for their duty to start.
-const maxPeers = 1024
+// maxPendingStarts bounds the new peers whose goroutine Run has not yet started.
+const maxPendingStarts = 1024
 
-// NewSender makes a sender that calls method with a slice of messages.
+// NewSender creates a sender that calls method with a slice of messages. It opens its
+// connections with dialer.
 func NewSender[T any](dialer Dialer, method string) *Sender[T] {
-	return &Sender[T]{dialer: dialer, method: method, starts: make(chan start[T], maxPeers), queues: make(map[string]chan T)}
+	return &Sender[T]{dialer: dialer, method: method, starts: make(chan peerStart[T], maxPendingStarts), queues: make(map[string]chan T)}
 }
 
-// Run sends until ctx ends, with one duty for each peer.
+// Run sends queued messages until ctx ends, with one goroutine for each peer.
 func (s *Sender[T]) Run(ctx context.Context) error {
 	group := pool.New()
 	defer group.Wait()
@@ -63,12 +66,13 @@
 		case <-ctx.Done():
 			return nil
 		case p := <-s.starts:
-			group.Go(func() { s.peer(ctx, p.address, p.queue) })
+			group.Go(func() { s.sendToPeer(ctx, p.address, p.queue) })
 		}
 	}
 }
 
-// Post queues a message; it is dropped where the queue is full.
+// Post queues a message for the peer at address. It drops the message if the queue is
+// full.
 func (s *Sender[T]) Post(address string, message T) {
 	select {
 	case s.queue(address) <- message:
@@ -76,80 +80,85 @@
 	}
 }
 
+// queue returns the queue of an address. For a new address it creates one and
+// requests a goroutine.
 func (s *Sender[T]) queue(address string) chan T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	queue, ok := s.queues[address]
 	if !ok {
-		queue = make(chan T, senderQueue)
+		queue = make(chan T, queueSize)
 		s.queues[address] = queue
-		s.starts <- start[T]{address, queue}
+		s.starts <- peerStart[T]{address, queue}
 	}
 	return queue
 }
 
-// peer sends what is queued for one address.
-func (s *Sender[T]) peer(ctx context.Context, address string, queue <-chan T) {
+// sendToPeer sends the messages queued for one address until ctx ends. It drops them
+// while no connection can be opened.
+func (s *Sender[T]) sendToPeer(ctx context.Context, address string, queue <-chan T) {
 	for ctx.Err() == nil {
-		raw, err := s.dialer.DialContext(ctx, "tcp", address)
+		netConn, err := s.dialer.DialContext(ctx, "tcp", address)
 		if err != nil {
-			drain(queue)
-			duty.Pause(ctx, senderPause)
+			discardQueued(queue)
+			duty.Pause(ctx, retryPause)
 			continue
 		}
-		client := rpc.NewClient(bounded{raw})
-		answered := s.stream(ctx, client, queue)
+		client := rpc.NewClient(timedConn{netConn})
+		answered := s.sendUntilFailure(ctx, client, queue)
 		client.Close()
 		if !answered {
-			duty.Pause(ctx, senderPause)
+			duty.Pause(ctx, retryPause)
 		}
 	}
 }
 
-// stream sends until the connection fails, falls silent or ctx ends. It tells
-// whether the peer has answered anything.
-func (s *Sender[T]) stream(ctx context.Context, client *rpc.Client, queue <-chan T) (heard bool) {
-	done := make(chan *rpc.Call, senderOpen+1)
-	open := 0
-	answered := time.Now()
-	watch := time.NewTicker(senderSilence / 4)
-	defer watch.Stop()
+// sendUntilFailure sends queued messages until the connection fails, the peer has
+// answered no call for answerTimeout, or ctx ends. It reports whether the peer
+// answered any call.
+func (s *Sender[T]) sendUntilFailure(ctx context.Context, client *rpc.Client, queue <-chan T) (anyAnswer bool) {
+	done := make(chan *rpc.Call, maxUnanswered+1)
+	unanswered := 0
+	lastAnswer := time.Now()
+	ticker := time.NewTicker(answerTimeout / 4)
+	defer ticker.Stop()
 	for {
-		var take <-chan T
-		if open < senderOpen {
-			take = queue
+		var source <-chan T
+		if unanswered < maxUnanswered {
+			source = queue
 		}
 		select {
 		case <-ctx.Done():
-			return heard
+			return anyAnswer
 		case call := <-done:
 			if call.Error != nil {
-				return heard
+				return anyAnswer
 			}
-			heard = true
-			open--
-			answered = time.Now()
-		case <-watch.C:
-			if open > 0 && time.Since(answered) > senderSilence {
-				return heard
+			anyAnswer = true
+			unanswered--
+			lastAnswer = time.Now()
+		case <-ticker.C:
+			if unanswered > 0 && time.Since(lastAnswer) > answerTimeout {
+				return anyAnswer
 			}
-		case first := <-take:
-			if open == 0 {
-				answered = time.Now()
+		case first := <-source:
+			if unanswered == 0 {
+				lastAnswer = time.Now()
 			}
-			client.Go(s.method, batch(first, queue), new(Empty), done)
-			open++
+			client.Go(s.method, collectBatch(first, queue), new(Empty), done)
+			unanswered++
 		}
 	}
 }
 
-// Empty is the answer of a call that has none.
+// Empty is the reply type of calls that return no data.
 type Empty struct{}
 
-// batch takes what else is queued.
-func batch[T any](first T, queue <-chan T) []T {
+// collectBatch returns first and the messages already queued behind it, at most
+// maxBatch in all.
+func collectBatch[T any](first T, queue <-chan T) []T {
 	out := []T{first}
-	for len(out) < senderBatch {
+	for len(out) < maxBatch {
 		select {
 		case next := <-queue:
 			out = append(out, next)
@@ -160,7 +169,7 @@
 	return out
 }
 
-func drain[T any](queue <-chan T) {
+func discardQueued[T any](queue <-chan T) {
 	for {
 		select {
 		case <-queue:
--- a/wire/server.go
+++ b/wire/server.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Server answers calls. NewServer makes one.
+// Server answers calls. NewServer creates one.
 type Server struct {
 	rpc *rpc.Server
 
@@ -18,17 +18,18 @@
 	conns map[net.Conn]bool
 }
 
-// NewServer makes a server that answers nothing yet.
+// NewServer creates a server without receivers; Register adds them.
 func NewServer() *Server {
 	return &Server{rpc: rpc.NewServer(), conns: make(map[net.Conn]bool)}
 }
 
-// Register adds a receiver whose methods are called as "name.Method".
+// Register adds a receiver. Clients call its methods as "name.Method".
 func (s *Server) Register(name string, receiver any) error {
 	return errors.Annotatef(s.rpc.RegisterName(name, receiver), "register %s", name)
 }
 
-// Serve answers the connections of a listener until ctx ends.
+// Serve accepts connections and answers their calls until ctx ends. It then closes
+// the listener and all connections.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		listener.Close()
@@ -45,18 +46,19 @@
 		if err != nil {
 			return errors.Annotate(err, "accept")
 		}
-		if !s.add(ctx, conn) {
+		if !s.track(ctx, conn) {
 			return nil
 		}
 		group.Go(func() {
 			s.rpc.ServeConn(conn)
-			s.remove(conn)
+			s.untrack(conn)
 		})
 	}
 }
 
-// add notes a connection, so that it can be closed at the end.
-func (s *Server) add(ctx context.Context, conn net.Conn) bool {
+// track registers a connection for closeAll. If ctx has ended, it closes the
+// connection and returns false.
+func (s *Server) track(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx.Err() != nil {
@@ -67,7 +69,7 @@
 	return true
 }
 
-func (s *Server) remove(conn net.Conn) {
+func (s *Server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -15,40 +15,42 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Echo is a receiver that can hang.
+// Echo is an RPC receiver. Its method Hang blocks until hang is closed, and calls counts the
+// messages that Take received.
 type Echo struct {
 	hang  chan struct{}
 	calls atomic.Int64
 }
 
-// Say answers what it was told.
+// Say returns text.
 func (e *Echo) Say(text string, reply *string) error {
 	*reply = text
 	return nil
 }
 
-// Fail answers with an error.
+// Fail returns an error.
 func (e *Echo) Fail(string, *string) error { return errors.New("no") }
 
-// Hang answers when the test ends.
+// Hang returns when the test ends.
 func (e *Echo) Hang(string, *string) error {
 	<-e.hang
 	return nil
 }
 
-// Slow answers a list after a moment.
+// Slow returns a list after wait.
 func (e *Echo) Slow(wait time.Duration, reply *[]string) error {
 	time.Sleep(wait)
 	*reply = []string{"late", "answer"}
 	return nil
 }
 
-// Take counts messages.
+// Take counts the messages that it receives.
 func (e *Echo) Take(messages []int, _ *wire.Empty) error {
 	e.calls.Add(int64(len(messages)))
 	return nil
 }
 
+// serve starts a server with an Echo receiver and returns the receiver and the address.
 func serve(t *testing.T) (*Echo, string) {
 	t.Helper()
 	echo := &Echo{hang: make(chan struct{})}
@@ -69,12 +71,14 @@
 
 func kindOf(t *testing.T, err error) wire.ErrorKind {
 	t.Helper()
-	var failed *wire.Error
-	must.True(t, errors.As(err, &failed))
-	return failed.Kind
+	var rpcErr *wire.Error
+	must.True(t, errors.As(err, &rpcErr))
+	return rpcErr.Kind
 }
 
-func TestPeerThatHangsHoldsNothingUp(t *testing.T) {
+// TestHungPeerDoesNotBlockOtherCalls guards against a call without an answer that blocks its
+// caller, or later calls to the same peer, after its deadline.
+func TestHungPeerDoesNotBlockOtherCalls(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("calls", func(t *testing.T) {
 		_, address := serve(t)
@@ -89,7 +93,9 @@
 	})
 }
 
-func TestUnreachablePeerIsUnsent(t *testing.T) {
+// TestCallToUnreachablePeerIsUnsent guards against a call that is reported as possibly executed
+// although no connection could be opened.
+func TestCallToUnreachablePeerIsUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	listener.Close()
@@ -98,7 +104,9 @@
 	must.Eq(t, wire.Unsent, kindOf(t, err))
 }
 
-func TestSenderSurvivesALostPeer(t *testing.T) {
+// TestUnreachablePeerDoesNotBlockSender guards against a peer with a full queue and no
+// connection that delays messages to other peers.
+func TestUnreachablePeerDoesNotBlockSender(t *testing.T) {
 	echo, address := serve(t)
 	sender := wire.NewSender[int](&net.Dialer{Timeout: time.Second}, "Echo.Take")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -106,7 +114,7 @@
 	group.Go(func() { _ = sender.Run(ctx) })
 	defer group.Wait()
 	defer cancel()
-	for i := range 5000 { // nobody listens there
+	for i := range 5000 { // no process listens at this address
 		sender.Post("127.0.0.1:1", i)
 	}
 	for i := range 100 {
@@ -121,10 +129,10 @@
 	t.Fatalf("%d of 100 messages arrived", echo.calls.Load())
 }
 
-// TestLateAnswerTouchesNothing gives calls up and goes on using their replies
-// while the answers come in; the race detector sees a late answer that is still
-// written there.
-func TestLateAnswerTouchesNothing(t *testing.T) {
+// TestLateAnswerDoesNotWriteReply guards against an answer to an abandoned call that is written
+// to the caller's reply. The test uses the reply while late answers arrive; the race detector
+// reports such a write.
+func TestLateAnswerDoesNotWriteReply(t *testing.T) {
 	_, address := serve(t)
 	client := wire.NewClient(&net.Dialer{Timeout: time.Second})
 	defer client.Close()
@@ -134,7 +142,7 @@
 		group := pool.New()
 		group.Go(func() {
 			time.Sleep(5 * time.Millisecond)
-			cancel() // given up, with the connection kept
+			cancel() // abandons the call; the connection stays open
 		})
 		err := client.Call(ctx, address, "Echo.Slow", 6*time.Millisecond, &reply)
 		for range 100 {
