--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,14 +1,15 @@
-// Package wal keeps a replica's log durable.
+// Package wal stores the Raft log of a replica durably.
 //
-// A log is one snapshot file and one file of records after it. A record is a
-// length, a checksum and a JSON body; records are only ever added at the end,
-// and Save returns once they are synced. A crash can leave a torn record at
-// the end of the file: Open cuts it off, for nothing that depends on it can
-// have been sent. A record that is wrong before the last one is damage, which
-// Open reports and doesn't repair.
+// A log is one file of records. The first record has the snapshot and the state at
+// the time when the file was written; later ones are appended. A record is a length,
+// a checksum and a JSON body. Save returns once its record is synced. A crash can
+// leave a torn record at the end of the file. Open truncates it: since Save has not
+// returned, the replica can't have sent any message that depends on the record. An
+// invalid record before the last one is corruption, which Open reports and doesn't
+// repair.
 //
-// A snapshot replaces both files: the new pair is written beside the old one
-// and takes over by one rename, after which the old pair is removed.
+// Replace starts a new file with a new snapshot. It writes the file under a temporary
+// name, renames it, and then removes the old file.
 package wal
 
 import (
@@ -25,17 +26,19 @@
 	"github.com/linenscale/linenscale/raft"
 )
 
-// A record's header is the length of its body and the body's checksum.
+// Sizes of a record's header, in bytes: the length of the body, then its checksum.
 const (
-	lengthSize = 4
-	sumSize    = 8
-	headerSize = lengthSize + sumSize
+	lengthSize   = 4
+	checksumSize = 8
+	headerSize   = lengthSize + checksumSize
 )
 
-// maxRecord bounds a record's body, in bytes. A longer one is damage.
+// maxRecord bounds a record's body, in bytes. A greater length is treated as torn or
+// corrupt.
 const maxRecord = 256 << 20
 
-// CorruptionError says that a file's content can't be right.
+// CorruptionError reports a file that has an invalid record before its last one, or
+// a record that contradicts the ones before it.
 type CorruptionError struct {
 	File   string
 	Offset int
@@ -44,21 +47,21 @@
 
 // Error implements error.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s is damaged at byte %d: %s", e.File, e.Offset, e.Cause)
+	return fmt.Sprintf("%s is corrupt at byte %d: %s", e.File, e.Offset, e.Cause)
 }
 
-// record is the body of one record. One of its fields is set.
+// record is the body of one record. Fields that are not set leave the state as it is.
 type record struct {
 	Hard     *raft.HardState `json:"hard,omitempty"`
 	Entries  []raft.Entry    `json:"entries,omitempty"`
 	Snapshot *raft.Snapshot  `json:"snapshot,omitempty"`
 }
 
-// encode gives a record's bytes.
+// encode returns the header and the body of a record.
 func encode(r record) ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return nil, errors.Annotate(err, "record")
+		return nil, errors.Annotate(err, "encode record")
 	}
 	out := make([]byte, headerSize, headerSize+len(body))
 	binary.LittleEndian.PutUint32(out, uint32(len(body)))
@@ -66,9 +69,10 @@
 	return append(out, body...), nil
 }
 
-// decode reads one record from the start of data. whole is false where data
-// ends within it, or its checksum is wrong.
-func decode(data []byte) (r record, size int, whole bool, err error) {
+// decode reads one record from the start of data. size is the record's length with
+// its header. complete is false if data ends within the record or the checksum
+// doesn't match; err is for a body that isn't valid although the checksum matches.
+func decode(data []byte) (r record, size int, complete bool, err error) {
 	if len(data) < headerSize {
 		return record{}, 0, false, nil
 	}
@@ -81,27 +85,28 @@
 		return record{}, 0, false, nil
 	}
 	if err := json.Unmarshal(body, &r); err != nil {
-		return record{}, 0, false, errors.Annotate(err, "record with a right checksum")
+		return record{}, 0, false, errors.Annotate(err, "decode record with a valid checksum")
 	}
 	return r, headerSize + length, true, nil
 }
 
-// recordAfter tells whether any whole record stands in data: then what comes
-// before it is no torn end, but damage.
-func recordAfter(data []byte) bool {
+// containsRecord reports whether any complete record starts within data. If so, the
+// invalid bytes before it are corruption, not a torn end.
+func containsRecord(data []byte) bool {
 	for ; len(data) > headerSize; data = data[1:] {
 		if data[headerSize] != '{' {
 			continue
 		}
-		if _, _, whole, err := decode(data); whole || err != nil {
+		if _, _, complete, err := decode(data); complete || err != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// replay adds a record to the state.
-func replay(state *raft.State, r record) error {
+// applyRecord applies a record to the state. Entries replace all entries from the
+// index of the first on, and must be contiguous.
+func applyRecord(state *raft.State, r record) error {
 	if r.Hard != nil {
 		state.Hard = *r.Hard
 	}
@@ -111,34 +116,35 @@
 	if len(r.Entries) == 0 {
 		return nil
 	}
-	keep := int64(r.Entries[0].Index) - int64(state.Snapshot.Index) - 1
-	if keep < 0 || keep > int64(len(state.Entries)) {
-		return errors.Errorf("entry %d doesn't follow %d", r.Entries[0].Index, state.Snapshot.Index+uint64(len(state.Entries)))
+	kept := int64(r.Entries[0].Index) - int64(state.Snapshot.Index) - 1
+	if kept < 0 || kept > int64(len(state.Entries)) {
+		return errors.Errorf("entry %d doesn't follow entry %d", r.Entries[0].Index, state.Snapshot.Index+uint64(len(state.Entries)))
 	}
 	for i, e := range r.Entries {
 		if e.Index != r.Entries[0].Index+uint64(i) {
-			return errors.Errorf("entry %d out of order", e.Index)
+			return errors.Errorf("entry %d is out of order", e.Index)
 		}
 	}
-	state.Entries = append(state.Entries[:keep], r.Entries...)
+	state.Entries = append(state.Entries[:kept], r.Entries...)
 	return nil
 }
 
-// Decode reads a whole file of records. It gives the state and the size of the
-// part that is whole; what follows is a torn record that may be cut off.
+// Decode reads the content of a log file. name is for errors. It returns the state and
+// the size of the complete records, in bytes; what follows is a torn record that may
+// be truncated. The error is a *CorruptionError.
 func Decode(name string, data []byte) (state raft.State, size int, err error) {
 	for size < len(data) {
-		r, n, whole, err := decode(data[size:])
+		r, n, complete, err := decode(data[size:])
 		if err != nil {
 			return raft.State{}, size, &CorruptionError{name, size, err.Error()}
 		}
-		if !whole {
-			if recordAfter(data[size+1:]) {
-				return raft.State{}, size, &CorruptionError{name, size, "a record is wrong before the last one"}
+		if !complete {
+			if containsRecord(data[size+1:]) {
+				return raft.State{}, size, &CorruptionError{name, size, "a record before the last one is invalid"}
 			}
 			return state, size, nil
 		}
-		if err := replay(&state, r); err != nil {
+		if err := applyRecord(&state, r); err != nil {
 			return raft.State{}, size, &CorruptionError{name, size, err.Error()}
 		}
 		size += n
@@ -146,26 +152,30 @@
 	return state, size, nil
 }
 
-// filePrefix begins the name of each log file; its number follows.
+// filePrefix starts the name of each log file; the file's number in hexadecimal
+// follows.
 const filePrefix = "log-"
 
-// temporary ends the name of a file that is not yet complete.
-const temporary = ".new"
+// temporarySuffix ends the name of a file that is still being written.
+const temporarySuffix = ".new"
 
-// Log is an open log. Open makes one; it is not safe for concurrent use.
+// Log is an open log. Open returns one; it is not safe for concurrent use.
 type Log struct {
-	folder disk.Folder
-	file   disk.File
-	name   string
-	number uint64
-	size   int64 // of what is known to be whole in the file, in bytes
-	torn   bool  // a record was written in part: it must be cut off first
-	// unnamed is set while the name of the file may not be durable: until it
-	// is, nothing may be saved there.
-	unnamed bool
+	folder    disk.Folder
+	file      disk.File
+	name      string
+	number    uint64
+	size      int64 // size of the complete records in the file, in bytes
+	mayBeTorn bool  // a write failed: truncate the file to size before the next one
+	// nameUnsynced is set while the name of the file may not be durable. Nothing
+	// may be saved in the file before the folder has been synced.
+	nameUnsynced bool
 }
 
-// Open reads the log of a folder, repairs a torn end and opens it for writing.
+// Open reads the newest log file of a folder, truncates a torn record at its end and
+// opens it for appending. In an empty folder it creates the first file. It removes
+// files left by a Replace that a crash interrupted. The error is a *CorruptionError
+// if the file is corrupt.
 func Open(folder disk.Folder) (*Log, raft.State, error) {
 	names, err := folder.Names()
 	if err != nil {
@@ -173,12 +183,12 @@
 	}
 	l := &Log{folder: folder}
 	for _, name := range names {
-		if strings.HasSuffix(name, temporary) {
+		if strings.HasSuffix(name, temporarySuffix) {
 			if err := folder.Remove(name); err != nil {
 				return nil, raft.State{}, errors.Trace(err)
 			}
 		}
-		if number, ok := numberOf(name); ok && number >= l.number {
+		if number, ok := parseFileName(name); ok && number >= l.number {
 			l.number, l.name = number, name
 		}
 	}
@@ -188,7 +198,8 @@
 	return l.reopen(names)
 }
 
-func numberOf(name string) (uint64, bool) {
+// parseFileName returns the number of a log file, and false for any other name.
+func parseFileName(name string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, filePrefix)
 	if !ok {
 		return 0, false
@@ -197,10 +208,10 @@
 	return number, err == nil
 }
 
-func nameOf(number uint64) string { return fmt.Sprintf("%s%016x", filePrefix, number) }
+func fileName(number uint64) string { return fmt.Sprintf("%s%016x", filePrefix, number) }
 
 func (l *Log) create() (*Log, raft.State, error) {
-	if err := l.replace(raft.State{}); err != nil {
+	if err := l.writeNewFile(raft.State{}); err != nil {
 		return nil, raft.State{}, err
 	}
 	return l, raft.State{}, nil
@@ -217,19 +228,20 @@
 	}
 	if size < len(data) {
 		if err := l.folder.Truncate(l.name, int64(size)); err != nil {
-			return nil, raft.State{}, errors.Annotate(err, "cut off a torn record")
+			return nil, raft.State{}, errors.Annotate(err, "truncate a torn record")
 		}
 	}
 	if l.file, err = l.folder.Append(l.name); err != nil {
 		return nil, raft.State{}, errors.Trace(err)
 	}
 	l.size = int64(size)
-	return l, state, l.removeOld(names)
+	return l, state, l.removeOldFiles(names)
 }
 
-func (l *Log) removeOld(names []string) error {
+// removeOldFiles removes those of the named log files that l has replaced.
+func (l *Log) removeOldFiles(names []string) error {
 	for _, name := range names {
-		if _, ok := numberOf(name); ok && name != l.name {
+		if _, ok := parseFileName(name); ok && name != l.name {
 			if err := l.folder.Remove(name); err != nil {
 				return errors.Trace(err)
 			}
@@ -238,9 +250,9 @@
 	return nil
 }
 
-// Save makes a hard state and entries durable. Entries replace all from the
-// first's index on. hard may be nil. After an error nothing has been saved, and
-// Save may be called again with the same.
+// Save makes a hard state and entries durable. Entries replace all saved entries from
+// the index of the first on; hard may be nil. After an error the caller must treat
+// nothing as saved, and may call Save again with the same arguments.
 func (l *Log) Save(hard *raft.HardState, entries []raft.Entry) error {
 	if hard == nil && len(entries) == 0 {
 		return nil
@@ -252,58 +264,60 @@
 	if err := l.syncName(); err != nil {
 		return errors.Annotate(err, "sync the folder of the log")
 	}
-	if err := l.cutTorn(); err != nil {
-		return errors.Annotate(err, "cut off what was written in part")
+	if err := l.truncateTorn(); err != nil {
+		return errors.Annotate(err, "truncate a partly written record")
 	}
-	l.torn = true
+	l.mayBeTorn = true
 	if _, err := l.file.Write(data); err != nil {
 		return errors.Annotate(err, "write the log")
 	}
 	if err := l.file.Sync(); err != nil {
 		return errors.Annotate(err, "sync the log")
 	}
-	l.torn = false
+	l.mayBeTorn = false
 	l.size += int64(len(data))
 	return nil
 }
 
-// cutTorn cuts off a record that a full or faulty disk took in part.
-func (l *Log) cutTorn() error {
-	if !l.torn {
+// truncateTorn removes a record of which a full or faulty disk wrote only a part.
+func (l *Log) truncateTorn() error {
+	if !l.mayBeTorn {
 		return nil
 	}
 	if err := l.folder.Truncate(l.name, l.size); err != nil {
 		return errors.Trace(err)
 	}
-	l.torn = false
+	l.mayBeTorn = false
 	return nil
 }
 
-// Replace makes a new file of a whole state, and takes away the old one.
+// Replace writes a complete state to a new file and removes the old one. If it fails
+// before the rename of the new file, the log still uses the old one.
 func (l *Log) Replace(state raft.State) error {
 	names, err := l.folder.Names()
 	if err != nil {
 		return errors.Trace(err)
 	}
 	old := l.file
-	err = l.replace(state)
+	err = l.writeNewFile(state)
 	if l.file != old && old != nil {
-		_ = old.Close() // it is replaced: nothing is written there any more
+		_ = old.Close() // nothing more is written to the replaced file
 	}
 	if err != nil {
 		return err
 	}
-	return l.removeOld(names)
+	return l.removeOldFiles(names)
 }
 
-func (l *Log) replace(state raft.State) error {
+// writeNewFile writes state to the next file in number and switches l to it.
+func (l *Log) writeNewFile(state raft.State) error {
 	snapshot, hard := state.Snapshot, state.Hard
 	data, err := encode(record{Hard: &hard, Snapshot: &snapshot, Entries: state.Entries})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	name := nameOf(l.number + 1)
-	file, err := l.folder.Create(name + temporary)
+	name := fileName(l.number + 1)
+	file, err := l.folder.Create(name + temporarySuffix)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -313,24 +327,24 @@
 	if err := file.Sync(); err != nil {
 		return errors.Trace(err)
 	}
-	if err := l.folder.Rename(name+temporary, name); err != nil {
+	if err := l.folder.Rename(name+temporarySuffix, name); err != nil {
 		return errors.Trace(err)
 	}
 	l.file, l.name = file, name
-	l.size, l.torn, l.unnamed = int64(len(data)), false, true
+	l.size, l.mayBeTorn, l.nameUnsynced = int64(len(data)), false, true
 	l.number++
 	return l.syncName()
 }
 
-// syncName makes the name of the file durable, if that is still to be done.
+// syncName makes the name of the file durable, unless it already is.
 func (l *Log) syncName() error {
-	if !l.unnamed {
+	if !l.nameUnsynced {
 		return nil
 	}
 	if err := l.folder.Sync(); err != nil {
 		return errors.Trace(err)
 	}
-	l.unnamed = false
+	l.nameUnsynced = false
 	return nil
 }
 
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -23,30 +23,34 @@
 	return log, state
 }
 
-func TestWhatWasSavedSurvivesACrash(t *testing.T) {
-	for torn := range 80 {
+// TestSavedRecordsSurviveCrash guards against a torn record that makes earlier records, or those
+// saved after the repair, unreadable. The crash retains a varying number of unsynced bytes.
+func TestSavedRecordsSurviveCrash(t *testing.T) {
+	for unsyncedKept := range 80 {
 		folder := disk.NewMemory()
 		log, _ := open(t, folder)
 		must.NoError(t, log.Save(&raft.HardState{Term: 2, Vote: "a#1"}, []raft.Entry{entry(1, 1), entry(2, 2)}))
-		must.NoError(t, log.Save(nil, []raft.Entry{entry(2, 3)})) // replaces the second
-		// Part of a record reaches the disk without a sync.
+		must.NoError(t, log.Save(nil, []raft.Entry{entry(2, 3)})) // replaces the second entry
+		// Write a part of a record without a sync.
 		file, err := folder.Append("log-0000000000000001")
 		must.NoError(t, err)
 		_, err = file.Write(make([]byte, 3, 80)[:3])
 		must.NoError(t, err)
 		_, err = file.Write([]byte{0x20, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, '{', '"'})
 		must.NoError(t, err)
-		folder.Crash(torn)
-		again, state := open(t, folder)
+		folder.Crash(unsyncedKept)
+		reopened, state := open(t, folder)
 		must.Eq(t, raft.HardState{Term: 2, Vote: "a#1"}, state.Hard)
 		must.Eq(t, []raft.Entry{entry(1, 1), entry(2, 3)}, state.Entries)
-		must.NoError(t, again.Save(nil, []raft.Entry{entry(3, 3)}))
+		must.NoError(t, reopened.Save(nil, []raft.Entry{entry(3, 3)}))
 		_, state = open(t, folder)
-		must.SliceLen(t, 3, state.Entries, must.Sprint("what is written after the repair must be read"))
+		must.SliceLen(t, 3, state.Entries, must.Sprint("Open must read the entry saved after the repair"))
 	}
 }
 
-func TestSnapshotTakesOverAtomically(t *testing.T) {
+// TestSnapshotReplacesLogAtomically guards against a crash right after Replace that loses the new
+// snapshot or leaves the old file.
+func TestSnapshotReplacesLogAtomically(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
 	must.NoError(t, log.Save(&raft.HardState{Term: 1}, []raft.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}))
@@ -61,7 +65,9 @@
 	must.Eq(t, []string{"log-0000000000000002"}, names)
 }
 
-func TestDamageIsReportedAndNotCutOff(t *testing.T) {
+// TestCorruptionIsReportedAndNotTruncated guards against a flipped bit in the middle of a log that
+// is taken for a torn end, so that the saved records after it are lost.
+func TestCorruptionIsReportedAndNotTruncated(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
 	for i := range uint64(5) {
@@ -70,17 +76,17 @@
 	data, err := folder.Read("log-0000000000000001")
 	must.NoError(t, err)
 	for _, at := range []int{len(data) / 4, len(data) / 2} {
-		broken := append([]byte(nil), data...)
-		broken[at] ^= 0x40
-		_, _, err := wal.Decode("file", broken)
-		var damage *wal.CorruptionError
-		must.True(t, errors.As(err, &damage))
+		corrupted := append([]byte(nil), data...)
+		corrupted[at] ^= 0x40
+		_, _, err := wal.Decode("file", corrupted)
+		var corruption *wal.CorruptionError
+		must.True(t, errors.As(err, &corruption))
 	}
 }
 
-// TestFullDiskLosesNothing saves while the disk takes only parts of records, and
-// saves again once it takes all.
-func TestFullDiskLosesNothing(t *testing.T) {
+// TestFullDiskCausesNoDataLoss guards against partly written records that a full disk leaves
+// in the middle of the log once there is space again.
+func TestFullDiskCausesNoDataLoss(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
 	must.NoError(t, log.Save(nil, []raft.Entry{entry(1, 1)}))
@@ -98,6 +104,8 @@
 	must.Eq(t, []raft.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}, state.Entries)
 }
 
+// FuzzDecode checks that the part of a file that Decode reports as complete decodes to the same
+// state.
 func FuzzDecode(f *testing.F) {
 	folder := disk.NewMemory()
 	log, _, err := wal.Open(folder)
@@ -118,9 +126,9 @@
 		if err != nil {
 			return
 		}
-		again, sameSize, err := wal.Decode("fuzz", data[:size])
+		decodedAgain, sizeAgain, err := wal.Decode("fuzz", data[:size])
 		must.NoError(t, err)
-		must.Eq(t, size, sameSize)
-		must.Eq(t, state, again)
+		must.Eq(t, size, sizeAgain)
+		must.Eq(t, state, decodedAgain)
 	})
 }
