--- a/disk/disk.go
+++ b/disk/disk.go
@@ -1,8 +1,9 @@
-// Package disk is the small part of a file system that durable state needs.
+// Package disk defines the few file system operations that durable state needs.
 //
-// A file's bytes last once Sync has returned, and a file's name lasts once the
-// folder has been synced; nothing else is promised. Memory keeps those rules
-// in a fake that can lose whatever was not synced.
+// A file's content is durable once File.Sync has returned. Its name, and a rename or
+// removal, is durable once Folder.Sync has returned. Nothing else is guaranteed.
+// Dir implements Folder on the file system. Memory is a fake with the same
+// guarantees that can lose everything not synced.
 package disk
 
 import (
@@ -14,45 +15,46 @@
 	"github.com/juju/errors"
 )
 
-// File is an open file, written at its end.
+// File is a file open for appending.
 type File interface {
 	io.Writer
-	// Sync returns once all that was written is durable.
+	// Sync returns once all written data is durable.
 	Sync() error
 	Close() error
 }
 
-// Folder is one folder without subfolders.
+// Folder is a folder of files without subfolders.
 type Folder interface {
-	// Create makes or empties a file.
+	// Create creates a file, or truncates an existing one to length 0.
 	Create(name string) (File, error)
-	// Append opens a file to write at its end.
+	// Append opens an existing file for appending.
 	Append(name string) (File, error)
 	Read(name string) ([]byte, error)
-	// Names lists the files in order.
+	// Names returns the names of the files, sorted.
 	Names() ([]string, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Truncate cuts a file to a size in bytes and makes that durable.
+	// Truncate shortens a file to size bytes, durably.
 	Truncate(name string, size int64) error
-	// Sync makes the names durable: files made, renamed and removed.
+	// Sync makes the creation, renaming and removal of files durable.
 	Sync() error
 }
 
-// Dir is a Folder on the machine's file system. OpenDir makes one.
+// Dir is a Folder on the machine's file system. OpenDir returns one.
 type Dir struct {
 	path string
 }
 
 var _ Folder = Dir{}
 
-// OpenDir makes the folder if it is missing, durably.
+// OpenDir opens the folder at path. It creates missing folders and syncs the parent,
+// so that the folder itself is durable.
 func OpenDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return Dir{}, errors.Annotate(err, "data folder")
+		return Dir{}, errors.Annotate(err, "create data folder")
 	}
 	if err := syncFolder(filepath.Dir(path)); err != nil {
-		return Dir{}, errors.Annotate(err, "data folder")
+		return Dir{}, errors.Annotate(err, "sync parent of data folder")
 	}
 	return Dir{path}, nil
 }
@@ -66,11 +68,11 @@
 	return errors.Trace(folder.Sync())
 }
 
-func (d Dir) at(name string) string { return filepath.Join(d.path, name) }
+func (d Dir) pathOf(name string) string { return filepath.Join(d.path, name) }
 
 // Create implements Folder.
 func (d Dir) Create(name string) (File, error) {
-	file, err := os.OpenFile(d.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(d.pathOf(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -79,7 +81,7 @@
 
 // Append implements Folder.
 func (d Dir) Append(name string) (File, error) {
-	file, err := os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(d.pathOf(name), os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -88,7 +90,7 @@
 
 // Read implements Folder.
 func (d Dir) Read(name string) ([]byte, error) {
-	data, err := os.ReadFile(d.at(name))
+	data, err := os.ReadFile(d.pathOf(name))
 	return data, errors.Trace(err)
 }
 
@@ -110,15 +112,15 @@
 
 // Rename implements Folder.
 func (d Dir) Rename(from, to string) error {
-	return errors.Trace(os.Rename(d.at(from), d.at(to)))
+	return errors.Trace(os.Rename(d.pathOf(from), d.pathOf(to)))
 }
 
 // Remove implements Folder.
-func (d Dir) Remove(name string) error { return errors.Trace(os.Remove(d.at(name))) }
+func (d Dir) Remove(name string) error { return errors.Trace(os.Remove(d.pathOf(name))) }
 
 // Truncate implements Folder.
 func (d Dir) Truncate(name string, size int64) error {
-	file, err := os.OpenFile(d.at(name), os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(d.pathOf(name), os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/disk/memory.go
+++ b/disk/memory.go
@@ -9,64 +9,65 @@
 	"github.com/juju/errors"
 )
 
-// Memory is a Folder in memory for tests, and for hosts without a disk. Crash
-// loses what was not synced. NewMemory makes one.
+// Memory is a Folder in memory, for tests and for hosts without a disk. Crash
+// discards everything that was not synced. NewMemory creates one; it is safe for
+// concurrent use.
 type Memory struct {
-	mu    sync.Mutex
-	names map[string]*content // as seen now
-	saved map[string]*content // as the last folder sync left them
-	full  bool
+	mu      sync.Mutex
+	current map[string]*fileContent // files as callers see them
+	durable map[string]*fileContent // files as of the last Sync of the folder
+	full    bool
 }
 
-type content struct {
+type fileContent struct {
 	data   []byte
-	synced int // bytes that a crash keeps
+	synced int // number of bytes that survive a crash
 }
 
 var _ Folder = (*Memory)(nil)
 
-// NewMemory makes an empty folder.
+// NewMemory creates an empty folder.
 func NewMemory() *Memory {
-	return &Memory{names: map[string]*content{}, saved: map[string]*content{}}
+	return &Memory{current: map[string]*fileContent{}, durable: map[string]*fileContent{}}
 }
 
-// Crash loses all that was not synced. torn is how many of the unsynced bytes
-// of each file are kept all the same, as a disk may do.
-func (m *Memory) Crash(torn int) {
+// Crash discards everything that was not synced, except for the first unsyncedKept
+// unsynced bytes of each file: a disk may retain some of them.
+func (m *Memory) Crash(unsyncedKept int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.names = map[string]*content{}
-	for name, c := range m.saved {
-		keep := min(len(c.data), c.synced+torn)
-		lost := &content{data: slices.Clone(c.data[:keep]), synced: keep}
-		m.names[name], m.saved[name] = lost, lost
+	m.current = map[string]*fileContent{}
+	for name, c := range m.durable {
+		kept := min(len(c.data), c.synced+unsyncedKept)
+		survivor := &fileContent{data: slices.Clone(c.data[:kept]), synced: kept}
+		m.current[name], m.durable[name] = survivor, survivor
 	}
 }
 
-// ErrFull is the failure of a write to a full folder.
-var ErrFull = errors.New("no space is left")
+// ErrFull is the error of a write to a Memory that SetFull has made full.
+var ErrFull = errors.New("no space left in the folder")
 
-// SetFull makes every write take only half of its bytes and then fail, as on a
-// disk that is full, or ends that.
+// SetFull simulates a full disk: while full is true, each write stores only the first
+// half of its data and returns ErrFull.
 func (m *Memory) SetFull(full bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.full = full
 }
 
-// Lose empties the folder, as when a disk is replaced.
+// Lose removes all files durably, as when the disk is replaced.
 func (m *Memory) Lose() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.names, m.saved = map[string]*content{}, map[string]*content{}
+	m.current, m.durable = map[string]*fileContent{}, map[string]*fileContent{}
 }
 
 // Create implements Folder.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := &content{}
-	m.names[name] = c
+	c := &fileContent{}
+	m.current[name] = c
 	return &memoryFile{m, c}, nil
 }
 
@@ -74,15 +75,15 @@
 func (m *Memory) Append(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, err := m.get(name)
+	c, err := m.lookup(name)
 	if err != nil {
 		return nil, err
 	}
 	return &memoryFile{m, c}, nil
 }
 
-func (m *Memory) get(name string) (*content, error) {
-	c, ok := m.names[name]
+func (m *Memory) lookup(name string) (*fileContent, error) {
+	c, ok := m.current[name]
 	if !ok {
 		return nil, errors.Annotatef(os.ErrNotExist, "file %q", name)
 	}
@@ -93,7 +94,7 @@
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, err := m.get(name)
+	c, err := m.lookup(name)
 	if err != nil {
 		return nil, err
 	}
@@ -104,8 +105,8 @@
 func (m *Memory) Names() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	names := make([]string, 0, len(m.names))
-	for name := range m.names {
+	names := make([]string, 0, len(m.current))
+	for name := range m.current {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -116,12 +117,12 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, err := m.get(from)
+	c, err := m.lookup(from)
 	if err != nil {
 		return err
 	}
-	delete(m.names, from)
-	m.names[to] = c
+	delete(m.current, from)
+	m.current[to] = c
 	return nil
 }
 
@@ -129,10 +130,10 @@
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.get(name); err != nil {
+	if _, err := m.lookup(name); err != nil {
 		return err
 	}
-	delete(m.names, name)
+	delete(m.current, name)
 	return nil
 }
 
@@ -140,7 +141,7 @@
 func (m *Memory) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, err := m.get(name)
+	c, err := m.lookup(name)
 	if err != nil {
 		return err
 	}
@@ -153,16 +154,16 @@
 func (m *Memory) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.saved = make(map[string]*content, len(m.names))
-	for name, c := range m.names {
-		m.saved[name] = c
+	m.durable = make(map[string]*fileContent, len(m.current))
+	for name, c := range m.current {
+		m.durable[name] = c
 	}
 	return nil
 }
 
 type memoryFile struct {
-	folder *Memory
-	c      *content
+	folder  *Memory
+	content *fileContent
 }
 
 func (f *memoryFile) Write(data []byte) (int, error) {
@@ -170,17 +171,17 @@
 	defer f.folder.mu.Unlock()
 	if f.folder.full {
 		half := len(data) / 2
-		f.c.data = append(f.c.data, data[:half]...)
+		f.content.data = append(f.content.data, data[:half]...)
 		return half, ErrFull
 	}
-	f.c.data = append(f.c.data, data...)
+	f.content.data = append(f.content.data, data...)
 	return len(data), nil
 }
 
 func (f *memoryFile) Sync() error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
-	f.c.synced = len(f.c.data)
+	f.content.synced = len(f.content.data)
 	return nil
 }
 
--- a/disk/pair.go
+++ b/disk/pair.go
@@ -7,43 +7,45 @@
 	"github.com/juju/errors"
 )
 
-// Pair keeps one small value that is written again and again. Two files take
-// turns, so that one of them is whole when a write is torn. OpenPair makes one;
+// Pair stores one small value that is often replaced. Writes alternate between two
+// files, so that a torn write leaves the previous value intact. OpenPair opens one;
 // it is not safe for concurrent use.
 type Pair struct {
 	folder Folder
 	names  [2]string
-	serial uint64 // of the newest value
+	serial uint64 // serial number of the latest value; 0 if there is none
 }
 
-// A file holds the value's serial, the value, and the checksum of both.
+// A file contains the value's serial number, the value, and a checksum of both. The
+// sizes are in bytes.
 const (
 	serialSize   = 8
 	checksumSize = 8
 )
 
-// OpenPair opens the pair of that name in a folder, and gives the newest whole
-// value; nil where there is none.
+// OpenPair opens the pair with the given name in a folder. It returns the latest
+// complete value, or nil if there is none.
 func OpenPair(folder Folder, name string) (*Pair, []byte) {
 	p := &Pair{folder: folder, names: [2]string{name + "-a", name + "-b"}}
-	var newest []byte
+	var latest []byte
 	for _, file := range p.names {
 		data, err := folder.Read(file)
 		if err != nil || len(data) < serialSize+checksumSize {
-			continue // none was written, or the write was torn
+			continue // the file was never written, or the write was torn
 		}
 		body, sum := data[:len(data)-checksumSize], data[len(data)-checksumSize:]
 		if xxhash.Sum64(body) != binary.LittleEndian.Uint64(sum) {
-			continue // torn
+			continue // the write was torn
 		}
 		if serial := binary.LittleEndian.Uint64(body); serial > p.serial {
-			p.serial, newest = serial, body[serialSize:]
+			p.serial, latest = serial, body[serialSize:]
 		}
 	}
-	return p, newest
+	return p, latest
 }
 
-// Write replaces the value; it lasts once Write has returned.
+// Write replaces the value durably. After an error the stored value is either the
+// previous or the new one, and Write may be called again.
 func (p *Pair) Write(value []byte) error {
 	serial := p.serial + 1
 	data := binary.LittleEndian.AppendUint64(make([]byte, 0, serialSize+len(value)+checksumSize), serial)
--- a/disk/pair_test.go
+++ b/disk/pair_test.go
@@ -8,24 +8,26 @@
 	"github.com/linenscale/linenscale/disk"
 )
 
-func TestAPairKeepsTheNewestWholeValue(t *testing.T) {
+// TestPairReturnsNewestCompleteValue guards against a torn write that makes the previous value
+// unreadable, or that blocks later writes.
+func TestPairReturnsNewestCompleteValue(t *testing.T) {
 	folder := disk.NewMemory()
-	p, value := disk.OpenPair(folder, "mark")
+	pair, value := disk.OpenPair(folder, "mark")
 	must.Nil(t, value)
-	must.NoError(t, p.Write([]byte("one")))
-	must.NoError(t, p.Write([]byte("two")))
+	must.NoError(t, pair.Write([]byte("one")))
+	must.NoError(t, pair.Write([]byte("two")))
 	folder.Crash(0)
-	p, value = disk.OpenPair(folder, "mark")
+	pair, value = disk.OpenPair(folder, "mark")
 	must.Eq(t, "two", string(value))
 
-	// The disk takes half of the next value: the one before holds.
+	// The disk stores half of the next value; the previous value must remain readable.
 	folder.SetFull(true)
-	must.Error(t, p.Write([]byte("three")))
+	must.Error(t, pair.Write([]byte("three")))
 	folder.SetFull(false)
 	folder.Crash(9)
-	p, value = disk.OpenPair(folder, "mark")
+	pair, value = disk.OpenPair(folder, "mark")
 	must.Eq(t, "two", string(value))
-	must.NoError(t, p.Write([]byte("four")))
+	must.NoError(t, pair.Write([]byte("four")))
 	_, value = disk.OpenPair(folder, "mark")
 	must.Eq(t, "four", string(value))
 }
