--- a/disk/pair_test.go
+++ b/disk/pair_test.go
@@ -8,8 +8,8 @@
 	"github.com/linenscale/linenscale/disk"
 )
 
-// TestPairReturnsNewestCompleteValue guards against a torn write that makes the previous value
-// unreadable, or that blocks later writes.
+// TestPairReturnsNewestCompleteValue guards against a torn write that makes the
+// previous value unreadable, or that blocks later writes.
 func TestPairReturnsNewestCompleteValue(t *testing.T) {
 	folder := disk.NewMemory()
 	pair, value := disk.OpenPair(folder, "mark")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -192,7 +192,7 @@
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.Method, call.URL, body)
 	if err != nil {
-		return nil, &Failure{NotRun: true, cause: errors.Annotate(err, "create request")}
+		return nil, &Failure{NotRun: true, cause: errors.Annotate(err, "request")}
 	}
 	req.Header = call.Header
 	if call.Host != "" {
@@ -313,7 +313,7 @@
 			return total, nil
 		}
 		if err != nil {
-			return total, errors.Annotate(err, "read answer")
+			return total, errors.Annotate(err, "answer")
 		}
 	}
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -115,7 +115,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return nil, &Failure{cause: errors.Annotate(err, "read answer")}
+		return nil, &Failure{cause: errors.Annotate(err, "answer")}
 	}
 	if int64(len(data)) > limit {
 		return nil, &Failure{cause: errors.Errorf("the answer is longer than %d bytes", limit)}
--- a/relay/wanted_test.go
+++ b/relay/wanted_test.go
@@ -14,9 +14,10 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// TestCallNoLongerUsableWritesNothing guards against a request sent to an engine that stopped
-// accepting requests while the connection was being opened. The call must end as not run, and
-// the engine must not receive it. Pooled connections skip the check, as they need no opening.
+// TestCallNoLongerUsableWritesNothing guards against a request sent to an engine that
+// stopped accepting requests while the connection was being opened. The call must end
+// as not run, and the engine must not receive it. Pooled connections skip the check, as
+// they need no opening.
 func TestCallNoLongerUsableWritesNothing(t *testing.T) {
 	errUnusable := errors.New("unwanted")
 	for name, fresh := range map[string]bool{"kept": false, "fresh": true} {
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -61,7 +61,7 @@
 func encode(r record) ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return nil, errors.Annotate(err, "encode record")
+		return nil, errors.Annotate(err, "record")
 	}
 	out := make([]byte, headerSize, headerSize+len(body))
 	binary.LittleEndian.PutUint32(out, uint32(len(body)))
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -23,8 +23,9 @@
 	return log, state
 }
 
-// TestSavedRecordsSurviveCrash guards against a torn record that makes earlier records, or those
-// saved after the repair, unreadable. The crash retains a varying number of unsynced bytes.
+// TestSavedRecordsSurviveCrash guards against a torn record that makes earlier records,
+// or those saved after the repair, unreadable. The crash retains a varying number of
+// unsynced bytes.
 func TestSavedRecordsSurviveCrash(t *testing.T) {
 	for unsyncedKept := range 80 {
 		folder := disk.NewMemory()
@@ -48,8 +49,8 @@
 	}
 }
 
-// TestSnapshotReplacesLogAtomically guards against a crash right after Replace that loses the new
-// snapshot or leaves the old file.
+// TestSnapshotReplacesLogAtomically guards against a crash right after Replace that
+// loses the new snapshot or leaves the old file.
 func TestSnapshotReplacesLogAtomically(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
@@ -65,8 +66,8 @@
 	must.Eq(t, []string{"log-0000000000000002"}, names)
 }
 
-// TestCorruptionIsReportedAndNotTruncated guards against a flipped bit in the middle of a log that
-// is taken for a torn end, so that the saved records after it are lost.
+// TestCorruptionIsReportedAndNotTruncated guards against a flipped bit in the middle of
+// a log that is mistaken for a torn end, so that the saved records after it are lost.
 func TestCorruptionIsReportedAndNotTruncated(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestFullDiskCausesNoDataLoss guards against partly written records that a full disk leaves
-// in the middle of the log once there is space again.
+// TestFullDiskCausesNoDataLoss guards against partly written records that a full disk
+// leaves in the middle of the log once there is space again.
 func TestFullDiskCausesNoDataLoss(t *testing.T) {
 	folder := disk.NewMemory()
 	log, _ := open(t, folder)
@@ -104,8 +105,8 @@
 	must.Eq(t, []raft.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}, state.Entries)
 }
 
-// FuzzDecode checks that the part of a file that Decode reports as complete decodes to the same
-// state.
+// FuzzDecode checks that the part of a file that Decode reports as complete decodes to
+// the same state.
 func FuzzDecode(f *testing.F) {
 	folder := disk.NewMemory()
 	log, _, err := wal.Open(folder)
--- a/wire/datagram.go
+++ b/wire/datagram.go
@@ -42,7 +42,7 @@
 func (d *Datagrams[T]) Send(message T, addresses []string) error {
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		return errors.Annotate(err, "encode datagram")
+		return errors.Annotate(err, "datagram")
 	}
 	data = append(d.preface[:], data...)
 	if len(data) > maxDatagramSize {
--- a/wire/deployment_test.go
+++ b/wire/deployment_test.go
@@ -31,8 +31,8 @@
 	return echo, listener.Addr().String()
 }
 
-// TestCallsOfAnotherDeploymentAreRejected guards against a host that joins another deployment
-// because a process of that deployment listens at a reused address.
+// TestCallsOfAnotherDeploymentAreRejected guards against a host that joins another
+// deployment because a process of that deployment listens at a reused address.
 func TestCallsOfAnotherDeploymentAreRejected(t *testing.T) {
 	_, address := serveDeployment(t, "club")
 	for _, test := range []struct {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestMessagesOfAnotherDeploymentAreDropped guards against the same fault for the messages of
-// a Sender.
+// TestMessagesOfAnotherDeploymentAreDropped guards against the same fault for the
+// messages of a Sender.
 func TestMessagesOfAnotherDeploymentAreDropped(t *testing.T) {
 	echo, address := serveDeployment(t, "club")
 	ctx, cancel := context.WithCancel(context.Background())
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -15,8 +15,8 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Echo is an RPC receiver. Its method Hang blocks until hang is closed, and calls counts the
-// messages that Take received.
+// Echo is an RPC receiver. Its method Hang blocks until hang is closed, and calls
+// counts the messages that Take received.
 type Echo struct {
 	hang  chan struct{}
 	calls atomic.Int64
@@ -76,8 +76,8 @@
 	return rpcErr.Kind
 }
 
-// TestHungPeerDoesNotBlockOtherCalls guards against a call without an answer that blocks its
-// caller, or later calls to the same peer, after its deadline.
+// TestHungPeerDoesNotBlockOtherCalls guards against a call without an answer that
+// blocks its caller, or later calls to the same peer, after its deadline.
 func TestHungPeerDoesNotBlockOtherCalls(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("calls", func(t *testing.T) {
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestCallToUnreachablePeerIsUnsent guards against a call that is reported as possibly executed
-// although no connection could be opened.
+// TestCallToUnreachablePeerIsUnsent guards against a call that is reported as possibly
+// executed although no connection could be opened.
 func TestCallToUnreachablePeerIsUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -129,9 +129,9 @@
 	t.Fatalf("%d of 100 messages arrived", echo.calls.Load())
 }
 
-// TestLateAnswerDoesNotWriteReply guards against an answer to an abandoned call that is written
-// to the caller's reply. The test uses the reply while late answers arrive; the race detector
-// reports such a write.
+// TestLateAnswerDoesNotWriteReply guards against an answer to an abandoned call that is
+// written to the caller's reply. The test uses the reply while late answers arrive; the
+// race detector reports such a write.
 func TestLateAnswerDoesNotWriteReply(t *testing.T) {
 	_, address := serve(t)
 	client := wire.NewClient(&net.Dialer{Timeout: time.Second})
