--- a/once/once.go
+++ b/once/once.go
@@ -1,14 +1,16 @@
-// Package once makes calls run at most once.
+// Package once provides at-most-once execution of calls that carry an
+// idempotency key.
 //
-// A caller names a call by an idempotency key of its account. Before the call
-// goes out, its intent is recorded at the key's one home; a repeat, on
-// whichever host it arrives, is told by the home what became of the first. A
-// Table is the home's state machine: it is driven by commands in the order of
-// a replicated log, uses no clock of its own, and answers every command with
-// a Verdict.
+// The caller chooses the key, which is scoped to its account and the service.
+// Each key has one home region. Before a host sends the call, it records its
+// intent there; a host that receives a repeat asks the home region for the
+// outcome of the first call. A Table is the state machine of the home region:
+// it applies the commands of a replicated log in order, reads no clock, and
+// returns a Verdict for every command.
 //
-// What is never guessed: an intent whose host died may or may not have been
-// sent, and stays unknown for as long as the key is kept.
+// The table never guesses an outcome. If a host dies after recording its
+// intent, the call may or may not have been sent, and its outcome remains
+// unknown until the key expires.
 package once
 
 import (
@@ -16,52 +18,52 @@
 	"time"
 )
 
-// Key names one call.
+// Key identifies one call.
 type Key struct {
 	Service string `json:"service"`
 	Account string `json:"account"`
 	Key     string `json:"key"`
 }
 
-// Call is one call with a key, on the host that wants to make it.
+// Call describes a call with an idempotency key on the host that sends it.
 type Call struct {
 	Key     Key
-	Home    string    // the region that keeps the key
-	Digest  uint64    // of the request, to tell two requests with one key apart
-	Attempt string    // new for each call that a host takes in
-	Until   time.Time // when the call will have ended, one way or the other
+	Home    string    // home region of the key
+	Digest  uint64    // hash of the request; detects reuse of a key for another request
+	Attempt string    // unique for each call that a host accepts
+	Until   time.Time // time by which the call has succeeded, failed or timed out
 }
 
-// Answer is a recorded answer.
+// Answer is the recorded response to a call.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
-	// Whole is false where the body was too long to keep; a repeat is then
-	// told the status alone.
+	// Whole is false if the body exceeded MaxBody and was not stored. A repeat
+	// then receives only the status.
 	Whole bool `json:"whole"`
 }
 
-// Verdict is the sealed set of answers to Begin: Run, Recorded, InProgress,
-// Unknown, Conflict and Full.
+// Verdict is the result of an OpBegin command. It is a sealed interface; its
+// implementations are Run, Recorded, InProgress, Unknown, Conflict and Full.
 type Verdict interface{ verdict() }
 
-// Run says that the intent is recorded and the call may go out, once.
+// Run means that the intent is recorded and the host may send the call once.
 type Run struct{}
 
-// Recorded gives the answer of the earlier call.
+// Recorded carries the response to the earlier call.
 type Recorded struct{ Answer Answer }
 
-// InProgress says that an earlier call has not ended.
+// InProgress means that an earlier call, begun at Since, has not ended.
 type InProgress struct{ Since time.Time }
 
-// Unknown says that an earlier call may or may not have run.
+// Unknown means that an earlier call may or may not have run.
 type Unknown struct{}
 
-// Conflict says that the key was used for another request.
+// Conflict means that the key was used before for a different request.
 type Conflict struct{}
 
-// Full says that the home keeps as many keys as it can.
+// Full means that the table holds its maximum number of keys and rejected the call.
 type Full struct{}
 
 func (Run) verdict()        {}
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -32,7 +32,7 @@
 		must.Eq[once.Verdict](t, once.Recorded{Answer: *answer}, table.Apply(begin("3", 7, start.Add(time.Hour))))
 		must.Eq[once.Verdict](t, once.Conflict{}, table.Apply(begin("4", 8, start.Add(time.Hour))))
 	})
-	t.Run("a Begin whose answer was lost may be sent again by its own host", func(t *testing.T) {
+	t.Run("a host may resend its own OpBegin after the reply was lost", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		must.Eq[once.Verdict](t, once.Run{}, table.Apply(begin("1", 7, start)))
@@ -43,19 +43,19 @@
 		must.Eq[once.Verdict](t, once.Unknown{}, table.Apply(begin("2", 7, start.Add(time.Minute))))
 		must.Eq[once.Verdict](t, once.Unknown{}, table.Apply(begin("3", 7, start.Add(time.Hour))))
 	})
-	t.Run("a late word of another attempt changes nothing", func(t *testing.T) {
+	t.Run("a late command of another attempt changes nothing", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		table.Apply(once.Command{Op: once.OpRelease, Key: key, Attempt: "0", At: start})
 		must.Eq[once.Verdict](t, once.InProgress{Since: start}, table.Apply(begin("2", 7, start)))
 	})
-	t.Run("an intent of which nothing was sent is forgotten", func(t *testing.T) {
+	t.Run("a released intent is deleted", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		table.Apply(once.Command{Op: once.OpRelease, Key: key, Attempt: "1", At: start})
 		must.Eq[once.Verdict](t, once.Run{}, table.Apply(begin("2", 7, start)))
 	})
-	t.Run("no key is dropped before its time", func(t *testing.T) {
+	t.Run("no key is evicted before its retention has passed", func(t *testing.T) {
 		table := once.NewTable(1)
 		table.Apply(begin("1", 7, start))
 		other := begin("2", 7, start)
@@ -65,7 +65,7 @@
 		must.Eq[once.Verdict](t, once.Run{}, table.Apply(other))
 		must.Eq(t, 1, table.Len())
 	})
-	t.Run("a clock that is behind doesn't make time go back", func(t *testing.T) {
+	t.Run("a proposer's slow clock doesn't turn the table's time back", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		table.Apply(begin("x", 9, start.Add(time.Minute)))
@@ -73,7 +73,7 @@
 	})
 }
 
-// machine drives a table by JSON, as package keyhome does.
+// machine applies JSON-encoded commands to a table, as package keyhome does.
 type machine struct{ *once.Table }
 
 func (m machine) Apply(_ uint64, data []byte) any {
@@ -84,11 +84,11 @@
 	return m.Table.Apply(c)
 }
 
-// caller makes calls with a few keys on any host, repeats those whose answer
-// it hasn't got, and counts how often each has run.
+// caller simulates a client that makes calls with a few keys on random hosts,
+// repeats the calls that got no response, and counts the executions of each key.
 type caller struct {
-	cluster *simlog.Cluster
-	ran     map[string]int
+	cluster    *simlog.Cluster
+	executions map[string]int
 
 	history *[]porcupine.Operation
 	client  int
@@ -100,11 +100,11 @@
 	sentAt  time.Time
 }
 
-// The history: each operation is a call with a key; its output says what the
-// caller was told. The model is one register for each key.
-type told struct {
+// callResult is the output of one operation of the history, which is a call with a
+// key. The model has one write-once register for each key.
+type callResult struct {
 	key    string
-	answer string // "" for not run, in progress, unknown or lost
+	answer string // "" if not run, in progress, unknown, or no reply arrived
 }
 
 var model = porcupine.Model{
@@ -122,11 +122,11 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
-		known, out := state.(string), output.(told)
-		if out.answer == "" {
-			return true, known
+		recorded, result := state.(string), output.(callResult)
+		if result.answer == "" {
+			return true, recorded
 		}
-		return known == "" || known == out.answer, out.answer
+		return recorded == "" || recorded == result.answer, result.answer
 	},
 }
 
@@ -140,47 +140,47 @@
 		return
 	}
 	if c.cluster.Now.Sub(c.sentAt) > 4*time.Second {
-		c.end("") // the caller gives up, and may come again
+		c.end("") // the call times out; the caller may repeat it
 	}
 }
 
 func (c *caller) send() {
-	n := c.cluster.Nodes[c.cluster.Random.IntN(len(c.cluster.Nodes))]
+	node := c.cluster.Nodes[c.cluster.Random.IntN(len(c.cluster.Nodes))]
 	c.sentAt = c.cluster.Now
-	if !n.Up || n.Paused {
+	if !node.Up || node.Paused {
 		c.end("")
 		return
 	}
 	c.attempt++
-	k, attempt, sent := c.key, fmt.Sprintf("%d/%d", c.client, c.attempt), c.attempt
-	c.propose(n, once.Command{Op: once.OpBegin, Key: once.Key{Key: k}, Attempt: attempt, Digest: 1, Until: c.cluster.Now.Add(5 * time.Second)}, func(v once.Verdict) {
+	k, attempt, attemptNumber := c.key, fmt.Sprintf("%d/%d", c.client, c.attempt), c.attempt
+	c.propose(node, once.Command{Op: once.OpBegin, Key: once.Key{Key: k}, Attempt: attempt, Digest: 1, Until: c.cluster.Now.Add(5 * time.Second)}, func(v once.Verdict) {
 		switch v := v.(type) {
 		case once.Run:
-			if c.attempt == sent && c.busy {
-				c.run(n, k, attempt)
+			if c.attempt == attemptNumber && c.busy {
+				c.run(node, k, attempt)
 			}
 		case once.Recorded:
-			if c.attempt == sent && c.busy {
+			if c.attempt == attemptNumber && c.busy {
 				c.end(string(v.Answer.Body))
 			}
 		default:
-			if c.attempt == sent && c.busy {
+			if c.attempt == attemptNumber && c.busy {
 				c.end("")
 			}
 		}
 	})
 }
 
-// run makes the call itself, unless its host dies in between.
+// run executes the call, unless its host crashes before or after it.
 func (c *caller) run(n *simlog.Node, k, attempt string) {
 	if c.cluster.Random.Float64() < 0.1 {
-		c.end("") // died after the record of intent
+		c.end("") // crash after recording the intent
 		return
 	}
-	c.ran[k]++
+	c.executions[k]++
 	answer := fmt.Sprintf("%s ran by %s", k, attempt)
 	if c.cluster.Random.Float64() < 0.1 {
-		c.end("") // died after the call
+		c.end("") // crash after the call, before recording its response
 		return
 	}
 	c.propose(n, once.Command{Op: once.OpFinish, Key: once.Key{Key: k}, Attempt: attempt, Answer: &once.Answer{Body: []byte(answer), Whole: true}}, func(once.Verdict) {})
@@ -203,12 +203,13 @@
 func (c *caller) end(answer string) {
 	c.busy = false
 	*c.history = append(*c.history, porcupine.Operation{
-		ClientId: c.client, Input: c.key, Call: c.called.UnixNano(), Output: told{c.key, answer}, Return: c.cluster.Now.UnixNano(),
+		ClientId: c.client, Input: c.key, Call: c.called.UnixNano(), Output: callResult{c.key, answer}, Return: c.cluster.Now.UnixNano(),
 	})
 }
 
-// TestCallsRunAtMostOnce lets callers repeat their calls on any host while
-// replicas of the key's home crash, pause and are cut off.
+// TestCallsRunAtMostOnce guards against running a call twice: callers repeat their
+// calls on random hosts while replicas of the keys' home region crash, pause and
+// are isolated from each other.
 func TestCallsRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		c := simlog.New(simlog.Options{
@@ -216,29 +217,29 @@
 			Delay: 10 * time.Millisecond, Loss: 0.02, SnapshotEvery: 30,
 			New: func() simlog.Machine { return machine{once.NewTable(100)} },
 		})
-		ran := map[string]int{}
+		executions := map[string]int{}
 		var history []porcupine.Operation
 		callers := make([]*caller, 4)
 		for i := range callers {
-			callers[i] = &caller{cluster: c, ran: ran, history: &history, client: i}
+			callers[i] = &caller{cluster: c, executions: executions, history: &history, client: i}
 		}
 		for i := range 12_000 {
 			if i%150 == 149 {
-				n := c.Nodes[c.Random.IntN(3)]
+				node := c.Nodes[c.Random.IntN(3)]
 				switch c.Random.IntN(6) {
 				case 0:
-					if n.Up {
-						c.Crash(n, c.Random.IntN(100))
+					if node.Up {
+						c.Crash(node, c.Random.IntN(100))
 					}
 				case 1:
-					n.Paused = !n.Paused
+					node.Paused = !node.Paused
 				case 2:
-					c.Isolate(n.Index, c.Random.IntN(2) == 0, true)
+					c.Isolate(node.Index, c.Random.IntN(2) == 0, true)
 				default:
-					c.Isolate(n.Index, false, false)
-					n.Paused = false
-					if !n.Up {
-						c.Start(n)
+					c.Isolate(node.Index, false, false)
+					node.Paused = false
+					if !node.Up {
+						c.Start(node)
 					}
 				}
 			}
@@ -247,10 +248,10 @@
 				caller.step()
 			}
 		}
-		for k, times := range ran {
-			must.LessEq(t, 1, times, must.Sprintf("seed %d: %s ran %d times", seed, k, times))
+		for k, count := range executions {
+			must.LessEq(t, 1, count, must.Sprintf("seed %d: %s ran %d times", seed, k, count))
 		}
-		must.Greater(t, 3, len(ran))
-		must.Eq(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model, history, time.Minute), must.Sprint("two callers were told different answers"))
+		must.Greater(t, 3, len(executions))
+		must.Eq(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model, history, time.Minute), must.Sprint("two callers received different responses for one key"))
 	}
 }
--- a/once/table.go
+++ b/once/table.go
@@ -7,41 +7,41 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a table.
+// Limits of a table.
 const (
-	// Retention is how long a key is kept after its call began. A repeat
-	// that comes later runs again.
+	// Retention is how long a key is stored after its call began. A repeat
+	// that arrives later runs again.
 	Retention = 24 * time.Hour
-	// MaxKeys is how many keys a table keeps. When it is full, new calls
-	// are refused as not run; no key is dropped before its time.
+	// MaxKeys is the capacity of a table. A full table rejects new calls, which
+	// then fail as not run; it never evicts a key before Retention has passed.
 	MaxKeys = 1 << 20
-	// MaxBody is the longest recorded body, in bytes.
+	// MaxBody is the maximum length of a recorded body in bytes.
 	MaxBody = 64 << 10
 )
 
-// Op is what a command does.
+// Op is the operation of a Command.
 type Op string
 
-// The operations.
+// Operations on a key.
 const (
-	// OpBegin records an intent.
+	// OpBegin records the intent to send a call.
 	OpBegin Op = "begin"
-	// OpFinish records the answer.
+	// OpFinish records the response to the call.
 	OpFinish Op = "finish"
-	// OpRelease forgets an intent of which nothing was sent.
+	// OpRelease deletes an intent whose call was not sent.
 	OpRelease Op = "release"
-	// OpLose records that the outcome will never be known.
+	// OpLose records that the outcome of the call can no longer be determined.
 	OpLose Op = "lose"
 )
 
-// Command is one entry of the home's log.
+// Command is one entry of the home region's replicated log.
 type Command struct {
 	Op      Op        `json:"op"`
 	Key     Key       `json:"key"`
-	Digest  uint64    `json:"digest,omitempty"` // of the request
-	Attempt string    `json:"attempt"`          // who began the call
-	At      time.Time `json:"at"`               // the proposer's clock
-	// Until is when a call that has not ended counts as unknown.
+	Digest  uint64    `json:"digest,omitempty"` // hash of the request
+	Attempt string    `json:"attempt"`          // Call.Attempt of the call that issued the command
+	At      time.Time `json:"at"`               // time on the proposer's clock
+	// Until is when a call that has not ended becomes Unknown.
 	Until  time.Time `json:"until,omitempty"`
 	Answer *Answer   `json:"answer,omitempty"`
 }
@@ -51,7 +51,7 @@
 const (
 	stateBegun    state = "begun"
 	stateFinished state = "finished"
-	stateLost     state = "lost"
+	stateUnknown  state = "lost"
 )
 
 type record struct {
@@ -63,88 +63,89 @@
 	Answer  *Answer   `json:"answer,omitempty"`
 }
 
-// Table is the state machine. NewTable makes one; it is not safe for
-// concurrent use.
+// Table is the state machine that stores the keys of one home region. It is not
+// safe for concurrent use.
 type Table struct {
-	records map[Key]record
-	order   []Key // by time of their beginning, oldest first
-	now     time.Time
-	maxKeys int
+	records   map[Key]record
+	keysByAge []Key     // oldest first; may contain deleted keys
+	now       time.Time // latest Command.At applied
+	maxKeys   int
 }
 
-// NewTable makes an empty table of at most maxKeys keys.
+// NewTable returns an empty table that holds at most maxKeys keys.
 func NewTable(maxKeys int) *Table {
 	return &Table{records: make(map[Key]record), maxKeys: maxKeys}
 }
 
-// Apply carries out one command. Commands of the same order give the same
-// verdicts on every replica. Only OpBegin has a verdict other than Run.
+// Apply executes one command. It is deterministic: replicas that apply the same
+// commands in the same order return the same verdicts. Only OpBegin returns a
+// verdict other than Run.
 func (t *Table) Apply(c Command) Verdict {
 	if c.At.After(t.now) {
-		t.now = c.At // clocks of proposers differ; the table's never goes back
+		t.now = c.At // proposers' clocks differ; the table's time is monotonic
 	}
 	t.expire()
-	old, known := t.records[c.Key]
+	rec, exists := t.records[c.Key]
 	if c.Op == OpBegin {
-		return t.begin(c, old, known)
+		return t.begin(c, rec, exists)
 	}
-	if !known || old.Attempt != c.Attempt || old.State != stateBegun {
+	if !exists || rec.Attempt != c.Attempt || rec.State != stateBegun {
 		return Run{}
 	}
 	switch c.Op {
 	case OpFinish:
-		old.State, old.Answer = stateFinished, c.Answer
-		t.records[c.Key] = old
+		rec.State, rec.Answer = stateFinished, c.Answer
+		t.records[c.Key] = rec
 	case OpLose:
-		old.State = stateLost
-		t.records[c.Key] = old
+		rec.State = stateUnknown
+		t.records[c.Key] = rec
 	case OpRelease:
 		delete(t.records, c.Key)
 	}
 	return Run{}
 }
 
-func (t *Table) begin(c Command, old record, known bool) Verdict {
-	if !known {
+func (t *Table) begin(c Command, rec record, exists bool) Verdict {
+	if !exists {
 		if len(t.records) >= t.maxKeys {
 			return Full{}
 		}
 		t.records[c.Key] = record{State: stateBegun, Digest: c.Digest, Attempt: c.Attempt, At: t.now, Until: c.Until}
-		t.order = append(t.order, c.Key)
+		t.keysByAge = append(t.keysByAge, c.Key)
 		return Run{}
 	}
 	switch {
-	case old.Digest != c.Digest:
+	case rec.Digest != c.Digest:
 		return Conflict{}
-	case old.State == stateBegun && old.Attempt == c.Attempt:
-		// The same Begin, resent by its own host because the first answer
-		// was lost: the call has not gone out.
+	case rec.State == stateBegun && rec.Attempt == c.Attempt:
+		// The host resent its own OpBegin because the first reply was lost. It
+		// sends the call only after a reply, so the call has not been sent.
 		return Run{}
-	case old.State == stateFinished:
-		return Recorded{*old.Answer}
-	case old.State == stateBegun && t.now.Before(old.Until):
-		return InProgress{old.At}
+	case rec.State == stateFinished:
+		return Recorded{*rec.Answer}
+	case rec.State == stateBegun && t.now.Before(rec.Until):
+		return InProgress{rec.At}
 	default:
 		return Unknown{}
 	}
 }
 
-// expire drops keys that are older than Retention.
+// expire deletes the keys that are older than Retention.
 func (t *Table) expire() {
-	for len(t.order) > 0 {
-		key := t.order[0]
-		r, ok := t.records[key]
-		if ok && t.now.Sub(r.At) <= Retention {
+	for len(t.keysByAge) > 0 {
+		key := t.keysByAge[0]
+		rec, ok := t.records[key]
+		if ok && t.now.Sub(rec.At) <= Retention {
 			return
 		}
-		t.order = t.order[1:]
+		t.keysByAge = t.keysByAge[1:]
 		if ok {
 			delete(t.records, key)
 		}
 	}
 }
 
-// Len gives the number of keys kept.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.records) }
 
 type tableJSON struct {
@@ -157,29 +158,29 @@
 	Record record `json:"record"`
 }
 
-// Snapshot writes the whole table.
+// Snapshot encodes the table as JSON.
 func (t *Table) Snapshot() ([]byte, error) {
 	out := tableJSON{Now: t.now}
-	for _, key := range t.order {
-		if r, ok := t.records[key]; ok {
-			out.Records = append(out.Records, recordJSON{key, r})
+	for _, key := range t.keysByAge {
+		if rec, ok := t.records[key]; ok {
+			out.Records = append(out.Records, recordJSON{key, rec})
 		}
 	}
 	return json.Marshal(out)
 }
 
-// Restore replaces the table by a snapshot.
+// Restore replaces the table's contents with those of a snapshot.
 func (t *Table) Restore(data []byte) error {
 	var in tableJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return errors.Annotate(err, "snapshot of keys")
+		return errors.Annotate(err, "decode snapshot of idempotency keys")
 	}
 	t.records = make(map[Key]record, len(in.Records))
-	t.order = t.order[:0]
+	t.keysByAge = t.keysByAge[:0]
 	t.now = in.Now
-	for _, r := range in.Records {
-		t.records[r.Key] = r.Record
-		t.order = append(t.order, r.Key)
+	for _, item := range in.Records {
+		t.records[item.Key] = item.Record
+		t.keysByAge = append(t.keysByAge, item.Key)
 	}
 	return nil
 }
