--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -12,105 +12,109 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Place is a host that may lead a region's log of keys.
+// Place is the RPC endpoint of a host that may lead a region's key log.
 type Place struct {
 	Host    string
-	Address string        // for net/rpc
-	Bound   time.Duration // of one call
+	Address string        // of its net/rpc listener
+	Bound   time.Duration // timeout of one call
 }
 
-// Finder tells where a region's log of keys may be led, the likeliest first.
+// Finder locates the hosts that may lead a region's key log. KeyPlaces returns all
+// hosts of a region, the most likely leader first. KeyPlace returns one host, or
+// false if its address is unknown.
 type Finder interface {
 	KeyPlaces(region string) []Place
 	KeyPlace(host string) (Place, bool)
 }
 
-// Client reaches the homes of keys. NewClient makes one.
+// Client sends commands to the leader of the key log in a key's home region. It
+// implements gateway.Keys.
 type Client struct {
 	finder Finder
-	calls  *wire.Client
+	rpc    *wire.Client
 }
 
-// NewClient makes a client.
+// NewClient returns a client that locates leaders by finder and calls them over calls.
 func NewClient(finder Finder, calls *wire.Client) *Client { return &Client{finder, calls} }
 
-// Bounds of a client's patience.
+// Timeouts of a client.
 const (
-	// beginTime is how long Begin tries; a home that can't be reached by
-	// then refuses the call as not run.
-	beginTime = 3 * time.Second
-	// releaseTime bounds the attempt to take back an intent whose Begin was
-	// not answered.
-	releaseTime = 500 * time.Millisecond
-	againPause  = 50 * time.Millisecond
+	// beginTimeout limits the retries of Begin. If no leader has replied by
+	// then, the call fails as not run.
+	beginTimeout = 3 * time.Second
+	// releaseTimeout limits the attempt to release an intent that Begin may have
+	// recorded without receiving the reply.
+	releaseTimeout = 500 * time.Millisecond
+	retryInterval  = 50 * time.Millisecond
 )
 
-// errNoHome says that the leader of a region's keys was not reached.
-var errNoHome = errors.New("the home of the key can't be reached")
+// errHomeUnreachable is returned if no leader of the home region's key log replied.
+var errHomeUnreachable = errors.New("the home of the key can't be reached")
 
-// Begin implements gateway.Keys. A Begin that may have arrived is sent again
-// with the same attempt, which the home takes for the same one.
+// Begin implements gateway.Keys. Its retries carry the same attempt, so that the
+// table recognises a command that had already arrived and applies it only once.
 func (c *Client) Begin(ctx context.Context, call once.Call) (once.Verdict, error) {
-	bound, cancel := context.WithTimeout(ctx, beginTime)
+	beginCtx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
-	reply, err := c.do(bound, call, once.Command{Op: once.OpBegin, Until: call.Until})
+	reply, err := c.execute(beginCtx, call, once.Command{Op: once.OpBegin, Until: call.Until})
 	if err == nil {
 		return reply.Verdict(), nil
 	}
-	short, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTime)
-	defer stop()
-	_ = c.Release(short, call) // where it fails, the key reads as in progress, then unknown
+	releaseCtx, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+	defer cancelRelease()
+	_ = c.Release(releaseCtx, call) // if this fails, repeats get InProgress and later Unknown
 	return nil, &request.NotRun{Reason: request.ReasonNoHome, Message: err.Error(), RetryAfter: time.Second}
 }
 
 // Finish implements gateway.Keys.
 func (c *Client) Finish(ctx context.Context, call once.Call, answer once.Answer) error {
-	_, err := c.do(ctx, call, once.Command{Op: once.OpFinish, Answer: &answer})
+	_, err := c.execute(ctx, call, once.Command{Op: once.OpFinish, Answer: &answer})
 	return err
 }
 
 // Release implements gateway.Keys.
 func (c *Client) Release(ctx context.Context, call once.Call) error {
-	_, err := c.do(ctx, call, once.Command{Op: once.OpRelease})
+	_, err := c.execute(ctx, call, once.Command{Op: once.OpRelease})
 	return err
 }
 
 // Lose implements gateway.Keys.
 func (c *Client) Lose(ctx context.Context, call once.Call) error {
-	_, err := c.do(ctx, call, once.Command{Op: once.OpLose})
+	_, err := c.execute(ctx, call, once.Command{Op: once.OpLose})
 	return err
 }
 
-// do sends a command to the key's home until it is answered or ctx ends.
-func (c *Client) do(ctx context.Context, call once.Call, command once.Command) (Reply, error) {
+// execute sends a command to the key's home region until a leader replies or ctx ends.
+func (c *Client) execute(ctx context.Context, call once.Call, command once.Command) (Reply, error) {
 	command.Key, command.Digest, command.Attempt = call.Key, call.Digest, call.Attempt
 	for ctx.Err() == nil {
-		for _, place := range c.finder.KeyPlaces(call.Home) {
-			if reply, ok := c.ask(ctx, place, command); ok {
+		for _, endpoint := range c.finder.KeyPlaces(call.Home) {
+			if reply, ok := c.callLeader(ctx, endpoint, command); ok {
 				return reply, nil
 			}
 		}
-		duty.Pause(ctx, againPause)
+		duty.Pause(ctx, retryInterval)
 	}
-	return Reply{}, errNoHome
+	return Reply{}, errHomeUnreachable
 }
 
-// ask asks one host, and the leader that it names.
-func (c *Client) ask(ctx context.Context, place Place, command once.Command) (Reply, bool) {
+// callLeader sends a command to one host. If that host doesn't lead, it follows the
+// reply's redirect to the leader once.
+func (c *Client) callLeader(ctx context.Context, endpoint Place, command once.Command) (Reply, bool) {
 	for range 2 {
 		var reply Reply
-		err := c.calls.WithTimeout(ctx, place.Bound, place.Address, "Keys.Do", command, &reply)
+		err := c.rpc.WithTimeout(ctx, endpoint.Bound, endpoint.Address, "Keys.Do", command, &reply)
 		if err != nil {
 			return Reply{}, false
 		}
 		if !reply.NotLead {
 			return reply, true
 		}
-		next, ok := c.finder.KeyPlace(reply.Leader)
+		leader, ok := c.finder.KeyPlace(reply.Leader)
 		if !ok {
 			return Reply{}, false
 		}
-		place = next
+		endpoint = leader
 	}
 	return Reply{}, false
 }
--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -1,13 +1,14 @@
-// Package keyhome runs the home of the idempotency keys of one region: a
-// replicated log of its own among the region's entry hosts, which drives a
-// once.Table.
+// Package keyhome stores the idempotency keys of one home region in a replicated
+// log (the key log), whose replicas run on the region's entry hosts and apply its
+// commands to a once.Table. Client sends commands to the leader of a key log.
 //
-// Keys are partitioned by the member's home region. A region that is cut off so
-// keeps deciding about its own members' calls, the record of an answer stays
-// where the member's data may be, and one region's calls don't wait for a wide
-// area round trip. A host without a disk takes part as well: it keeps its
-// replica in memory, and after a restart comes back under a new identity that
-// takes the lost one's place.
+// Keys are partitioned by the member's home region. A region that is partitioned
+// from the others can therefore still decide about its own members' calls, the
+// recorded answer stays where the member's data may be stored, and no call waits
+// for a wide-area round trip.
+//
+// A host without a disk also runs a replica and stores it in memory. After a
+// restart, it joins with a new replica identity, which replaces the lost one.
 package keyhome
 
 import (
@@ -28,36 +29,37 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// Timing of the log. Its replicas stand in one region, so it is tighter than
-// the control log's.
+// Timing of the key log. Its replicas are in one region, so its timeouts are
+// shorter than those of the control log.
 const (
-	election      = 900 * time.Millisecond
-	heartbeat     = 200 * time.Millisecond
-	snapshotEvery = 8192
+	electionTimeout   = 900 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
+	snapshotEntries   = 8192 // log entries between two snapshots
 )
 
-// Options shapes a Home.
+// Options configures a Home.
 type Options struct {
 	ID     raft.ID
 	Folder disk.Folder
 	Send   func(raft.Envelope)
-	Spares func() []voters.Spare // the region's replicas
-	Voters int                   // wanted
+	Spares func() []voters.Spare // lists the replicas of the region that may vote
+	Voters int                   // target number of voters
 	Log    *zap.Logger
 	Seed   uint64
 }
 
-// Home is one host's part. Open makes one.
+// Home is this host's replica of its region's key log.
 type Home struct {
-	replica *replica.Replica
-	table   *machine
-	keeper  *voters.Keeper
+	replica         *replica.Replica
+	machine         *machine
+	voterReconciler *voters.Keeper
 }
 
-// machine drives the table. It belongs to the replica's goroutine.
+// machine applies the log's JSON-encoded commands to the table. Only the replica's
+// goroutine calls it; keyCount may be read by any.
 type machine struct {
-	table *once.Table
-	keys  atomic.Int64
+	table    *once.Table
+	keyCount atomic.Int64
 }
 
 var _ replica.Machine = (*machine)(nil)
@@ -69,7 +71,7 @@
 		return once.Unknown{}
 	}
 	verdict := m.table.Apply(c)
-	m.keys.Store(int64(m.table.Len()))
+	m.keyCount.Store(int64(m.table.Len()))
 	return verdict
 }
 
@@ -79,51 +81,53 @@
 // Restore implements replica.Machine.
 func (m *machine) Restore(data []byte) error { return m.table.Restore(data) }
 
-// Open opens the replica.
+// Open opens the replica that is stored in opts.Folder. Run must be called to run it.
 func Open(opts Options) (*Home, error) {
-	h := &Home{table: &machine{table: once.NewTable(once.MaxKeys)}}
+	h := &Home{machine: &machine{table: once.NewTable(once.MaxKeys)}}
 	var err error
 	h.replica, err = replica.Open(replica.Options{
-		ID: opts.ID, Election: election, Heartbeat: heartbeat, Folder: opts.Folder, Machine: h.table,
-		Send: opts.Send, Clock: steady.Time, SnapshotEvery: snapshotEvery, Log: opts.Log.Named("keys"), Seed: opts.Seed,
+		ID: opts.ID, Election: electionTimeout, Heartbeat: heartbeatInterval, Folder: opts.Folder, Machine: h.machine,
+		Send: opts.Send, Clock: steady.Time, SnapshotEvery: snapshotEntries, Log: opts.Log.Named("keys"), Seed: opts.Seed,
 	})
 	if err != nil {
-		return nil, errors.Annotate(err, "log of keys")
+		return nil, errors.Annotate(err, "open log of idempotency keys")
 	}
-	h.keeper = voters.New(h.replica, opts.Spares, voters.Policy{Wanted: opts.Voters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
+	h.voterReconciler = voters.New(h.replica, opts.Spares, voters.Policy{Wanted: opts.Voters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
 	return h, nil
 }
 
-// Run runs the replica until ctx ends.
+// Run runs the replica until ctx ends. While the replica leads, Run also replaces lost
+// voters.
 func (h *Home) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(h.replica.Run)
-	group.Go(h.keeper.Run)
+	group.Go(h.voterReconciler.Run)
 	return group.Wait()
 }
 
-// Deliver takes a message for the replica.
+// Deliver passes a Raft message from a peer to the replica.
 func (h *Home) Deliver(e raft.Envelope) { h.replica.Deliver(e) }
 
-// Status gives the state of the replica.
+// Status returns the Raft status of the replica.
 func (h *Home) Status() raft.Status { return h.replica.Status() }
 
-// Keys gives the number of keys kept.
-func (h *Home) Keys() int64 { return h.table.keys.Load() }
+// Keys returns the number of keys in the table.
+func (h *Home) Keys() int64 { return h.machine.keyCount.Load() }
 
-// Reply is the answer to a command, in the form that net/rpc can carry.
+// Reply is the result of a command. It encodes a once.Verdict in a form that net/rpc
+// can carry, or redirects the caller to the leader.
 type Reply struct {
-	Leader   string // where NotLeader is set; a host's name or empty
+	Leader   string // name of the leading host if NotLead is set, empty if unknown
 	NotLead  bool
 	Kind     Kind
 	Recorded once.Answer
 	Since    time.Time
 }
 
-// Kind names a verdict.
+// Kind is the type of a once.Verdict in a Reply.
 type Kind uint8
 
-// The kinds.
+// Kinds of verdicts. Their numbers are sent to other hosts.
 const (
 	KindRun Kind = iota
 	KindRecorded
@@ -133,7 +137,8 @@
 	KindFull
 )
 
-// Do carries out a command at the leader.
+// Do proposes a command and returns its result. If this replica doesn't lead, it
+// returns a Reply with NotLead set and proposes nothing.
 func (h *Home) Do(ctx context.Context, c once.Command) (Reply, error) {
 	c.At = time.Now().UTC()
 	result, err := h.replica.ProposeJSON(ctx, c)
@@ -143,10 +148,11 @@
 	if err != nil {
 		return Reply{}, errors.Trace(err)
 	}
-	return replyOf(result.(once.Verdict)), nil
+	return newReply(result.(once.Verdict)), nil
 }
 
-func replyOf(v once.Verdict) Reply {
+// newReply encodes a verdict.
+func newReply(v once.Verdict) Reply {
 	switch v := v.(type) {
 	case once.Run:
 		return Reply{Kind: KindRun}
@@ -163,7 +169,7 @@
 	}
 }
 
-// Verdict gives the verdict of a reply.
+// Verdict decodes the verdict of a reply whose NotLead isn't set.
 func (r Reply) Verdict() once.Verdict {
 	switch r.Kind {
 	case KindRun:
