--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -52,7 +52,7 @@
 type Home struct {
 	replica         *replica.Replica
 	machine         *machine
-	voterReconciler *voters.Keeper
+	voterReconciler *voters.Reconciler
 }
 
 // machine applies the log's JSON-encoded commands to the table. Only the replica's
@@ -111,8 +111,8 @@
 // Status returns the Raft status of the replica.
 func (h *Home) Status() raft.Status { return h.replica.Status() }
 
-// Keys returns the number of keys in the table.
-func (h *Home) Keys() int64 { return h.machine.keyCount.Load() }
+// KeyCount returns the number of keys in the table.
+func (h *Home) KeyCount() int64 { return h.machine.keyCount.Load() }
 
 // Reply is the result of a command. It encodes a once.Verdict in a form that net/rpc
 // can carry, or redirects the caller to the leader.
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -134,8 +134,8 @@
 // Revision gives the configuration that the rules were compiled from.
 func (rs Rules) Revision() uint64 { return rs.revision }
 
-// Knows tells whether the service is declared.
-func (rs Rules) Knows(service string) bool {
+// DeclaresService tells whether the service is declared.
+func (rs Rules) DeclaresService(service string) bool {
 	_, ok := rs.services[service]
 	return ok
 }
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -160,11 +160,11 @@
 		p.log.Debug("no list from the platform", telemetry.Cause(err))
 		return
 	}
-	p.Believe(list, time.Now())
+	p.ApplyList(list, time.Now())
 }
 
-// Believe takes over what a list proves.
-func (p *Prober) Believe(list List, now time.Time) {
+// ApplyList takes over what a list proves.
+func (p *Prober) ApplyList(list List, now time.Time) {
 	if len(list.Hosts) == 0 || now.Sub(list.At) > platformFresh {
 		return
 	}
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -53,7 +53,7 @@
 
 func TestLeavingIsBelievedAtOnce(t *testing.T) {
 	p, f := setup(t)
-	p.Believe(list(now, "live", "leaving", "live"), now)
+	p.ApplyList(list(now, "live", "leaving", "live"), now)
 	must.Eq(t, route.Leaving, health(t, f, "b"))
 	must.Eq(t, route.Healthy, health(t, f, "a"))
 }
@@ -62,8 +62,8 @@
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
-		p.Believe(probe.List{At: at}, at)
-		p.Believe(list(now.Add(-time.Hour), "leaving", "leaving", "leaving"), at)
+		p.ApplyList(probe.List{At: at}, at)
+		p.ApplyList(list(now.Add(-time.Hour), "leaving", "leaving", "leaving"), at)
 	}
 	for _, e := range []string{"a", "b", "c"} {
 		must.Eq(t, route.Healthy, health(t, f, e))
@@ -72,12 +72,12 @@
 
 func TestMissingHostLeavesAfterAWhile(t *testing.T) {
 	p, f := setup(t)
-	p.Believe(list(now, "live", "", "live"), now)
+	p.ApplyList(list(now, "live", "", "live"), now)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 	later := now.Add(6 * time.Second)
-	p.Believe(list(later, "live", "", "live"), later)
+	p.ApplyList(list(later, "live", "", "live"), later)
 	must.Eq(t, route.Leaving, health(t, f, "b"))
-	p.Believe(list(later, "live", "live", "live"), later)
+	p.ApplyList(list(later, "live", "live", "live"), later)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
 
@@ -85,7 +85,7 @@
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
-		p.Believe(list(at, "live", "", ""), at)
+		p.ApplyList(list(at, "live", "", ""), at)
 	}
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -1,7 +1,7 @@
 // Package voters replaces the lost voters of a replicated log.
 //
 // A voter is lost when it has been silent for long, or when its host runs under
-// another identity because its data folder was lost. The leader's Keeper then
+// another identity because its data folder was lost. The leader's Reconciler then
 // takes one step at a time: a spare is added as a learner, gets a vote when it
 // has caught up, and only after that the lost voter goes. A second loss during
 // the repair so meets one voter more and not one fewer.
@@ -45,25 +45,25 @@
 	caughtUp = 64
 )
 
-// Keeper keeps the wanted number of voters. New makes one.
-type Keeper struct {
+// Reconciler keeps the wanted number of voters. New makes one.
+type Reconciler struct {
 	replica *replica.Replica
 	spares  func() []Spare
 	policy  Policy
 	log     *zap.Logger
-	pauses  Pauses
+	pauses  PauseDetector
 }
 
 // New makes a keeper. spares lists the replicas that could vote, in any order.
-func New(r *replica.Replica, spares func() []Spare, policy Policy, log *zap.Logger) *Keeper {
-	return &Keeper{replica: r, spares: spares, policy: policy, log: log}
+func New(r *replica.Replica, spares func() []Spare, policy Policy, log *zap.Logger) *Reconciler {
+	return &Reconciler{replica: r, spares: spares, policy: policy, log: log}
 }
 
 // Run keeps the voters whenever this replica leads, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Reconciler) Run(ctx context.Context) error {
 	duty.Every(ctx, votersEvery, func() {
 		now := steady.Time()
-		rested := k.pauses.Rested(now, k.policy.LostAfter)
+		rested := k.pauses.RunningFor(now, k.policy.LostAfter)
 		if status := k.replica.Status(); rested && status.Role == raft.Leader {
 			k.step(ctx, status, now)
 		}
@@ -71,16 +71,16 @@
 	return nil
 }
 
-// Pauses tells whether this process has gone on without a break. One that was frozen or
+// PauseDetector tells whether this process has gone on without a break. One that was frozen or
 // suspended hears nobody meanwhile, and would find every other voter lost when it wakes. The
 // zero value has just been started.
-type Pauses struct {
+type PauseDetector struct {
 	last  time.Time // when it was last asked
 	since time.Time // since when it has gone on
 }
 
-// Rested tells whether there was no break for so long. It is to be asked each votersEvery.
-func (p *Pauses) Rested(now time.Time, long time.Duration) bool {
+// RunningFor tells whether there was no break for so long. It is to be asked each votersEvery.
+func (p *PauseDetector) RunningFor(now time.Time, long time.Duration) bool {
 	if now.Sub(p.last) > breakTime {
 		p.since = now
 	}
@@ -92,7 +92,7 @@
 // as long as a leader without a word keeps its role.
 const breakTime = 4 * votersEvery
 
-func (k *Keeper) step(ctx context.Context, status raft.Status, now time.Time) {
+func (k *Reconciler) step(ctx context.Context, status raft.Status, now time.Time) {
 	spares := k.spares()
 	slices.SortFunc(spares, func(a, b Spare) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	next, why := Next(status, spares, k.policy, now)
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -14,13 +14,13 @@
 // nobody may be found lost.
 func TestWhoWasSuspendedFindsNobodyLost(t *testing.T) {
 	const long, step = 2 * time.Second, 250 * time.Millisecond
-	var p voters.Pauses
+	var p voters.PauseDetector
 	now := time.Unix(1000, 0)
 	after := func(rounds int) bool {
 		rested := false
 		for range rounds {
 			now = now.Add(step)
-			rested = p.Rested(now, long)
+			rested = p.RunningFor(now, long)
 		}
 		return rested
 	}
