--- a/permit/permit.go
+++ b/permit/permit.go
@@ -1,10 +1,12 @@
-// Package permit decides whether a request may go to a region or an engine.
+// Package permit decides whether a request may be sent to a region or an engine.
 //
-// A Rules value is compiled once from a configuration. A request is permitted
-// at a place if some selector applies to it and every selector that applies
-// allows the place. A Guard joins the rules in force with those of a change
-// that is not yet decided: it permits only what both permit, which is what
-// makes it safe to acknowledge a change before its outcome is known.
+// Rules are compiled once from the selectors of a configuration. A request is
+// permitted at a place if at least one selector of its service matches the request
+// and every selector that matches it allows the place.
+//
+// A Guard combines the effective rules with those of a pending change and permits
+// only what both permit. Hosts can therefore acknowledge a change before it is
+// accepted or refused: they comply with either outcome.
 package permit
 
 import (
@@ -20,39 +22,41 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// rule is one compiled selector. Allow stands in two parts: what can be judged
-// from the place alone, and what needs the engine's own labels.
+// rule is one compiled selector. The requirements of its Allow expression are split
+// in two: placeSelector needs only the region and data centre, engineSelector needs
+// the engine's own labels.
 type rule struct {
-	name   string
-	match  labels.Selector
-	place  labels.Selector
-	engine labels.Selector
+	name           string
+	match          labels.Selector
+	placeSelector  labels.Selector
+	engineSelector labels.Selector
 }
 
-// Rules are the compiled selectors of one configuration, immutable. The zero
-// value permits nothing.
+// Rules holds the compiled selectors of one configuration. It is immutable. The
+// zero value permits nothing.
 type Rules struct {
-	revision uint64
-	services map[string][]rule
+	revision       uint64
+	rulesByService map[string][]rule
 }
 
-// New compiles the selectors of a configuration that has passed its checks.
+// New compiles the selectors of a validated configuration. It returns an error that
+// names the selector whose Match or Allow expression can't be parsed.
 func New(config declare.Config) (Rules, error) {
-	rules := Rules{revision: config.Revision(), services: map[string][]rule{}}
+	rules := Rules{revision: config.Revision(), rulesByService: map[string][]rule{}}
 	for _, s := range declare.Each[declare.Service](config) {
-		rules.services[s.Name] = nil
+		rules.rulesByService[s.Name] = nil
 	}
 	for _, s := range declare.Each[declare.Selector](config) {
-		compiled, err := compile(s)
+		compiled, err := compileSelector(s)
 		if err != nil {
 			return Rules{}, errors.Annotatef(err, "selector %q", s.Name)
 		}
-		rules.services[s.Service] = append(rules.services[s.Service], compiled)
+		rules.rulesByService[s.Service] = append(rules.rulesByService[s.Service], compiled)
 	}
 	return rules, nil
 }
 
-func compile(s declare.Selector) (rule, error) {
+func compileSelector(s declare.Selector) (rule, error) {
 	match, err := labels.Parse(s.Match)
 	if err != nil {
 		return rule{}, errors.Trace(err)
@@ -61,19 +65,20 @@
 	if err != nil {
 		return rule{}, errors.Trace(err)
 	}
-	r := rule{name: s.Name, match: match, place: labels.NewSelector(), engine: labels.NewSelector()}
+	compiled := rule{name: s.Name, match: match, placeSelector: labels.NewSelector(), engineSelector: labels.NewSelector()}
 	requirements, _ := allow.Requirements()
 	for _, requirement := range requirements {
 		if requirement.Key() == declare.KeyRegion || requirement.Key() == declare.KeyDataCentre {
-			r.place = r.place.Add(requirement)
+			compiled.placeSelector = compiled.placeSelector.Add(requirement)
 			continue
 		}
-		r.engine = r.engine.Add(requirement)
+		compiled.engineSelector = compiled.engineSelector.Add(requirement)
 	}
-	return r, nil
+	return compiled, nil
 }
 
-// Place is where something may run.
+// Place is the location of an engine or a host. As labels.Labels, it has the keys
+// declare.KeyRegion and declare.KeyDataCentre.
 type Place struct {
 	Region     string
 	DataCentre string
@@ -105,51 +110,54 @@
 
 var _ labels.Labels = Place{}
 
-// facts presents a request's labels to a selector.
-type facts struct{ r request.Request }
+// requestLabels implements labels.Labels for the home region, account and class of a
+// request.
+type requestLabels struct{ req request.Request }
 
-func (f facts) Lookup(key string) (string, bool) {
+func (l requestLabels) Lookup(key string) (string, bool) {
 	switch key {
 	case declare.KeyHome:
-		return f.r.Home, true
+		return l.req.Home, true
 	case declare.KeyAccount:
-		return f.r.Account, true
+		return l.req.Account, true
 	case declare.KeyClass:
-		return string(f.r.Class), true
+		return string(l.req.Class), true
 	default:
 		return "", false
 	}
 }
 
-func (f facts) Has(key string) bool {
-	_, ok := f.Lookup(key)
+func (l requestLabels) Has(key string) bool {
+	_, ok := l.Lookup(key)
 	return ok
 }
 
-func (f facts) Get(key string) string {
-	value, _ := f.Lookup(key)
+func (l requestLabels) Get(key string) string {
+	value, _ := l.Lookup(key)
 	return value
 }
 
-// Revision gives the configuration that the rules were compiled from.
+// Revision returns the revision of the configuration that the rules were compiled from.
 func (rs Rules) Revision() uint64 { return rs.revision }
 
-// DeclaresService tells whether the service is declared.
+// DeclaresService reports whether the configuration declares the service, with or
+// without selectors.
 func (rs Rules) DeclaresService(service string) bool {
-	_, ok := rs.services[service]
+	_, ok := rs.rulesByService[service]
 	return ok
 }
 
-// Region tells whether any engine at the place could be permitted, judged
-// before the body is read. The text says why not.
+// Region reports whether an engine at the place could be permitted, regardless of
+// the engine's own labels. It needs no request body. If the result is false, the
+// string is the reason.
 func (rs Rules) Region(r request.Request, place Place) (bool, string) {
 	applied := false
-	for _, rule := range rs.services[r.Service] {
-		if !rule.match.Matches(facts{r}) {
+	for _, rule := range rs.rulesByService[r.Service] {
+		if !rule.match.Matches(requestLabels{r}) {
 			continue
 		}
 		applied = true
-		if !rule.place.Matches(place) {
+		if !rule.placeSelector.Matches(place) {
 			return false, fmt.Sprintf("selector %q doesn't allow region %q, data centre %q", rule.name, place.Region, place.DataCentre)
 		}
 	}
@@ -159,61 +167,64 @@
 	return true, ""
 }
 
-// Engine tells whether the request may go to an engine with these labels at
+// Engine reports whether the request may be sent to an engine with these labels at
 // this place.
-func (rs Rules) Engine(r request.Request, place Place, engine declare.Labels) bool {
+func (rs Rules) Engine(r request.Request, place Place, engineLabels declare.Labels) bool {
 	applied := false
-	for _, rule := range rs.services[r.Service] {
-		if !rule.match.Matches(facts{r}) {
+	for _, rule := range rs.rulesByService[r.Service] {
+		if !rule.match.Matches(requestLabels{r}) {
 			continue
 		}
 		applied = true
-		if !rule.place.Matches(place) || !rule.engine.Matches(engine) {
+		if !rule.placeSelector.Matches(place) || !rule.engineSelector.Matches(engineLabels) {
 			return false
 		}
 	}
 	return applied
 }
 
-// Guard permits what the rules in force and, while a change is undecided, its
-// rules both permit.
+// Guard permits a request if the effective rules permit it and, while a change is
+// pending, the rules after that change permit it too.
 type Guard struct {
 	Current Rules
-	Pending *Rules // nil while no change is undecided
+	Pending *Rules // nil if no change is pending
 }
 
-// Region is Rules.Region under both sets of rules.
+// Region is like Rules.Region, for both sets of rules.
 func (g Guard) Region(r request.Request, place Place) (bool, string) {
-	if ok, why := g.Current.Region(r, place); !ok {
-		return false, why
+	if ok, reason := g.Current.Region(r, place); !ok {
+		return false, reason
 	}
 	if g.Pending == nil {
 		return true, ""
 	}
-	if ok, why := g.Pending.Region(r, place); !ok {
-		return false, why + " (change not yet decided)"
+	if ok, reason := g.Pending.Region(r, place); !ok {
+		return false, reason + " (change not yet decided)"
 	}
 	return true, ""
 }
 
-// Engine is Rules.Engine under both sets of rules.
-func (g Guard) Engine(r request.Request, place Place, engine declare.Labels) bool {
-	if !g.Current.Engine(r, place, engine) {
+// Engine is like Rules.Engine, for both sets of rules.
+func (g Guard) Engine(r request.Request, place Place, engineLabels declare.Labels) bool {
+	if !g.Current.Engine(r, place, engineLabels) {
 		return false
 	}
-	return g.Pending == nil || g.Pending.Engine(r, place, engine)
+	return g.Pending == nil || g.Pending.Engine(r, place, engineLabels)
 }
 
-// Fingerprint tells whether two sets of rules permit the same requests of a
-// service at a place. homes are the regions that members can have.
+// Fingerprint hashes which requests of a service the rules permit at a place. It
+// serves to detect whether two sets of rules differ there. The hash covers every
+// combination of a home region in homes (those that members can have), a class, and
+// an account that a selector of these rules names or the empty one, which stands for
+// all accounts that they don't name.
 func (rs Rules) Fingerprint(service string, place Place, homes []string) uint64 {
 	hash := xxhash.New()
-	for _, account := range append(rs.accounts(service), "") {
+	for _, account := range append(rs.namedAccounts(service), "") {
 		for _, home := range homes {
 			for _, class := range []request.Class{request.ClassInteractive, request.ClassStandard, request.ClassBatch} {
 				r := request.Request{Service: service, Home: home, Account: account, Class: class}
 				if ok, _ := rs.Region(r, place); ok {
-					_, _ = hash.WriteString(home + "\x00" + account + "\x00" + string(class) + "\x00" + rs.engineRules(r) + "\x01")
+					_, _ = hash.WriteString(home + "\x00" + account + "\x00" + string(class) + "\x00" + rs.engineRequirements(r) + "\x01")
 				}
 			}
 		}
@@ -221,29 +232,30 @@
 	return hash.Sum64()
 }
 
-// engineRules gives what the rules that apply ask of an engine's own labels.
-func (rs Rules) engineRules(r request.Request) string {
-	var parts []string
-	for _, rule := range rs.services[r.Service] {
-		if rule.match.Matches(facts{r}) {
-			parts = append(parts, rule.engine.String())
+// engineRequirements returns, in a canonical form, what the selectors that match the
+// request require of an engine's own labels.
+func (rs Rules) engineRequirements(r request.Request) string {
+	var selectors []string
+	for _, rule := range rs.rulesByService[r.Service] {
+		if rule.match.Matches(requestLabels{r}) {
+			selectors = append(selectors, rule.engineSelector.String())
 		}
 	}
-	slices.Sort(parts)
-	return strings.Join(slices.Compact(parts), "&")
+	slices.Sort(selectors)
+	return strings.Join(slices.Compact(selectors), "&")
 }
 
-// accounts lists the accounts that the selectors of a service name.
-func (rs Rules) accounts(service string) []string {
-	var out []string
-	for _, rule := range rs.services[service] {
+// namedAccounts returns the accounts that the selectors of a service mention, sorted.
+func (rs Rules) namedAccounts(service string) []string {
+	var accounts []string
+	for _, rule := range rs.rulesByService[service] {
 		requirements, _ := rule.match.Requirements()
 		for _, requirement := range requirements {
 			if requirement.Key() == declare.KeyAccount {
-				out = append(out, requirement.Values().List()...)
+				accounts = append(accounts, requirement.Values().List()...)
 			}
 		}
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(accounts)
+	return slices.Compact(accounts)
 }
