--- a/voters/voters.go
+++ b/voters/voters.go
@@ -1,10 +1,11 @@
-// Package voters replaces the lost voters of a replicated log.
+// Package voters replaces lost voters of a replicated log.
 //
-// A voter is lost when it has been silent for long, or when its host runs under
-// another identity because its data folder was lost. The leader's Reconciler then
-// takes one step at a time: a spare is added as a learner, gets a vote when it
-// has caught up, and only after that the lost voter goes. A second loss during
-// the repair so meets one voter more and not one fewer.
+// A voter counts as lost if the leader hasn't heard from it for Policy.LostAfter, or
+// if its host runs a replica with another identity because the data folder was lost.
+// The leader's Reconciler then makes one membership change at a time: it adds a
+// replacement as a learner, makes it a voter once it has caught up, and only then
+// removes the lost voter. If another voter fails during the replacement, the log thus
+// has one voter more than it would if the lost one were removed first.
 package voters
 
 import (
@@ -23,94 +24,99 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Policy says how many voters there should be and when one counts as lost.
+// Policy configures how many voters a log should have and when one counts as lost.
 type Policy struct {
-	Wanted    int
-	LostAfter time.Duration // how long a voter must be silent
-	// Standby keeps one spare as a learner, so that a lost voter's place is
-	// taken without waiting for a spare to catch up.
+	Wanted    int           // target number of voters
+	LostAfter time.Duration // time without contact after which a voter counts as lost
+	// Standby keeps one additional replica as a learner, so that it can replace a
+	// lost voter without first having to catch up.
 	Standby bool
 }
 
-// DefaultLostAfter suits hosts whose restarts take seconds: replacing a voter
-// that is about to return costs more than waiting for it.
+// DefaultLostAfter suits hosts that restart within seconds: replacing a voter that
+// is about to return costs more than waiting for it.
 const DefaultLostAfter = 15 * time.Second
 
-// Timing of the replacement of voters.
+// Parameters of the replacement of voters.
 const (
-	votersEvery = 250 * time.Millisecond
-	// memberTime bounds the wait for one change of members.
-	memberTime = 3 * time.Second
-	// caughtUp is how many entries behind a learner may be to get a vote.
-	caughtUp = 64
+	checkInterval = 250 * time.Millisecond
+	// changeTimeout limits the wait for one membership change.
+	changeTimeout = 3 * time.Second
+	// maxLearnerLag is how many entries a learner may be behind the commit index
+	// to become a voter.
+	maxLearnerLag = 64
 )
 
-// Reconciler keeps the wanted number of voters. New makes one.
+// Reconciler restores the target number of voters of a log while its replica leads.
 type Reconciler struct {
-	replica *replica.Replica
-	spares  func() []Spare
-	policy  Policy
-	log     *zap.Logger
-	pauses  PauseDetector
+	replica    *replica.Replica
+	candidates func() []Spare
+	policy     Policy
+	log        *zap.Logger
+	pauses     PauseDetector
 }
 
-// New makes a keeper. spares lists the replicas that could vote, in any order.
-func New(r *replica.Replica, spares func() []Spare, policy Policy, log *zap.Logger) *Reconciler {
-	return &Reconciler{replica: r, spares: spares, policy: policy, log: log}
+// New returns a reconciler for the log of r. candidates returns all replicas that may
+// vote, including current voters, in any order. The reconciler sorts the slice in place.
+func New(r *replica.Replica, candidates func() []Spare, policy Policy, log *zap.Logger) *Reconciler {
+	return &Reconciler{replica: r, candidates: candidates, policy: policy, log: log}
 }
 
-// Run keeps the voters whenever this replica leads, until ctx ends.
-func (k *Reconciler) Run(ctx context.Context) error {
-	duty.Every(ctx, votersEvery, func() {
+// Run checks the voters periodically while this replica leads, until ctx ends.
+func (r *Reconciler) Run(ctx context.Context) error {
+	duty.Every(ctx, checkInterval, func() {
 		now := steady.Time()
-		rested := k.pauses.RunningFor(now, k.policy.LostAfter)
-		if status := k.replica.Status(); rested && status.Role == raft.Leader {
-			k.step(ctx, status, now)
+		running := r.pauses.RunningFor(now, r.policy.LostAfter)
+		if status := r.replica.Status(); running && status.Role == raft.Leader {
+			r.step(ctx, status, now)
 		}
 	})
 	return nil
 }
 
-// PauseDetector tells whether this process has gone on without a break. One that was frozen or
-// suspended hears nobody meanwhile, and would find every other voter lost when it wakes. The
-// zero value has just been started.
+// PauseDetector detects pauses of this process. A process that was suspended has received
+// no heartbeats in the meantime and would, when it resumes, take every other voter for
+// lost. The zero value is ready to use and stands for a process that has just started.
 type PauseDetector struct {
-	last  time.Time // when it was last asked
-	since time.Time // since when it has gone on
+	lastCall     time.Time // time of the last call of RunningFor
+	runningSince time.Time // start of the process or end of its last pause
 }
 
-// RunningFor tells whether there was no break for so long. It is to be asked each votersEvery.
-func (p *PauseDetector) RunningFor(now time.Time, long time.Duration) bool {
-	if now.Sub(p.last) > breakTime {
-		p.since = now
+// RunningFor reports whether the process has run without a pause for at least the given
+// time. It must be called every checkInterval; a gap of more than minPause between two
+// calls counts as a pause.
+func (d *PauseDetector) RunningFor(now time.Time, atLeast time.Duration) bool {
+	if now.Sub(d.lastCall) > minPause {
+		d.runningSince = now
 	}
-	p.last = now
-	return now.Sub(p.since) >= long
+	d.lastCall = now
+	return now.Sub(d.runningSince) >= atLeast
 }
 
-// breakTime is the least time between two rounds that is taken for a break: four of them,
-// as long as a leader without a word keeps its role.
-const breakTime = 4 * votersEvery
+// minPause is the shortest gap between two calls of RunningFor that counts as a pause. It
+// is four intervals, which is as long as a leader keeps its role without contact to its
+// peers.
+const minPause = 4 * checkInterval
 
-func (k *Reconciler) step(ctx context.Context, status raft.Status, now time.Time) {
-	spares := k.spares()
-	slices.SortFunc(spares, func(a, b Spare) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	next, why := Next(status, spares, k.policy, now)
-	if why == "" {
+func (r *Reconciler) step(ctx context.Context, status raft.Status, now time.Time) {
+	candidates := r.candidates()
+	slices.SortFunc(candidates, func(a, b Spare) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	next, reason := Next(status, candidates, r.policy, now)
+	if reason == "" {
 		return
 	}
-	bound, cancel := context.WithTimeout(ctx, memberTime)
+	changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	err := k.replica.ProposeMembers(bound, next)
+	err := r.replica.ProposeMembers(changeCtx, next)
 	if errors.Is(err, raft.ErrMembershipPending) {
 		return
 	}
-	k.log.Info("members changed", zap.String("why", why), zap.Strings("voters", names(next.Voters)), zap.Strings("learners", names(next.Learners)), telemetry.Cause(err))
+	r.log.Info("membership change proposed", zap.String("why", reason), zap.Strings("voters", idStrings(next.Voters)), zap.Strings("learners", idStrings(next.Learners)), telemetry.Cause(err))
 }
 
-// names gives identities as plain strings: the encoder of the log takes no other
-// slices.
-func names(ids []raft.ID) []string {
+// idStrings converts replica identities to strings: zap.Strings accepts no slices of
+// other types.
+func idStrings(ids []raft.ID) []string {
 	out := make([]string, len(ids))
 	for i, id := range ids {
 		out[i] = string(id)
@@ -118,104 +124,106 @@
 	return out
 }
 
-// HostOf gives the host part of a replica's identity.
+// HostOf returns the host name in a replica's identity, which is "host#suffix".
 func HostOf(id raft.ID) string {
 	host, _, _ := strings.Cut(string(id), "#")
 	return host
 }
 
-// Spare is a replica that runs on a host with a disk.
+// Spare is a replica that may become a voter, or is one already.
 type Spare struct {
 	ID     raft.ID
 	Region string
 }
 
-// Next gives the next step towards the wanted number of voters that
-// answer, and why; why is empty where nothing is to be done.
-func Next(status raft.Status, spares []Spare, policy Policy, now time.Time) (next raft.Membership, why string) {
+// Next returns the next membership change towards the target number of live voters, and
+// the reason for it. The reason is empty if no change is needed.
+func Next(status raft.Status, candidates []Spare, policy Policy, now time.Time) (next raft.Membership, reason string) {
 	members := status.Members
-	lost := lostVoter(status, spares, policy, now)
+	lost := lostVoter(status, candidates, policy, now)
 	needed := lost != raft.None || len(members.Voters) < policy.Wanted
-	for _, p := range status.Peers {
-		if !slices.Contains(members.Learners, p.ID) {
+	for _, peer := range status.Peers {
+		if !slices.Contains(members.Learners, peer.ID) {
 			continue
 		}
-		if isLost(p, spares, policy, now) {
-			return members.Without(p.ID), "learner " + string(p.ID) + " is lost"
+		if isLost(peer, candidates, policy, now) {
+			return members.Without(peer.ID), "learner " + string(peer.ID) + " is lost"
 		}
-		if needed && len(members.Voters) <= policy.Wanted && p.Match > 0 && p.Match+caughtUp >= status.Commit {
-			return members.WithVoter(p.ID), "learner " + string(p.ID) + " has caught up"
+		if needed && len(members.Voters) <= policy.Wanted && peer.Match > 0 && peer.Match+maxLearnerLag >= status.Commit {
+			return members.WithVoter(peer.ID), "learner " + string(peer.ID) + " has caught up"
 		}
 	}
 	if len(members.Voters) > policy.Wanted {
-		return withoutOne(status, lost)
+		return removeExcessVoter(status, lost)
 	}
 	if (needed || policy.Standby) && len(members.Learners) == 0 {
-		if spare, ok := pickSpare(members, spares, lost); ok {
-			return members.WithLearner(spare), "a voter is needed beside " + string(lost)
+		if learner, ok := pickLearner(members, candidates, lost); ok {
+			return members.WithLearner(learner), "a learner is needed; lost voter: " + string(lost)
 		}
 	}
 	return raft.Membership{}, ""
 }
 
-// withoutOne takes away the lost voter, or, where the lost one has come back
-// meanwhile, the one that was added last.
-func withoutOne(status raft.Status, lost raft.ID) (next raft.Membership, why string) {
+// removeExcessVoter removes the lost voter or, if that one has returned in the
+// meantime, the voter that was added last. It never removes the leader.
+func removeExcessVoter(status raft.Status, lost raft.ID) (next raft.Membership, reason string) {
 	if lost != raft.None {
 		return status.Members.Without(lost), "voter " + string(lost) + " is lost"
 	}
 	for _, id := range slices.Backward(status.Members.Voters) {
 		if id != status.ID {
-			return status.Members.Without(id), "there is one voter too many"
+			return status.Members.Without(id), "there is one more voter than required"
 		}
 	}
 	return raft.Membership{}, ""
 }
 
-// lostVoter gives a voter that has been silent too long, or whose host runs
-// under another identity by now.
-func lostVoter(status raft.Status, spares []Spare, policy Policy, now time.Time) raft.ID {
-	for _, p := range status.Peers {
-		if status.Members.IsVoter(p.ID) && isLost(p, spares, policy, now) {
-			return p.ID
+// lostVoter returns a voter that counts as lost, or raft.None.
+func lostVoter(status raft.Status, candidates []Spare, policy Policy, now time.Time) raft.ID {
+	for _, peer := range status.Peers {
+		if status.Members.IsVoter(peer.ID) && isLost(peer, candidates, policy, now) {
+			return peer.ID
 		}
 	}
 	return raft.None
 }
 
-func isLost(p raft.PeerStatus, spares []Spare, policy Policy, now time.Time) bool {
-	for _, s := range spares {
-		if HostOf(s.ID) == HostOf(p.ID) && s.ID != p.ID {
+// isLost reports whether the leader hasn't heard from the peer for policy.LostAfter, or
+// the peer's host now runs a replica with another identity.
+func isLost(peer raft.PeerStatus, candidates []Spare, policy Policy, now time.Time) bool {
+	for _, candidate := range candidates {
+		if HostOf(candidate.ID) == HostOf(peer.ID) && candidate.ID != peer.ID {
 			return true
 		}
 	}
-	return now.Sub(p.Heard) > policy.LostAfter
+	return now.Sub(peer.Heard) > policy.LostAfter
 }
 
-// pickSpare takes a spare, of the lost voter's own region if there is one, so
-// that the voters stay spread.
-func pickSpare(members raft.Membership, spares []Spare, lost raft.ID) (raft.ID, bool) {
+// pickLearner selects a candidate that isn't a member yet. To keep the voters spread
+// over regions, it prefers the lost voter's region or, if that is unknown, a region
+// without a voter.
+func pickLearner(members raft.Membership, candidates []Spare, lost raft.ID) (raft.ID, bool) {
 	region := ""
-	held := map[string]bool{}
-	for _, s := range spares {
-		if HostOf(s.ID) == HostOf(lost) {
-			region = s.Region
+	votingRegions := map[string]bool{}
+	for _, candidate := range candidates {
+		if HostOf(candidate.ID) == HostOf(lost) {
+			region = candidate.Region
 		}
-		if members.IsVoter(s.ID) {
-			held[s.Region] = true
+		if members.IsVoter(candidate.ID) {
+			votingRegions[candidate.Region] = true
 		}
 	}
-	best := raft.None
-	for _, s := range spares {
-		if members.Has(s.ID) {
+	fallback := raft.None
+	for _, candidate := range candidates {
+		if members.Has(candidate.ID) {
 			continue
 		}
-		if s.Region == region || (region == "" && !held[s.Region]) {
-			return s.ID, true
+		if candidate.Region == region || (region == "" && !votingRegions[candidate.Region]) {
+			return candidate.ID, true
 		}
-		if best == raft.None {
-			best = s.ID
+		if fallback == raft.None {
+			fallback = candidate.ID
 		}
 	}
-	return best, best != raft.None
+	return fallback, fallback != raft.None
 }
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -9,22 +9,22 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// TestWhoWasSuspendedFindsNobodyLost asks each quarter of a second, but for a break of
-// twenty seconds, in which the others' heartbeats weren't heard: for two seconds after it
-// nobody may be found lost.
-func TestWhoWasSuspendedFindsNobodyLost(t *testing.T) {
-	const long, step = 2 * time.Second, 250 * time.Millisecond
-	var p voters.PauseDetector
+// TestPauseDetectorRestartsAfterSuspension guards against a leader that resumes after a
+// suspension of 20 s and replaces healthy voters, whose heartbeats it couldn't receive: no
+// voter may count as lost in the 2 s after it resumes.
+func TestPauseDetectorRestartsAfterSuspension(t *testing.T) {
+	const atLeast, step = 2 * time.Second, 250 * time.Millisecond
+	var detector voters.PauseDetector
 	now := time.Unix(1000, 0)
-	after := func(rounds int) bool {
-		rested := false
-		for range rounds {
+	after := func(calls int) bool {
+		running := false
+		for range calls {
 			now = now.Add(step)
-			rested = p.RunningFor(now, long)
+			running = detector.RunningFor(now, atLeast)
 		}
-		return rested
+		return running
 	}
-	must.False(t, after(8), must.Sprint("it has just started"))
+	must.False(t, after(8), must.Sprint("the process has just started"))
 	must.True(t, after(1))
 	must.True(t, after(100))
 	now = now.Add(20 * time.Second)
