--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster knows which hosts of the system there are.
+// Package roster tracks which hosts are running.
 //
-// No list of hosts is configured. Each host tells the control hosts of itself
-// several times a second, and a control host's Roster holds those that it has
-// heard lately. Whoever asks gets the roster with each host's age.
+// Hosts aren't configured in a list. Each host sends a report of itself to the control
+// hosts several times a second, and the Roster of a control host holds the hosts whose
+// last report is recent. Readers get each host with the time of its last report.
 package roster
 
 import (
@@ -14,154 +14,158 @@
 	"github.com/linenscale/linenscale/internal/recent"
 )
 
-// Role is what a host does.
+// Role is the function of a host.
 type Role string
 
-// The roles.
+// Roles of hosts.
 const (
-	RoleGateway Role = "gateway" // serves callers
-	RoleControl Role = "control" // keeps the ledger and hears engines
+	RoleGateway Role = "gateway" // serves client requests
+	RoleControl Role = "control" // replicates the ledger, receives engines' heartbeats
 )
 
-// Host is what a host tells of itself. Addresses are an IP number and a port.
+// Host is a host's report of itself. Addresses have the form "IP:port".
 type Host struct {
 	Name       string
 	Role       Role
 	Region     string
 	DataCentre string
-	Life       string // differs with each start of its process
-	Peer       string // net/rpc between hosts
-	Callers    string // of a gateway: callers' requests
-	Handover   string // of a gateway: requests from other gateways
-	Operators  string // of a control host: operators and engines
-	Replica    string // of a control host: its identity in the ledger's log
-	Stopping   bool   // takes nothing new
-	Heard      time.Time
+	Life       string    // incarnation: unique for each start of its process
+	Peer       string    // address of the listener for other hosts' net/rpc calls
+	Callers    string    // on a gateway: address for client requests
+	Handover   string    // on a gateway: address for requests handed over by other gateways
+	Operators  string    // on a control host: address for operators and engines
+	Replica    string    // on a control host: its replica's identity in the ledger's log
+	Stopping   bool      // the host accepts no new requests
+	Heard      time.Time // when the last report arrived
 }
 
-// keepGone is how long it is remembered that a host has gone, so that those who
-// ask for changes hear of it.
-const keepGone = 30 * time.Second
+// removalRetention is how long after its last report the entry of a removed host is
+// retained, so that Since can return the removal.
+const removalRetention = 30 * time.Second
 
-// Roster is safe for concurrent use. New makes one.
+// Roster is the set of running hosts. It is safe for concurrent use.
 type Roster struct {
 	clock func() time.Time
 
-	mu      sync.Mutex
-	hosts   map[string]*entry
-	order   recent.Log[*entry]
-	changes uint64
-	changed chan struct{}
-	sorted  map[Role][]Host // as of the last change
+	mu         sync.Mutex
+	hosts      map[string]*entry
+	changeLog  recent.Log[*entry]
+	lastChange uint64          // number of the latest change of any host
+	changed    chan struct{}   // closed at the next change
+	sorted     map[Role][]Host // result of Hosts; nil after a change
 }
 
 type entry struct {
 	Host
-	patience time.Duration // for which it may be silent
-	gone     bool
-	change   uint64 // number of its last change
+	timeout    time.Duration // minimum time without a report before the host is removed
+	removed    bool          // retained only so that Since can return the removal
+	lastChange uint64        // number of the last change of this entry
 }
 
-// New makes an empty roster.
+// New returns an empty roster that reads the time from clock.
 func New(clock func() time.Time) *Roster {
 	return &Roster{clock: clock, hosts: make(map[string]*entry), changed: make(chan struct{})}
 }
 
-// Hear notes a host's own word. It tells whether the host is new, or has
-// started anew.
+// Hear stores a report that a host sent of itself. It reports whether the host is new, was
+// removed before, or has restarted.
 func (r *Roster) Hear(h Host) bool { return r.HearFor(h, 0) }
 
-// HearFor is Hear for a host that tells of itself less often than others: it may be
-// silent for that long.
-func (r *Roster) HearFor(h Host, patience time.Duration) bool {
+// HearFor is Hear for a host that sends reports less often than others: Expire keeps it
+// for at least the given timeout.
+func (r *Roster) HearFor(h Host, timeout time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h.Heard = r.clock()
-	known, ok := r.hosts[h.Name]
+	e, ok := r.hosts[h.Name]
 	if !ok {
-		known = &entry{gone: true}
-		r.hosts[h.Name] = known
+		e = &entry{removed: true}
+		r.hosts[h.Name] = e
 	}
-	old, back := known.Host, known.gone
-	known.Host, known.patience, known.gone = h, patience, false
-	if back || !alike(old, h) {
-		r.note(known)
+	previous, isNew := e.Host, e.removed
+	e.Host, e.timeout, e.removed = h, timeout, false
+	if isNew || !sameState(previous, h) {
+		r.recordChange(e)
 	}
-	return back || old.Life != h.Life
+	return isNew || previous.Life != h.Life
 }
 
-// alike tells whether two words of a host differ only in what changes all the
-// time.
-func alike(a, b Host) bool {
+// sameState reports whether two reports of a host are equal, apart from their arrival
+// times.
+func sameState(a, b Host) bool {
 	a.Heard = b.Heard
 	return a == b
 }
 
-func (r *Roster) note(e *entry) {
-	r.changes++
-	e.change = r.changes
-	r.order.Note(e, e.change)
+// recordChange assigns the next change number to an entry and closes the channel that
+// Changed returned. The caller must hold r.mu.
+func (r *Roster) recordChange(e *entry) {
+	r.lastChange++
+	e.lastChange = r.lastChange
+	r.changeLog.Note(e, e.lastChange)
 	r.sorted = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Known gives a host that has told of itself in this life, or none.
-func (r *Roster) Known(name, life string) Host {
+// Known returns the last report of the named host if it was sent by the given incarnation
+// and the host isn't removed, or else the zero Host.
+func (r *Roster) Known(name, incarnation string) Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, ok := r.hosts[name]; ok && !known.gone && known.Life == life {
-		return known.Host
+	if e, ok := r.hosts[name]; ok && !e.removed && e.Life == incarnation {
+		return e.Host
 	}
 	return Host{}
 }
 
-// Expire takes the hosts off that were not heard for the given time, or for as long as
-// they may be silent, and gives them.
-func (r *Roster) Expire(after time.Duration) []Host {
+// Expire removes the hosts that have sent no report within the timeout or, if it is
+// longer, their own timeout, and returns them.
+func (r *Roster) Expire(timeout time.Duration) []Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	var gone []Host
+	var expired []Host
 	for name, e := range r.hosts {
 		age := now.Sub(e.Heard)
 		switch {
-		case !e.gone && age > max(after, e.patience):
-			e.gone = true
-			r.note(e)
-			gone = append(gone, e.Host)
-		case e.gone && age > keepGone:
+		case !e.removed && age > max(timeout, e.timeout):
+			e.removed = true
+			r.recordChange(e)
+			expired = append(expired, e.Host)
+		case e.removed && age > removalRetention:
 			delete(r.hosts, name)
-			r.order.Forget(e)
+			r.changeLog.Forget(e)
 		}
 	}
-	return gone
+	return expired
 }
 
-// Changed gives a channel that is closed with the next change.
+// Changed returns a channel that is closed at the next change.
 func (r *Roster) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Hosts gives the hosts of a role in the order of their names, as they were when one of
-// them last changed. The list must not be changed. It is made once for each change: to
-// sort 300 hosts takes 60 us, and each caller asks which gateways to use.
+// Hosts returns the hosts of a role, sorted by name, in the state of the last change: their
+// Heard times may be older than the latest reports. The caller must not modify the slice.
+// It is cached until the next change, because sorting 300 hosts takes 60 us and every
+// client asks for the gateways.
 func (r *Roster) Hosts(role Role) []Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.sorted == nil {
-		r.sort()
+		r.buildSorted()
 	}
 	return r.sorted[role]
 }
 
-// sort lists the hosts afresh. The lock is held.
-func (r *Roster) sort() {
+// buildSorted rebuilds the lists that Hosts returns. The caller must hold r.mu.
+func (r *Roster) buildSorted() {
 	r.sorted = make(map[Role][]Host)
 	for _, e := range r.hosts {
-		if !e.gone {
+		if !e.removed {
 			r.sorted[e.Role] = append(r.sorted[e.Role], e.Host)
 		}
 	}
@@ -170,20 +174,21 @@
 	}
 }
 
-// Since gives the hosts that came or changed after the number, the names of
-// those that went, and the number up to which they are given.
-func (r *Roster) Since(number uint64) (hosts []Host, gone []string, upTo uint64) {
+// Since returns the hosts that were added or changed after the change with the given
+// number, the names of those that were removed, and the number of the latest change,
+// which the caller passes to its next call.
+func (r *Roster) Since(after uint64) (hosts []Host, removed []string, latest uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if number == r.changes {
-		return nil, nil, number
+	if after == r.lastChange {
+		return nil, nil, after
 	}
-	for _, e := range r.order.Since(number) {
-		if e.gone {
-			gone = append(gone, e.Name)
+	for _, e := range r.changeLog.Since(after) {
+		if e.removed {
+			removed = append(removed, e.Name)
 		} else {
 			hosts = append(hosts, e.Host)
 		}
 	}
-	return hosts, gone, r.changes
+	return hosts, removed, r.lastChange
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -9,25 +9,28 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-func TestChangesAreToldOnce(t *testing.T) {
+// TestChangesAreReturnedOnce guards against readers that see a change repeatedly or never:
+// each addition, change and removal appears in one call of Since, and a report that
+// changes nothing appears in none.
+func TestChangesAreReturnedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := roster.New(func() time.Time { return now })
 	host := roster.Host{Name: "g1", Role: roster.RoleGateway, Life: "1"}
 	must.True(t, r.Hear(host))
 	must.False(t, r.Hear(host))
-	hosts, gone, number := r.Since(0)
+	hosts, removed, latest := r.Since(0)
 	must.SliceLen(t, 1, hosts)
-	must.SliceEmpty(t, gone)
+	must.SliceEmpty(t, removed)
 
 	now = now.Add(time.Second)
 	must.False(t, r.Hear(host))
-	hosts, gone, number = r.Since(number)
-	must.SliceEmpty(t, hosts, must.Sprint("being heard again is no change"))
-	must.SliceEmpty(t, gone)
+	hosts, removed, latest = r.Since(latest)
+	must.SliceEmpty(t, hosts, must.Sprint("a repeated report is no change"))
+	must.SliceEmpty(t, removed)
 
 	host.Stopping = true
 	must.False(t, r.Hear(host))
-	hosts, _, number = r.Since(number)
+	hosts, _, latest = r.Since(latest)
 	must.SliceLen(t, 1, hosts)
 
 	changed := r.Changed()
@@ -40,27 +43,29 @@
 		t.Fatal("a change must close the channel")
 	}
 	must.SliceEmpty(t, r.Hosts(roster.RoleGateway))
-	hosts, gone, _ = r.Since(number)
+	hosts, removed, _ = r.Since(latest)
 	must.SliceEmpty(t, hosts)
-	must.Eq(t, []string{"g1"}, gone)
+	must.Eq(t, []string{"g1"}, removed)
 
 	host.Life, host.Stopping = "2", false
 	must.True(t, r.Hear(host))
-	hosts, gone, _ = r.Since(number)
+	hosts, removed, _ = r.Since(latest)
 	must.SliceLen(t, 1, hosts)
-	must.SliceEmpty(t, gone)
+	must.SliceEmpty(t, removed)
 }
 
-// TestAHostThatTellsSeldomIsKeptForLonger lets two hosts fall silent.
-func TestAHostThatTellsSeldomIsKeptForLonger(t *testing.T) {
+// TestHostWithLongerTimeoutExpiresLater guards against removing a host whose reports are
+// rare by design: of two hosts that stop sending reports, the one with the longer timeout
+// expires later.
+func TestHostWithLongerTimeoutExpiresLater(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := roster.New(func() time.Time { return now })
 	r.Hear(roster.Host{Name: "near", Role: roster.RoleGateway})
 	r.HearFor(roster.Host{Name: "far", Role: roster.RoleGateway}, 3*time.Second)
 	now = now.Add(2500 * time.Millisecond)
-	gone := r.Expire(2 * time.Second)
-	must.SliceLen(t, 1, gone)
-	must.Eq(t, "near", gone[0].Name)
+	expired := r.Expire(2 * time.Second)
+	must.SliceLen(t, 1, expired)
+	must.Eq(t, "near", expired[0].Name)
 	must.SliceLen(t, 1, r.Hosts(roster.RoleGateway))
 	now = now.Add(time.Second)
 	must.SliceLen(t, 1, r.Expire(2*time.Second))
