--- a/probe/probe.go
+++ b/probe/probe.go
@@ -1,11 +1,13 @@
-// Package probe asks engines for their load and the platform for its list of
-// hosts, and tells the fleet.
+// Package probe polls the engines for their load and the platform for its list of
+// hosts, and passes the results to a fleet.Fleet.
 //
-// A probe is also how an engine that has stopped answering is found before a
-// caller finds it. What the platform's list says is believed in one direction
-// only: a host that it calls leaving is leaving. A host that is missing from
-// the list counts as leaving only if the list is fresh, names other hosts of
-// ours, and goes on missing it; an empty or old list proves nothing.
+// Probes also detect an engine that no longer responds before a client's request fails
+// on it.
+//
+// The platform's list can mark a host as draining, never as healthy. A host listed as
+// "leaving" is draining at once. A host that isn't listed counts as draining only after
+// it has been missing for missingTimeout from lists that are recent and name at least
+// half of our engines' hosts. An empty or stale list is ignored.
 package probe
 
 import (
@@ -29,75 +31,78 @@
 // Timing of the probes.
 const (
 	engineInterval   = time.Second
-	eventsEvery      = 2 // probes
-	engineTimeout    = 400 * time.Millisecond
-	platformInterval = 500 * time.Millisecond
-	// platformFresh is the age up to which a list is believed.
-	platformFresh = 30 * time.Second
-	// missingFor is how long a host must be missing to count as leaving.
-	missingFor = 5 * time.Second
-	// parallel bounds the probes under way at one time.
-	parallel = 32
+	eventsEvery      = 2 // every second probe of an engine fetches its evictions
+	requestTimeout   = 400 * time.Millisecond
+	hostListInterval = 500 * time.Millisecond
+	// maxListAge is the age up to which a host list is used.
+	maxListAge = 30 * time.Second
+	// missingTimeout is how long a host must be unlisted to count as draining.
+	missingTimeout = 5 * time.Second
+	// maxConcurrentProbes limits the number of probes in flight.
+	maxConcurrentProbes = 32
 )
 
-// Prober runs the probes. New makes one.
+// Prober polls the engines of a fleet and the host list of the platform.
 type Prober struct {
-	fleet    *fleet.Fleet
-	client   *http.Client
-	platform string
-	log      *zap.Logger
-	rounds   int
-	missing  map[string]time.Time // since when an IP is not listed
-	leaving  map[string]bool
+	fleet         *fleet.Fleet
+	client        *http.Client
+	platformURL   string
+	log           *zap.Logger
+	rounds        int                  // number of rounds of engine probes so far
+	unlistedSince map[string]time.Time // by IP: time of the first list without it
+	draining      map[string]bool      // by IP: state when it was last logged
 }
 
-// New makes a prober. platform is the base URL of the platform's list, empty
-// for none.
-func New(f *fleet.Fleet, transport http.RoundTripper, platform string, log *zap.Logger) *Prober {
+// New returns a prober for the engines of f. platformURL is the base URL of the platform's
+// host list; if it is empty, no host list is polled.
+func New(f *fleet.Fleet, transport http.RoundTripper, platformURL string, log *zap.Logger) *Prober {
 	return &Prober{
-		fleet: f, client: &http.Client{Transport: transport, Timeout: engineTimeout},
-		platform: platform, log: log,
-		missing: make(map[string]time.Time), leaving: make(map[string]bool),
+		fleet: f, client: &http.Client{Transport: transport, Timeout: requestTimeout},
+		platformURL: platformURL, log: log,
+		unlistedSince: make(map[string]time.Time), draining: make(map[string]bool),
 	}
 }
 
-// Run probes until ctx ends: one duty for engines, one for the platform.
+// Run polls the engines and the platform in one loop each until ctx ends. It returns nil.
 func (p *Prober) Run(ctx context.Context) error {
 	group := pool.New()
-	group.Go(func() { every(ctx, engineInterval, p.engines) })
-	if p.platform != "" {
-		group.Go(func() { every(ctx, platformInterval, p.hosts) })
+	group.Go(func() { runEvery(ctx, engineInterval, p.probeEngines) })
+	if p.platformURL != "" {
+		group.Go(func() { runEvery(ctx, hostListInterval, p.fetchHostList) })
 	}
 	group.Wait()
 	return nil
 }
 
-// every does something at once, and then again and again until ctx ends.
-func every(ctx context.Context, interval time.Duration, do func(context.Context)) {
-	do(ctx)
-	duty.Every(ctx, interval, func() { do(ctx) })
+// runEvery calls f at once and then after every interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, f func(context.Context)) {
+	f(ctx)
+	duty.Every(ctx, interval, func() { f(ctx) })
 }
 
-func (p *Prober) engines(ctx context.Context) {
+// probeEngines probes every engine of the fleet once and waits for the results.
+func (p *Prober) probeEngines(ctx context.Context) {
 	p.rounds++
-	events := p.rounds%eventsEvery == 0
-	group := pool.New().WithMaxGoroutines(parallel)
+	withEvictions := p.rounds%eventsEvery == 0
+	group := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	for _, e := range p.fleet.Addresses() {
-		group.Go(func() { p.engine(ctx, e, events) })
+		group.Go(func() { p.probeEngine(ctx, e, withEvictions) })
 	}
 	group.Wait()
 }
 
-func (p *Prober) engine(ctx context.Context, e fleet.Address, events bool) {
+// probeEngine requests the load of one engine and passes the result to the fleet. A refused
+// connection means that the engine's process has ended.
+func (p *Prober) probeEngine(ctx context.Context, e fleet.Address, withEvictions bool) {
 	var report fleet.Report
-	sent := time.Now()
-	head, err := p.get(ctx, "http://"+e.Address+"/engine/load", &report)
+	sentAt := time.Now()
+	header, err := p.get(ctx, "http://"+e.Address+"/engine/load", &report)
 	if ctx.Err() != nil {
 		return
 	}
-	p.fleet.Probe(e.Service, e.Engine, sent, err == nil)
-	if head != nil {
-		p.fleet.ProbedLeaving(e.Service, e.Engine, head.Get(relay.HeaderLeaving) == "true", sent)
+	p.fleet.Probe(e.Service, e.Engine, sentAt, err == nil)
+	if header != nil {
+		p.fleet.ProbedLeaving(e.Service, e.Engine, header.Get(relay.HeaderLeaving) == "true", sentAt)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		p.fleet.Refused(e.Engine)
@@ -107,13 +112,14 @@
 		return
 	}
 	p.fleet.SetReport(e.Service, e.Engine, report)
-	if events {
-		p.cacheEvents(ctx, e)
+	if withEvictions {
+		p.fetchEvictions(ctx, e)
 	}
 }
 
-// cacheEvents takes an engine's word of what it has evicted.
-func (p *Prober) cacheEvents(ctx context.Context, e fleet.Address) {
+// withEvictions passes the prefixes that an engine has evicted from its cache to the
+// fleet. It ignores errors.
+func (p *Prober) fetchEvictions(ctx context.Context, e fleet.Address) {
 	var events struct {
 		Evicted []uint64 `json:"evicted"`
 	}
@@ -125,7 +131,8 @@
 	}
 }
 
-// get reads an answer. Its head is given as far as one came.
+// get decodes the JSON response to a GET request into a value. It returns the response
+// header, also with an error, unless no response arrived.
 func (p *Prober) get(ctx context.Context, url string, into any) (http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -137,12 +144,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return resp.Header, errors.Errorf("status %d", resp.StatusCode)
+		return resp.Header, errors.Errorf("unexpected HTTP status %d", resp.StatusCode)
 	}
 	return resp.Header, errors.Trace(json.NewDecoder(resp.Body).Decode(into))
 }
 
-// List is the platform's answer to GET /hosts.
+// List is the platform's response to GET /hosts.
 type List struct {
 	At    time.Time  `json:"at"`
 	Hosts []ListHost `json:"hosts"`
@@ -154,67 +161,69 @@
 	State string `json:"state"` // "live" or "leaving"
 }
 
-func (p *Prober) hosts(ctx context.Context) {
+func (p *Prober) fetchHostList(ctx context.Context) {
 	var list List
-	if _, err := p.get(ctx, p.platform+"/hosts", &list); err != nil {
-		p.log.Debug("no list from the platform", telemetry.Cause(err))
+	if _, err := p.get(ctx, p.platformURL+"/hosts", &list); err != nil {
+		p.log.Debug("host list request failed", telemetry.Cause(err))
 		return
 	}
 	p.ApplyList(list, time.Now())
 }
 
-// ApplyList takes over what a list proves.
+// ApplyList updates the draining state of the fleet's engines from a host list. It ignores
+// an empty or stale list.
 func (p *Prober) ApplyList(list List, now time.Time) {
-	if len(list.Hosts) == 0 || now.Sub(list.At) > platformFresh {
+	if len(list.Hosts) == 0 || now.Sub(list.At) > maxListAge {
 		return
 	}
-	listed := make(map[string]string, len(list.Hosts))
+	states := make(map[string]string, len(list.Hosts))
 	for _, h := range list.Hosts {
-		listed[h.IP] = h.State
+		states[h.IP] = h.State
 	}
-	missing := p.noteMissing(listed, now)
+	missingTooLong := p.updateUnlisted(states, now)
 	p.fleet.SetLeaving(func(address string) bool {
 		ip, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return false
 		}
-		leaving := listed[ip] == "leaving" || missing[ip]
-		if leaving != p.leaving[ip] {
-			p.leaving[ip] = leaving
-			p.log.Info("platform", zap.String("ip", ip), zap.Bool("leaving", leaving))
+		draining := states[ip] == "leaving" || missingTooLong[ip]
+		if draining != p.draining[ip] {
+			p.draining[ip] = draining
+			p.log.Info("platform", zap.String("ip", ip), zap.Bool("leaving", draining))
 		}
-		return leaving
+		return draining
 	})
 }
 
-// noteMissing gives the IPs that have been missing long enough. Where more
-// than half of our engines' IPs are missing, the list is not one of ours.
-func (p *Prober) noteMissing(listed map[string]string, now time.Time) map[string]bool {
-	ours := map[string]bool{}
-	gone := 0
+// updateUnlisted records since when each engine's IP has been missing from the list, and
+// returns the IPs that have been missing for missingTimeout. If more than half of the IPs
+// are missing, it ignores the list, which is then assumed not to be for this deployment.
+func (p *Prober) updateUnlisted(states map[string]string, now time.Time) map[string]bool {
+	engineIPs := map[string]bool{}
+	unlisted := 0
 	for _, e := range p.fleet.Addresses() {
 		ip, _, err := net.SplitHostPort(e.Address)
-		if err != nil || ours[ip] {
+		if err != nil || engineIPs[ip] {
 			continue
 		}
-		ours[ip] = true
-		if listed[ip] == "" {
-			gone++
+		engineIPs[ip] = true
+		if states[ip] == "" {
+			unlisted++
 		}
 	}
-	out := map[string]bool{}
-	if gone*2 > len(ours) {
-		return out
+	draining := map[string]bool{}
+	if unlisted*2 > len(engineIPs) {
+		return draining
 	}
-	for ip := range ours {
-		if listed[ip] != "" {
-			delete(p.missing, ip)
+	for ip := range engineIPs {
+		if states[ip] != "" {
+			delete(p.unlistedSince, ip)
 			continue
 		}
-		if p.missing[ip].IsZero() {
-			p.missing[ip] = now
+		if p.unlistedSince[ip].IsZero() {
+			p.unlistedSince[ip] = now
 		}
-		out[ip] = now.Sub(p.missing[ip]) >= missingFor
+		draining[ip] = now.Sub(p.unlistedSince[ip]) >= missingTimeout
 	}
-	return out
+	return draining
 }
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -51,14 +51,18 @@
 	return h
 }
 
-func TestLeavingIsBelievedAtOnce(t *testing.T) {
+// TestListedDrainingAppliesAtOnce guards against sending requests to an engine whose host
+// the platform lists as leaving.
+func TestListedDrainingAppliesAtOnce(t *testing.T) {
 	p, f := setup(t)
 	p.ApplyList(list(now, "live", "leaving", "live"), now)
 	must.Eq(t, route.Leaving, health(t, f, "b"))
 	must.Eq(t, route.Healthy, health(t, f, "a"))
 }
 
-func TestEmptyOrOldListProvesNothing(t *testing.T) {
+// TestEmptyOrStaleListIsIgnored guards against taking every engine for draining because the
+// platform returns an empty list or one that it no longer updates.
+func TestEmptyOrStaleListIsIgnored(t *testing.T) {
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
@@ -70,7 +74,9 @@
 	}
 }
 
-func TestMissingHostLeavesAfterAWhile(t *testing.T) {
+// TestMissingHostDrainsAfterTimeout guards against taking an engine for draining because
+// its host is missing from a single list, and against never doing so.
+func TestMissingHostDrainsAfterTimeout(t *testing.T) {
 	p, f := setup(t)
 	p.ApplyList(list(now, "live", "", "live"), now)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
@@ -81,7 +87,9 @@
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
 
-func TestListOfOthersProvesNothing(t *testing.T) {
+// TestListWithoutMostEnginesIsIgnored guards against taking most engines for draining
+// because of a list that lacks more than half of their hosts.
+func TestListWithoutMostEnginesIsIgnored(t *testing.T) {
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
