--- a/probe/probe.go
+++ b/probe/probe.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// withEvictions passes the prefixes that an engine has evicted from its cache to the
+// fetchEvictions passes the prefixes that an engine has evicted from its cache to the
 // fleet. It ignores errors.
 func (p *Prober) fetchEvictions(ctx context.Context, e fleet.Address) {
 	var events struct {
