--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -19,9 +19,9 @@
 	Bound   time.Duration // timeout of one call
 }
 
-// Finder locates the hosts that may lead a region's key log. KeyPlaces returns all
-// hosts of a region, the most likely leader first. KeyPlace returns one host, or
-// false if its address is unknown.
+// Finder locates the hosts that may lead a region's key log. KeyPlaces returns
+// all hosts of a region, the most likely leader first. KeyPlace returns one host,
+// or false if its address is unknown.
 type Finder interface {
 	KeyPlaces(region string) []Place
 	KeyPlace(host string) (Place, bool)
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -6,7 +6,7 @@
 //
 // A Guard combines the effective rules with those of a pending change and permits
 // only what both permit. Hosts can therefore acknowledge a change before it is
-// accepted or refused: they comply with either outcome.
+// accepted or rejected: they comply with either outcome.
 package permit
 
 import (
@@ -190,7 +190,7 @@
 	Pending *Rules // nil if no change is pending
 }
 
-// Region is like Rules.Region, for both sets of rules.
+// Region reports whether both sets of rules permit the place, as Rules does for one.
 func (g Guard) Region(r request.Request, place Place) (bool, string) {
 	if ok, reason := g.Current.Region(r, place); !ok {
 		return false, reason
@@ -204,7 +204,7 @@
 	return true, ""
 }
 
-// Engine is like Rules.Engine, for both sets of rules.
+// Engine reports whether both sets of rules permit the engine, as Rules does for one.
 func (g Guard) Engine(r request.Request, place Place, engineLabels declare.Labels) bool {
 	if !g.Current.Engine(r, place, engineLabels) {
 		return false
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -71,8 +71,8 @@
 // removed before, or has restarted.
 func (r *Roster) Hear(h Host) bool { return r.HearFor(h, 0) }
 
-// HearFor is Hear for a host that sends reports less often than others: Expire keeps it
-// for at least the given timeout.
+// HearFor is Hear for a host that sends reports less often than
+// others: Expire doesn't remove it before the given timeout has passed.
 func (r *Roster) HearFor(h Host, timeout time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
