--- a/once/once.go
+++ b/once/once.go
@@ -44,8 +44,8 @@
 	Whole bool `json:"whole"`
 }
 
-// Verdict is the result of an OpBegin command. It is a sealed interface, implemented by
-// Run, Recorded, InProgress, Unknown, Conflict and Full.
+// Verdict is the result of an OpBegin command. It is a sealed interface, which
+// is implemented by Run, Recorded, InProgress, Unknown, Conflict and Full.
 type Verdict interface{ verdict() }
 
 // Run means that the intent is recorded and the host may send the call once.
