--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -51,41 +51,49 @@
 	return h
 }
 
-func TestLeavingIsBelievedAtOnce(t *testing.T) {
+// TestListedDrainingAppliesAtOnce guards against sending requests to an engine whose host
+// the platform lists as leaving.
+func TestListedDrainingAppliesAtOnce(t *testing.T) {
 	p, f := setup(t)
-	p.Believe(list(now, "live", "leaving", "live"), now)
+	p.ApplyList(list(now, "live", "leaving", "live"), now)
 	must.Eq(t, route.Draining, health(t, f, "b"))
 	must.Eq(t, route.Healthy, health(t, f, "a"))
 }
 
-func TestEmptyOrOldListProvesNothing(t *testing.T) {
+// TestEmptyOrStaleListIsIgnored guards against taking every engine for draining because the
+// platform returns an empty list or one that it no longer updates.
+func TestEmptyOrStaleListIsIgnored(t *testing.T) {
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
-		p.Believe(probe.List{At: at}, at)
-		p.Believe(list(now.Add(-time.Hour), "leaving", "leaving", "leaving"), at)
+		p.ApplyList(probe.List{At: at}, at)
+		p.ApplyList(list(now.Add(-time.Hour), "leaving", "leaving", "leaving"), at)
 	}
 	for _, e := range []string{"a", "b", "c"} {
 		must.Eq(t, route.Healthy, health(t, f, e))
 	}
 }
 
-func TestMissingHostLeavesAfterAWhile(t *testing.T) {
+// TestMissingHostDrainsAfterTimeout guards against taking an engine for draining because
+// its host is missing from a single list, and against never doing so.
+func TestMissingHostDrainsAfterTimeout(t *testing.T) {
 	p, f := setup(t)
-	p.Believe(list(now, "live", "", "live"), now)
+	p.ApplyList(list(now, "live", "", "live"), now)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 	later := now.Add(6 * time.Second)
-	p.Believe(list(later, "live", "", "live"), later)
+	p.ApplyList(list(later, "live", "", "live"), later)
 	must.Eq(t, route.Draining, health(t, f, "b"))
-	p.Believe(list(later, "live", "live", "live"), later)
+	p.ApplyList(list(later, "live", "live", "live"), later)
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
 
-func TestListOfOthersProvesNothing(t *testing.T) {
+// TestListWithoutMostEnginesIsIgnored guards against taking most engines for draining
+// because of a list that lacks more than half of their hosts.
+func TestListWithoutMostEnginesIsIgnored(t *testing.T) {
 	p, f := setup(t)
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Second)
-		p.Believe(list(at, "live", "", ""), at)
+		p.ApplyList(list(at, "live", "", ""), at)
 	}
 	must.Eq(t, route.Healthy, health(t, f, "b"))
 }
