--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -65,8 +65,8 @@
 		return err
 	}
 	call := once.Call{
-		Key:  once.Key{Service: x.req.Service, Account: x.req.Account, Key: x.req.Key},
-		Home: x.req.Home, Digest: digest, Attempt: uuid.NewString(), Until: x.req.Deadline,
+		Key:        once.Key{Service: x.req.Service, Account: x.req.Account, Key: x.req.Key},
+		HomeRegion: x.req.Home, Digest: digest, Attempt: uuid.NewString(), Until: x.req.Deadline,
 	}
 	verdict, err := s.IdempotencyStore.Begin(x.r.Context(), call)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	s.Log.Info("looked up idempotency key", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("verdict", verdictName(verdict)))
 	switch v := verdict.(type) {
-	case once.Run:
+	case once.Proceed:
 		return s.runOnce(x, p, call)
 	case once.Recorded:
 		s.replay(x, v.Answer)
@@ -83,7 +83,7 @@
 		return &request.NotRun{Reason: request.ReasonInProgress, Message: "an earlier call with this key is in progress; this one was not run", RetryAfter: time.Second}
 	case once.Conflict:
 		return &request.NotRun{Reason: request.ReasonConflict, Message: "the key was used for another request"}
-	case once.Full:
+	case once.TableFull:
 		return &request.NotRun{Reason: request.ReasonOverload, Message: "the home of the key keeps as many keys as it can", RetryAfter: time.Minute}
 	default:
 		return &request.OutcomeUnknown{Message: "an earlier call with this key may or may not have run; this one was not run"}
@@ -92,7 +92,7 @@
 
 func verdictName(v once.Verdict) string {
 	switch v.(type) {
-	case once.Run:
+	case once.Proceed:
 		return "run"
 	case once.Recorded:
 		return "recorded"
@@ -100,7 +100,7 @@
 		return "in_progress"
 	case once.Conflict:
 		return "conflict"
-	case once.Full:
+	case once.TableFull:
 		return "full"
 	default:
 		return "unknown"
@@ -209,7 +209,7 @@
 	status   int
 	header   http.Header
 	body     bytes.Buffer
-	tooLong  bool // the body exceeds once.MaxBody and is not recorded
+	tooLong  bool // the body exceeds once.MaxBodyBytes and is not recorded
 	complete bool // the engine's answer is complete
 	saved    bool // save has recorded the answer at the key's home
 	save     func(*recorder)
@@ -228,7 +228,7 @@
 }
 
 func (r *recorder) appendBody(data []byte) {
-	if r.tooLong || r.body.Len()+len(data) > once.MaxBody {
+	if r.tooLong || r.body.Len()+len(data) > once.MaxBodyBytes {
 		r.tooLong = true
 		r.body.Reset()
 		return
@@ -240,12 +240,12 @@
 // it is recorded before the caller gets the first byte. So a caller that has its answer
 // never finds its key still in progress.
 func (r *recorder) readPrefix(body io.Reader) (prefix []byte, complete bool, err error) {
-	prefix, err = io.ReadAll(io.LimitReader(body, once.MaxBody+1))
+	prefix, err = io.ReadAll(io.LimitReader(body, once.MaxBodyBytes+1))
 	if err != nil {
 		return nil, false, errors.Annotate(err, "answer")
 	}
 	r.appendBody(prefix)
-	if len(prefix) <= once.MaxBody {
+	if len(prefix) <= once.MaxBodyBytes {
 		r.complete = true
 		r.save(r)
 	}
--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -80,7 +80,7 @@
 
 // Lose implements gateway.IdempotencyStore.
 func (c *Client) Lose(ctx context.Context, call once.Call) error {
-	_, err := c.execute(ctx, call, once.Command{Op: once.OpLose})
+	_, err := c.execute(ctx, call, once.Command{Op: once.OpMarkUnknown})
 	return err
 }
 
@@ -88,7 +88,7 @@
 func (c *Client) execute(ctx context.Context, call once.Call, command once.Command) (Reply, error) {
 	command.Key, command.Digest, command.Attempt = call.Key, call.Digest, call.Attempt
 	for ctx.Err() == nil {
-		for _, endpoint := range c.finder.KeyPlaces(call.Home) {
+		for _, endpoint := range c.finder.KeyPlaces(call.HomeRegion) {
 			if reply, ok := c.callLeader(ctx, endpoint, command); ok {
 				return reply, nil
 			}
--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -68,7 +68,7 @@
 func (m *machine) Apply(_ uint64, data []byte) any {
 	var c once.Command
 	if err := json.Unmarshal(data, &c); err != nil {
-		return once.Unknown{}
+		return once.OutcomeUnknown{}
 	}
 	verdict := m.table.Apply(c)
 	m.keyCount.Store(int64(m.table.Len()))
@@ -154,7 +154,7 @@
 // newReply encodes a verdict.
 func newReply(v once.Verdict) Reply {
 	switch v := v.(type) {
-	case once.Run:
+	case once.Proceed:
 		return Reply{Kind: KindRun}
 	case once.Recorded:
 		return Reply{Kind: KindRecorded, Recorded: v.Answer}
@@ -162,7 +162,7 @@
 		return Reply{Kind: KindInProgress, Since: v.Since}
 	case once.Conflict:
 		return Reply{Kind: KindConflict}
-	case once.Full:
+	case once.TableFull:
 		return Reply{Kind: KindFull}
 	default:
 		return Reply{Kind: KindUnknown}
@@ -173,7 +173,7 @@
 func (r Reply) Verdict() once.Verdict {
 	switch r.Kind {
 	case KindRun:
-		return once.Run{}
+		return once.Proceed{}
 	case KindRecorded:
 		return once.Recorded{Answer: r.Recorded}
 	case KindInProgress:
@@ -181,8 +181,8 @@
 	case KindConflict:
 		return once.Conflict{}
 	case KindFull:
-		return once.Full{}
+		return once.TableFull{}
 	default:
-		return once.Unknown{}
+		return once.OutcomeUnknown{}
 	}
 }
--- a/once/once.go
+++ b/once/once.go
@@ -27,11 +27,11 @@
 
 // Call describes a call with an idempotency key on the host that sends it.
 type Call struct {
-	Key     Key
-	Home    string    // home region of the key
-	Digest  uint64    // hash of the request; detects reuse of a key for another request
-	Attempt string    // unique for each call that a host accepts
-	Until   time.Time // time by which the call has succeeded, failed or timed out
+	Key        Key
+	HomeRegion string    // home region of the key
+	Digest     uint64    // hash of the request; detects reuse of a key for another request
+	Attempt    string    // unique for each call that a host accepts
+	Until      time.Time // time by which the call has succeeded, failed or timed out
 }
 
 // Answer is the recorded response to a call.
@@ -39,17 +39,17 @@
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
-	// Whole is false if the body exceeded MaxBody and was not stored. A repeat
+	// Whole is false if the body exceeded MaxBodyBytes and was not stored. A repeat
 	// then receives only the status.
 	Whole bool `json:"whole"`
 }
 
 // Verdict is the result of an OpBegin command. It is a sealed interface, which
-// is implemented by Run, Recorded, InProgress, Unknown, Conflict and Full.
+// is implemented by Proceed, Recorded, InProgress, OutcomeUnknown, Conflict and TableFull.
 type Verdict interface{ verdict() }
 
-// Run means that the intent is recorded and the host may send the call once.
-type Run struct{}
+// Proceed means that the intent is recorded and the host may send the call once.
+type Proceed struct{}
 
 // Recorded carries the response to the earlier call.
 type Recorded struct{ Answer Answer }
@@ -57,18 +57,18 @@
 // InProgress means that an earlier call, begun at Since, has not ended.
 type InProgress struct{ Since time.Time }
 
-// Unknown means that an earlier call may or may not have run.
-type Unknown struct{}
+// OutcomeUnknown means that an earlier call may or may not have run.
+type OutcomeUnknown struct{}
 
 // Conflict means that the key was used before for a different request.
 type Conflict struct{}
 
-// Full means that the table holds its maximum number of keys and rejected the call.
-type Full struct{}
+// TableFull means that the table holds its maximum number of keys and rejected the call.
+type TableFull struct{}
 
-func (Run) verdict()        {}
-func (Recorded) verdict()   {}
-func (InProgress) verdict() {}
-func (Unknown) verdict()    {}
-func (Conflict) verdict()   {}
-func (Full) verdict()       {}
+func (Proceed) verdict()        {}
+func (Recorded) verdict()       {}
+func (InProgress) verdict()     {}
+func (OutcomeUnknown) verdict() {}
+func (Conflict) verdict()       {}
+func (TableFull) verdict()      {}
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -26,7 +26,7 @@
 	answer := &once.Answer{Status: 200, Body: []byte("done"), Whole: true}
 	t.Run("a repeat gets the recorded answer", func(t *testing.T) {
 		table := once.NewTable(10)
-		must.Eq[once.Verdict](t, once.Run{}, table.Apply(begin("1", 7, start)))
+		must.Eq[once.Verdict](t, once.Proceed{}, table.Apply(begin("1", 7, start)))
 		must.Eq[once.Verdict](t, once.InProgress{Since: start}, table.Apply(begin("2", 7, start.Add(time.Second))))
 		table.Apply(once.Command{Op: once.OpFinish, Key: key, Attempt: "1", At: start, Answer: answer})
 		must.Eq[once.Verdict](t, once.Recorded{Answer: *answer}, table.Apply(begin("3", 7, start.Add(time.Hour))))
@@ -35,13 +35,13 @@
 	t.Run("a host may resend its own OpBegin after the reply was lost", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
-		must.Eq[once.Verdict](t, once.Run{}, table.Apply(begin("1", 7, start)))
+		must.Eq[once.Verdict](t, once.Proceed{}, table.Apply(begin("1", 7, start)))
 	})
 	t.Run("a host that died leaves the outcome unknown", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
-		must.Eq[once.Verdict](t, once.Unknown{}, table.Apply(begin("2", 7, start.Add(time.Minute))))
-		must.Eq[once.Verdict](t, once.Unknown{}, table.Apply(begin("3", 7, start.Add(time.Hour))))
+		must.Eq[once.Verdict](t, once.OutcomeUnknown{}, table.Apply(begin("2", 7, start.Add(time.Minute))))
+		must.Eq[once.Verdict](t, once.OutcomeUnknown{}, table.Apply(begin("3", 7, start.Add(time.Hour))))
 	})
 	t.Run("a late command of another attempt changes nothing", func(t *testing.T) {
 		table := once.NewTable(10)
@@ -53,23 +53,23 @@
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		table.Apply(once.Command{Op: once.OpRelease, Key: key, Attempt: "1", At: start})
-		must.Eq[once.Verdict](t, once.Run{}, table.Apply(begin("2", 7, start)))
+		must.Eq[once.Verdict](t, once.Proceed{}, table.Apply(begin("2", 7, start)))
 	})
 	t.Run("no key is evicted before its retention has passed", func(t *testing.T) {
 		table := once.NewTable(1)
 		table.Apply(begin("1", 7, start))
 		other := begin("2", 7, start)
 		other.Key.Key = "other"
-		must.Eq[once.Verdict](t, once.Full{}, table.Apply(other))
+		must.Eq[once.Verdict](t, once.TableFull{}, table.Apply(other))
 		other.At = start.Add(once.Retention + time.Second)
-		must.Eq[once.Verdict](t, once.Run{}, table.Apply(other))
+		must.Eq[once.Verdict](t, once.Proceed{}, table.Apply(other))
 		must.Eq(t, 1, table.Len())
 	})
 	t.Run("a proposer's slow clock doesn't turn the table's time back", func(t *testing.T) {
 		table := once.NewTable(10)
 		table.Apply(begin("1", 7, start))
 		table.Apply(begin("x", 9, start.Add(time.Minute)))
-		must.Eq[once.Verdict](t, once.Unknown{}, table.Apply(begin("2", 7, start)))
+		must.Eq[once.Verdict](t, once.OutcomeUnknown{}, table.Apply(begin("2", 7, start)))
 	})
 }
 
@@ -155,7 +155,7 @@
 	k, attempt, attemptNumber := c.key, fmt.Sprintf("%d/%d", c.client, c.attempt), c.attempt
 	c.propose(node, once.Command{Op: once.OpBegin, Key: once.Key{Key: k}, Attempt: attempt, Digest: 1, Until: c.cluster.Now.Add(5 * time.Second)}, func(v once.Verdict) {
 		switch v := v.(type) {
-		case once.Run:
+		case once.Proceed:
 			if c.attempt == attemptNumber && c.busy {
 				c.run(node, k, attempt)
 			}
--- a/once/table.go
+++ b/once/table.go
@@ -15,8 +15,8 @@
 	// MaxKeys is the capacity of a table. A full table rejects new calls, which
 	// then fail as not run; it never evicts a key before Retention has passed.
 	MaxKeys = 1 << 20
-	// MaxBody is the maximum length of a recorded body in bytes.
-	MaxBody = 64 << 10
+	// MaxBodyBytes is the maximum length of a recorded body in bytes.
+	MaxBodyBytes = 64 << 10
 )
 
 // Op is the operation of a Command.
@@ -30,8 +30,8 @@
 	OpFinish Op = "finish"
 	// OpRelease deletes an intent whose call was not sent.
 	OpRelease Op = "release"
-	// OpLose records that the outcome of the call can no longer be determined.
-	OpLose Op = "lose"
+	// OpMarkUnknown records that the outcome of the call can no longer be determined.
+	OpMarkUnknown Op = "lose"
 )
 
 // Command is one entry of the home region's replicated log.
@@ -41,7 +41,7 @@
 	Digest  uint64    `json:"digest,omitempty"` // hash of the request
 	Attempt string    `json:"attempt"`          // Call.Attempt of the call that issued the command
 	At      time.Time `json:"at"`               // time on the proposer's clock
-	// Until is when a call that has not ended becomes Unknown.
+	// Until is when a call that has not ended becomes OutcomeUnknown.
 	Until  time.Time `json:"until,omitempty"`
 	Answer *Answer   `json:"answer,omitempty"`
 }
@@ -79,7 +79,7 @@
 
 // Apply executes one command. It is deterministic: replicas that apply the same
 // commands in the same order return the same verdicts. Only OpBegin returns a
-// verdict other than Run.
+// verdict other than Proceed.
 func (t *Table) Apply(c Command) Verdict {
 	if c.At.After(t.now) {
 		t.now = c.At // proposers' clocks differ; the table's time is monotonic
@@ -90,29 +90,29 @@
 		return t.begin(c, rec, exists)
 	}
 	if !exists || rec.Attempt != c.Attempt || rec.State != stateBegun {
-		return Run{}
+		return Proceed{}
 	}
 	switch c.Op {
 	case OpFinish:
 		rec.State, rec.Answer = stateFinished, c.Answer
 		t.records[c.Key] = rec
-	case OpLose:
+	case OpMarkUnknown:
 		rec.State = stateUnknown
 		t.records[c.Key] = rec
 	case OpRelease:
 		delete(t.records, c.Key)
 	}
-	return Run{}
+	return Proceed{}
 }
 
 func (t *Table) begin(c Command, rec record, exists bool) Verdict {
 	if !exists {
 		if len(t.records) >= t.maxKeys {
-			return Full{}
+			return TableFull{}
 		}
 		t.records[c.Key] = record{State: stateBegun, Digest: c.Digest, Attempt: c.Attempt, At: t.now, Until: c.Until}
 		t.keysByAge = append(t.keysByAge, c.Key)
-		return Run{}
+		return Proceed{}
 	}
 	switch {
 	case rec.Digest != c.Digest:
@@ -120,13 +120,13 @@
 	case rec.State == stateBegun && rec.Attempt == c.Attempt:
 		// The host resent its own OpBegin because the first reply was lost. It
 		// sends the call only after a reply, so the call has not been sent.
-		return Run{}
+		return Proceed{}
 	case rec.State == stateFinished:
 		return Recorded{*rec.Answer}
 	case rec.State == stateBegun && t.now.Before(rec.Until):
 		return InProgress{rec.At}
 	default:
-		return Unknown{}
+		return OutcomeUnknown{}
 	}
 }
 
