--- a/agent/keys.go
+++ b/agent/keys.go
@@ -10,18 +10,18 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-var _ keyhome.Finder = (*Agent)(nil)
+var _ keyhome.Resolver = (*Agent)(nil)
 
-// KeyPlaces implements keyhome.Finder. It returns the hosts that report leading the
+// KeyEndpoints implements keyhome.Resolver. It returns the hosts that report leading the
 // region's key log, then the region's other hosts.
-func (a *Agent) KeyPlaces(region string) []keyhome.Place {
+func (a *Agent) KeyEndpoints(region string) []keyhome.Endpoint {
 	view, _ := a.View()
-	var leading, others []keyhome.Place
+	var leading, others []keyhome.Endpoint
 	for _, h := range declare.Each[declare.Host](view.Config) {
 		if view.Config.RegionOf(h.DataCentre) != region || h.State == declare.HostGone {
 			continue
 		}
-		place, ok := a.KeyPlace(h.Name)
+		place, ok := a.KeyEndpoint(h.Name)
 		switch {
 		case !ok:
 		case a.leadsKeyLog(h.Name):
@@ -33,10 +33,10 @@
 	return append(leading, others...)
 }
 
-// KeyPlace implements keyhome.Finder.
-func (a *Agent) KeyPlace(host string) (keyhome.Place, bool) {
+// KeyEndpoint implements keyhome.Resolver.
+func (a *Agent) KeyEndpoint(host string) (keyhome.Endpoint, bool) {
 	address, timeout, ok := a.controlAddress(host)
-	return keyhome.Place{Host: host, Address: address, Bound: timeout}, ok
+	return keyhome.Endpoint{Host: host, Address: address, Timeout: timeout}, ok
 }
 
 // leadsKeyLog reports whether a host's latest status says that it leads its region's key
@@ -52,9 +52,9 @@
 	return ok && received.status.KeyLeader && steady.Time().Sub(received.issuedAt) < statusTTL
 }
 
-// KeyLogReplicas returns the replicas of the key log on this region's hosts, as candidate
+// KeyVoterCandidates returns the replicas of the key log on this region's hosts, as candidate
 // voters.
-func (a *Agent) KeyLogReplicas() []voters.Spare {
+func (a *Agent) KeyVoterCandidates() []voters.Spare {
 	var out []voters.Spare
 	if id, _ := a.KeyReplica(); id != raft.None {
 		out = append(out, voters.Spare{ID: id, Region: a.Host.Region})
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -29,7 +29,7 @@
 // nothing.
 type keyService struct {
 	ctx  context.Context // net/rpc gives its methods none
-	home atomic.Pointer[keyhome.Home]
+	home atomic.Pointer[keyhome.Replica]
 	id   atomic.Pointer[raft.ID]
 }
 
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(k.ctx, keyTime)
 	defer cancel()
-	got, err := home.Do(ctx, c)
+	got, err := home.Propose(ctx, c)
 	*reply = got
 	return err
 }
@@ -99,8 +99,8 @@
 		return errors.Trace(err)
 	}
 	home, err := keyhome.Open(keyhome.Options{
-		ID: id, Folder: folder, Send: d.sendTo(d.keySender), Spares: d.keySpares,
-		Voters: len(formers), Log: d.log, Seed: d.seed + 1,
+		ID: id, Folder: folder, Send: d.sendTo(d.keySender), VoterCandidates: d.keySpares,
+		TargetVoters: len(formers), Log: d.log, Seed: d.seed + 1,
 	})
 	if err != nil {
 		return errors.Trace(err)
@@ -112,7 +112,7 @@
 	return home.Run(ctx)
 }
 
-func (d *process) keySpares() []voters.Spare { return d.agent.KeyLogReplicas() }
+func (d *process) keySpares() []voters.Spare { return d.agent.KeyVoterCandidates() }
 
 // folder opens the data folder of a log, or one in memory for a host without
 // a disk.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -68,7 +68,7 @@
 	// Release deletes the intent of a call that was not sent.
 	Release(ctx context.Context, call once.Call) error
 	// Lose records that the outcome of a call will never be known.
-	Lose(ctx context.Context, call once.Call) error
+	MarkUnknown(ctx context.Context, call once.Call) error
 }
 
 // Deps are the dependencies of a Server.
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -146,7 +146,7 @@
 	case completed && errors.As(err, &rejection):
 		recordErr = s.IdempotencyStore.Release(ctx, call)
 	default:
-		recordErr = s.IdempotencyStore.Lose(ctx, call)
+		recordErr = s.IdempotencyStore.MarkUnknown(ctx, call)
 	}
 	if recordErr != nil {
 		s.Log.Warn("failed to record outcome of call with idempotency key", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -94,7 +94,7 @@
 	return err
 }
 
-func (k *fakeIdempotencyStore) Lose(_ context.Context, call once.Call) error {
+func (k *fakeIdempotencyStore) MarkUnknown(_ context.Context, call once.Call) error {
 	_, err := k.apply(call, once.Command{Op: once.OpMarkUnknown})
 	return err
 }
--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -12,30 +12,30 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Place is the RPC endpoint of a host that may lead a region's key log.
-type Place struct {
+// Endpoint is the RPC endpoint of a host that may lead a region's key log.
+type Endpoint struct {
 	Host    string
 	Address string        // of its net/rpc listener
-	Bound   time.Duration // timeout of one call
+	Timeout time.Duration // timeout of one call
 }
 
-// Finder locates the hosts that may lead a region's key log. KeyPlaces returns
-// all hosts of a region, the most likely leader first. KeyPlace returns one host,
+// Resolver locates the hosts that may lead a region's key log. KeyEndpoints returns
+// all hosts of a region, the most likely leader first. KeyEndpoint returns one host,
 // or false if its address is unknown.
-type Finder interface {
-	KeyPlaces(region string) []Place
-	KeyPlace(host string) (Place, bool)
+type Resolver interface {
+	KeyEndpoints(region string) []Endpoint
+	KeyEndpoint(host string) (Endpoint, bool)
 }
 
 // Client sends commands to the leader of the key log in a key's home region. It
 // implements gateway.IdempotencyStore.
 type Client struct {
-	finder Finder
+	finder Resolver
 	rpc    *wire.Client
 }
 
 // NewClient returns a client that locates leaders by finder and calls them over calls.
-func NewClient(finder Finder, calls *wire.Client) *Client { return &Client{finder, calls} }
+func NewClient(finder Resolver, calls *wire.Client) *Client { return &Client{finder, calls} }
 
 // Timeouts of a client.
 const (
@@ -78,8 +78,8 @@
 	return err
 }
 
-// Lose implements gateway.IdempotencyStore.
-func (c *Client) Lose(ctx context.Context, call once.Call) error {
+// MarkUnknown implements gateway.IdempotencyStore.
+func (c *Client) MarkUnknown(ctx context.Context, call once.Call) error {
 	_, err := c.execute(ctx, call, once.Command{Op: once.OpMarkUnknown})
 	return err
 }
@@ -88,7 +88,7 @@
 func (c *Client) execute(ctx context.Context, call once.Call, command once.Command) (Reply, error) {
 	command.Key, command.Digest, command.Attempt = call.Key, call.Digest, call.Attempt
 	for ctx.Err() == nil {
-		for _, endpoint := range c.finder.KeyPlaces(call.HomeRegion) {
+		for _, endpoint := range c.finder.KeyEndpoints(call.HomeRegion) {
 			if reply, ok := c.callLeader(ctx, endpoint, command); ok {
 				return reply, nil
 			}
@@ -100,17 +100,17 @@
 
 // callLeader sends a command to one host. If that host doesn't lead, it follows the
 // reply's redirect to the leader once.
-func (c *Client) callLeader(ctx context.Context, endpoint Place, command once.Command) (Reply, bool) {
+func (c *Client) callLeader(ctx context.Context, endpoint Endpoint, command once.Command) (Reply, bool) {
 	for range 2 {
 		var reply Reply
-		err := c.rpc.WithTimeout(ctx, endpoint.Bound, endpoint.Address, "Keys.Do", command, &reply)
+		err := c.rpc.WithTimeout(ctx, endpoint.Timeout, endpoint.Address, "Keys.Do", command, &reply)
 		if err != nil {
 			return Reply{}, false
 		}
 		if !reply.NotLead {
 			return reply, true
 		}
-		leader, ok := c.finder.KeyPlace(reply.Leader)
+		leader, ok := c.finder.KeyEndpoint(reply.Leader)
 		if !ok {
 			return Reply{}, false
 		}
--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -37,19 +37,19 @@
 	snapshotEntries   = 8192 // log entries between two snapshots
 )
 
-// Options configures a Home.
+// Options configures a Replica.
 type Options struct {
-	ID     raft.ID
-	Folder disk.Folder
-	Send   func(raft.Envelope)
-	Spares func() []voters.Spare // lists the replicas of the region that may vote
-	Voters int                   // target number of voters
-	Log    *zap.Logger
-	Seed   uint64
+	ID              raft.ID
+	Folder          disk.Folder
+	Send            func(raft.Envelope)
+	VoterCandidates func() []voters.Spare // lists the replicas of the region that may vote
+	TargetVoters    int                   // target number of voters
+	Log             *zap.Logger
+	Seed            uint64
 }
 
-// Home is this host's replica of its region's key log.
-type Home struct {
+// Replica is this host's replica of its region's key log.
+type Replica struct {
 	replica         *replica.Replica
 	machine         *machine
 	voterReconciler *voters.Reconciler
@@ -82,8 +82,8 @@
 func (m *machine) Restore(data []byte) error { return m.table.Restore(data) }
 
 // Open opens the replica that is stored in opts.Folder. Run must be called to run it.
-func Open(opts Options) (*Home, error) {
-	h := &Home{machine: &machine{table: once.NewTable(once.MaxKeys)}}
+func Open(opts Options) (*Replica, error) {
+	h := &Replica{machine: &machine{table: once.NewTable(once.MaxKeys)}}
 	var err error
 	h.replica, err = replica.Open(replica.Options{
 		ID: opts.ID, ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval, Folder: opts.Folder, Machine: h.machine,
@@ -92,13 +92,13 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "open log of idempotency keys")
 	}
-	h.voterReconciler = voters.New(h.replica, opts.Spares, voters.Policy{Wanted: opts.Voters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
+	h.voterReconciler = voters.New(h.replica, opts.VoterCandidates, voters.Policy{Wanted: opts.TargetVoters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
 	return h, nil
 }
 
 // Run runs the replica until ctx ends. While the replica leads, Run also replaces lost
 // voters.
-func (h *Home) Run(ctx context.Context) error {
+func (h *Replica) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(h.replica.Run)
 	group.Go(h.voterReconciler.Run)
@@ -106,13 +106,13 @@
 }
 
 // Deliver passes a Raft message from a peer to the replica.
-func (h *Home) Deliver(e raft.Envelope) { h.replica.Deliver(e) }
+func (h *Replica) Deliver(e raft.Envelope) { h.replica.Deliver(e) }
 
 // Status returns the Raft status of the replica.
-func (h *Home) Status() raft.Status { return h.replica.Status() }
+func (h *Replica) Status() raft.Status { return h.replica.Status() }
 
 // KeyCount returns the number of keys in the table.
-func (h *Home) KeyCount() int64 { return h.machine.keyCount.Load() }
+func (h *Replica) KeyCount() int64 { return h.machine.keyCount.Load() }
 
 // Reply is the result of a command. It encodes a once.Verdict in a form that net/rpc
 // can carry, or redirects the caller to the leader.
@@ -129,17 +129,17 @@
 
 // Kinds of verdicts. Their numbers are sent to other hosts.
 const (
-	KindRun Kind = iota
+	KindProceed Kind = iota
 	KindRecorded
 	KindInProgress
-	KindUnknown
+	KindOutcomeUnknown
 	KindConflict
-	KindFull
+	KindTableFull
 )
 
-// Do proposes a command and returns its result. If this replica doesn't lead, it
+// Propose proposes a command and returns its result. If this replica doesn't lead, it
 // returns a Reply with NotLead set and proposes nothing.
-func (h *Home) Do(ctx context.Context, c once.Command) (Reply, error) {
+func (h *Replica) Propose(ctx context.Context, c once.Command) (Reply, error) {
 	c.At = time.Now().UTC()
 	result, err := h.replica.ProposeJSON(ctx, c)
 	if errors.Is(err, replica.ErrNotLeader) {
@@ -155,7 +155,7 @@
 func newReply(v once.Verdict) Reply {
 	switch v := v.(type) {
 	case once.Proceed:
-		return Reply{Kind: KindRun}
+		return Reply{Kind: KindProceed}
 	case once.Recorded:
 		return Reply{Kind: KindRecorded, Recorded: v.Answer}
 	case once.InProgress:
@@ -163,16 +163,16 @@
 	case once.Conflict:
 		return Reply{Kind: KindConflict}
 	case once.TableFull:
-		return Reply{Kind: KindFull}
+		return Reply{Kind: KindTableFull}
 	default:
-		return Reply{Kind: KindUnknown}
+		return Reply{Kind: KindOutcomeUnknown}
 	}
 }
 
 // Verdict decodes the verdict of a reply whose NotLead isn't set.
 func (r Reply) Verdict() once.Verdict {
 	switch r.Kind {
-	case KindRun:
+	case KindProceed:
 		return once.Proceed{}
 	case KindRecorded:
 		return once.Recorded{Answer: r.Recorded}
@@ -180,7 +180,7 @@
 		return once.InProgress{Since: r.Since}
 	case KindConflict:
 		return once.Conflict{}
-	case KindFull:
+	case KindTableFull:
 		return once.TableFull{}
 	default:
 		return once.OutcomeUnknown{}
