--- a/agent/keys.go
+++ b/agent/keys.go
@@ -54,16 +54,16 @@
 
 // KeyVoterCandidates returns the replicas of the key log on this region's hosts, as candidate
 // voters.
-func (a *Agent) KeyVoterCandidates() []voters.Spare {
-	var out []voters.Spare
+func (a *Agent) KeyVoterCandidates() []voters.Candidate {
+	var out []voters.Candidate
 	if id, _ := a.KeyReplica(); id != raft.None {
-		out = append(out, voters.Spare{ID: id, Region: a.Host.Region})
+		out = append(out, voters.Candidate{ID: id, Region: a.Host.Region})
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, received := range a.statuses {
 		if received.status.Region == a.Host.Region && received.status.KeyReplica != raft.None && steady.Time().Sub(received.issuedAt) < statusTTL {
-			out = append(out, voters.Spare{ID: received.status.KeyReplica, Region: received.status.Region})
+			out = append(out, voters.Candidate{ID: received.status.KeyReplica, Region: received.status.Region})
 		}
 	}
 	return out
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -167,7 +167,7 @@
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(c.replica.Run)
 	group.Go(c.follower.Run)
-	group.Go(voters.New(c.replica, c.spares, voters.Policy{Wanted: c.Voters, LostAfter: voterTimeout, Standby: true}, c.Log).Run)
+	group.Go(voters.New(c.replica, c.spares, voters.Policy{TargetVoters: c.Voters, LostAfter: voterTimeout, Standby: true}, c.Log).Run)
 	group.Go(c.expireHostsAndEngines)
 	group.Go(c.saveEngines)
 	group.Go(c.confirmPeriodically)
@@ -201,12 +201,12 @@
 func (c *Controller) IsLeader() bool { return c.replica.Status().Role == raft.Leader }
 
 // spares lists the control hosts that could become voters.
-func (c *Controller) spares() []voters.Spare {
+func (c *Controller) spares() []voters.Candidate {
 	hosts := c.roster.Hosts(roster.RoleControl)
-	var out []voters.Spare
+	var out []voters.Candidate
 	for _, h := range hosts {
 		if h.Replica != "" && !h.Stopping {
-			out = append(out, voters.Spare{ID: raft.ID(h.Replica), Region: h.Region})
+			out = append(out, voters.Candidate{ID: raft.ID(h.Replica), Region: h.Region})
 		}
 	}
 	return out
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -112,7 +112,7 @@
 	return home.Run(ctx)
 }
 
-func (d *process) keySpares() []voters.Spare { return d.agent.KeyVoterCandidates() }
+func (d *process) keySpares() []voters.Candidate { return d.agent.KeyVoterCandidates() }
 
 // folder opens the data folder of a log, or one in memory for a host without
 // a disk.
--- a/keyhome/keyhome.go
+++ b/keyhome/keyhome.go
@@ -42,8 +42,8 @@
 	ID              raft.ID
 	Folder          disk.Folder
 	Send            func(raft.Envelope)
-	VoterCandidates func() []voters.Spare // lists the replicas of the region that may vote
-	TargetVoters    int                   // target number of voters
+	VoterCandidates func() []voters.Candidate // lists the replicas of the region that may vote
+	TargetVoters    int                       // target number of voters
 	Log             *zap.Logger
 	Seed            uint64
 }
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "open log of idempotency keys")
 	}
-	h.voterReconciler = voters.New(h.replica, opts.VoterCandidates, voters.Policy{Wanted: opts.TargetVoters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
+	h.voterReconciler = voters.New(h.replica, opts.VoterCandidates, voters.Policy{TargetVoters: opts.TargetVoters, LostAfter: voters.DefaultLostAfter}, opts.Log.Named("keys"))
 	return h, nil
 }
 
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -85,7 +85,7 @@
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	group.Go(l.replica.Run)
 	group.Go(l.runDecisions)
-	group.Go(voters.New(l.replica, l.spareReplicas, voters.Policy{Wanted: l.opts.WantedVoters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
+	group.Go(voters.New(l.replica, l.spareReplicas, voters.Policy{TargetVoters: l.opts.WantedVoters, LostAfter: voters.DefaultLostAfter}, l.opts.Log).Run)
 	return group.Wait()
 }
 
@@ -265,11 +265,11 @@
 }
 
 // spareReplicas lists the replicas of the hosts that have reported within statusTTL.
-func (l *Leader) spareReplicas() []voters.Spare {
-	var out []voters.Spare
+func (l *Leader) spareReplicas() []voters.Candidate {
+	var out []voters.Candidate
 	for _, h := range l.recentStatuses() {
 		if h.Replica != raft.None {
-			out = append(out, voters.Spare{ID: h.Replica, Region: h.Region})
+			out = append(out, voters.Candidate{ID: h.Replica, Region: h.Region})
 		}
 	}
 	return out
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -181,13 +181,13 @@
 		if repaired(status.Members) && status.Commit == status.Last {
 			return
 		}
-		var spares []voters.Spare
+		var spares []voters.Candidate
 		for _, n := range c.Nodes {
 			if n.Up {
-				spares = append(spares, voters.Spare{ID: n.ID})
+				spares = append(spares, voters.Candidate{ID: n.ID})
 			}
 		}
-		if next, reason := voters.Next(status, spares, voters.Policy{Wanted: 3, LostAfter: voters.DefaultLostAfter}, c.Now); reason != "" {
+		if next, reason := voters.NextMembership(status, spares, voters.Policy{TargetVoters: 3, LostAfter: voters.DefaultLostAfter}, c.Now); reason != "" {
 			_, _, _ = leader.Raft.ProposeMembers(c.Now, next)
 		}
 	}
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -26,8 +26,8 @@
 
 // Policy configures how many voters a log should have and when one counts as lost.
 type Policy struct {
-	Wanted    int           // target number of voters
-	LostAfter time.Duration // time without contact after which a voter counts as lost
+	TargetVoters int           // target number of voters
+	LostAfter    time.Duration // time without contact after which a voter counts as lost
 	// Standby keeps one additional replica as a learner, so that it can replace a
 	// lost voter without first having to catch up.
 	Standby bool
@@ -50,7 +50,7 @@
 // Reconciler restores the target number of voters of a log while its replica leads.
 type Reconciler struct {
 	replica    *replica.Replica
-	candidates func() []Spare
+	candidates func() []Candidate
 	policy     Policy
 	log        *zap.Logger
 	pauses     PauseDetector
@@ -58,7 +58,7 @@
 
 // New returns a reconciler for the log of r. candidates returns all replicas that may
 // vote, including current voters, in any order. The reconciler sorts the slice in place.
-func New(r *replica.Replica, candidates func() []Spare, policy Policy, log *zap.Logger) *Reconciler {
+func New(r *replica.Replica, candidates func() []Candidate, policy Policy, log *zap.Logger) *Reconciler {
 	return &Reconciler{replica: r, candidates: candidates, policy: policy, log: log}
 }
 
@@ -100,8 +100,8 @@
 
 func (r *Reconciler) step(ctx context.Context, status raft.Status, now time.Time) {
 	candidates := r.candidates()
-	slices.SortFunc(candidates, func(a, b Spare) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	next, reason := Next(status, candidates, r.policy, now)
+	slices.SortFunc(candidates, func(a, b Candidate) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	next, reason := NextMembership(status, candidates, r.policy, now)
 	if reason == "" {
 		return
 	}
@@ -130,18 +130,18 @@
 	return host
 }
 
-// Spare is a replica that may become a voter, or is one already.
-type Spare struct {
+// Candidate is a replica that may become a voter, or is one already.
+type Candidate struct {
 	ID     raft.ID
 	Region string
 }
 
-// Next returns the next membership change towards the target number of live voters, and
+// NextMembership returns the next membership change towards the target number of live voters, and
 // the reason for it. The reason is empty if no change is needed.
-func Next(status raft.Status, candidates []Spare, policy Policy, now time.Time) (next raft.Membership, reason string) {
+func NextMembership(status raft.Status, candidates []Candidate, policy Policy, now time.Time) (next raft.Membership, reason string) {
 	members := status.Members
 	lost := lostVoter(status, candidates, policy, now)
-	needed := lost != raft.None || len(members.Voters) < policy.Wanted
+	needed := lost != raft.None || len(members.Voters) < policy.TargetVoters
 	for _, peer := range status.Peers {
 		if !slices.Contains(members.Learners, peer.ID) {
 			continue
@@ -149,11 +149,11 @@
 		if isLost(peer, candidates, policy, now) {
 			return members.Without(peer.ID), "learner " + string(peer.ID) + " is lost"
 		}
-		if needed && len(members.Voters) <= policy.Wanted && peer.Match > 0 && peer.Match+maxLearnerLag >= status.Commit {
+		if needed && len(members.Voters) <= policy.TargetVoters && peer.Match > 0 && peer.Match+maxLearnerLag >= status.Commit {
 			return members.WithVoter(peer.ID), "learner " + string(peer.ID) + " has caught up"
 		}
 	}
-	if len(members.Voters) > policy.Wanted {
+	if len(members.Voters) > policy.TargetVoters {
 		return removeExcessVoter(status, lost)
 	}
 	if (needed || policy.Standby) && len(members.Learners) == 0 {
@@ -179,7 +179,7 @@
 }
 
 // lostVoter returns a voter that counts as lost, or raft.None.
-func lostVoter(status raft.Status, candidates []Spare, policy Policy, now time.Time) raft.ID {
+func lostVoter(status raft.Status, candidates []Candidate, policy Policy, now time.Time) raft.ID {
 	for _, peer := range status.Peers {
 		if status.Members.IsVoter(peer.ID) && isLost(peer, candidates, policy, now) {
 			return peer.ID
@@ -190,7 +190,7 @@
 
 // isLost reports whether the leader hasn't heard from the peer for policy.LostAfter, or
 // the peer's host now runs a replica with another identity.
-func isLost(peer raft.PeerStatus, candidates []Spare, policy Policy, now time.Time) bool {
+func isLost(peer raft.PeerStatus, candidates []Candidate, policy Policy, now time.Time) bool {
 	for _, candidate := range candidates {
 		if HostOf(candidate.ID) == HostOf(peer.ID) && candidate.ID != peer.ID {
 			return true
@@ -202,7 +202,7 @@
 // pickLearner selects a candidate that isn't a member yet. To keep the voters spread
 // over regions, it prefers the lost voter's region or, if that is unknown, a region
 // without a voter.
-func pickLearner(members raft.Membership, candidates []Spare, lost raft.ID) (raft.ID, bool) {
+func pickLearner(members raft.Membership, candidates []Candidate, lost raft.ID) (raft.ID, bool) {
 	region := ""
 	votingRegions := map[string]bool{}
 	for _, candidate := range candidates {
