--- a/agent/agent.go
+++ b/agent/agent.go
@@ -189,13 +189,13 @@
 // compile returns the rules of a view: those of its effective configuration and those of
 // the pending one.
 func compile(view control.View) (permit.Guard, error) {
-	currentRules, err := permit.New(view.Config)
+	currentRules, err := permit.Compile(view.Config)
 	if err != nil {
 		return permit.Guard{}, errors.Trace(err)
 	}
-	guard := permit.Guard{Current: currentRules}
+	guard := permit.Guard{Effective: currentRules}
 	if view.Pending != nil {
-		pendingRules, err := permit.New(view.Pending.Config)
+		pendingRules, err := permit.Compile(view.Pending.Config)
 		if err != nil {
 			return permit.Guard{}, errors.Trace(err)
 		}
--- a/control/matters.go
+++ b/control/matters.go
@@ -76,8 +76,8 @@
 	if len(i.selected) == 0 {
 		return
 	}
-	oldRules, oldErr := permit.New(i.before)
-	newRules, newErr := permit.New(i.after)
+	oldRules, oldErr := permit.Compile(i.before)
+	newRules, newErr := permit.Compile(i.after)
 	homeRegions := regionNames(i.before, i.after)
 	for _, dc := range i.allDataCentres() {
 		for service := range i.selected {
@@ -95,7 +95,7 @@
 func (i *impact) addServingDataCentres(service string) {
 	homeRegions := regionNames(i.before, i.after)
 	for _, config := range []declare.Config{i.before, i.after} {
-		rules, err := permit.New(config)
+		rules, err := permit.Compile(config)
 		for _, dc := range declare.Each[declare.DataCentre](config) {
 			place := permit.Place{Region: dc.Region, DataCentre: dc.Name}
 			if err != nil || rules.Fingerprint(service, place, homeRegions) != (permit.Rules{}).Fingerprint(service, place, homeRegions) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -154,7 +154,7 @@
 		if dc.Region != region {
 			continue
 		}
-		if ok, _ := x.guard.Region(x.req, permit.Place{Region: region, DataCentre: dc.Name}); ok {
+		if ok, _ := x.guard.PermitsRegion(x.req, permit.Place{Region: region, DataCentre: dc.Name}); ok {
 			return true
 		}
 	}
@@ -164,8 +164,10 @@
 // attemptLocal sends the request to an engine of this region.
 func (s *Server) attemptLocal(x *exchange, p *payload, state *attemptState) (mayRetry bool, err error) {
 	ticket, err := s.Fleet.Acquire(x.r.Context(), fleet.SlotRequest{
-		Request:        x.req,
-		Permitted:      func(place permit.Place, labels declare.Labels) bool { return x.guard.Engine(x.req, place, labels) },
+		Request: x.req,
+		Permitted: func(place permit.Place, labels declare.Labels) bool {
+			return x.guard.PermitsEngine(x.req, place, labels)
+		},
 		PrefillTime:    p.prefill,
 		MinServiceTime: minEngineTime,
 		TriedEngines:   state.tried,
@@ -211,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	if config.Revision() == x.guard.Current.Revision() && guard.Pending == x.guard.Pending {
+	if config.Revision() == x.guard.Effective.Revision() && guard.Pending == x.guard.Pending {
 		return nil
 	}
 	x.guard, x.config = guard, config
@@ -219,7 +221,7 @@
 	if ok {
 		engine := object.(declare.Engine)
 		place := permit.Place{Region: config.RegionOf(engine.DataCentre), DataCentre: engine.DataCentre}
-		ok = guard.Engine(x.req, place, engine.Labels)
+		ok = guard.PermitsEngine(x.req, place, engine.Labels)
 	}
 	if !ok {
 		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: "a change took the permit while the request waited", RetryAfter: time.Second}
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -55,7 +55,7 @@
 	list := EntryList{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
 	for _, host := range shuffleWithinDataCentres(s.Peers.EntryHosts(), s.Random) {
 		place := permit.Place{Region: config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
-		if ok, _ := guard.Region(req, place); req.Service != "" && !ok {
+		if ok, _ := guard.PermitsRegion(req, place); req.Service != "" && !ok {
 			continue
 		}
 		list.Entries = append(list.Entries, Entry{host.Name, "http://" + host.Callers, place.Region, place.DataCentre})
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -104,7 +104,7 @@
 	if service.Deadline > 0 {
 		x.req = x.req.WithDeadline(x.receivedAt.Add(service.Deadline))
 	}
-	if ok, why := guard.Region(x.req, s.place); !ok {
+	if ok, why := guard.PermitsRegion(x.req, s.place); !ok {
 		return &request.NotRun{Reason: request.ReasonNotPermitted, Message: why, Location: s.redirectLocation(x)}
 	}
 	return nil
@@ -118,7 +118,7 @@
 	}
 	for _, host := range s.Peers.EntryHosts() {
 		place := permit.Place{Region: x.config.RegionOf(host.DataCentre), DataCentre: host.DataCentre}
-		if ok, _ := x.guard.Region(x.req, place); ok && place != s.place {
+		if ok, _ := x.guard.PermitsRegion(x.req, place); ok && place != s.place {
 			return "http://" + host.Callers + x.r.URL.RequestURI()
 		}
 	}
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -173,9 +173,9 @@
 	var err error
 	host.config, err = declare.Config{}.With(change)
 	must.NoError(t, err)
-	rules, err := permit.New(host.config)
+	rules, err := permit.Compile(host.config)
 	must.NoError(t, err)
-	host.guard = permit.Guard{Current: rules}
+	host.guard = permit.Guard{Effective: rules}
 	host.fleet = fleet.New("host-"+region, region, time.Now, route.PrefixBounded{}, 1)
 	host.fleet.ApplyConfig(host.config, nil)
 	metrics, err := telemetry.NewMetrics()
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return best(func() { _, err = permit.New(c) }), errors.Trace(err)
+	return best(func() { _, err = permit.Compile(c) }), errors.Trace(err)
 }
 
 func viewMemory(n int) (float64, error) {
--- a/operator/server.go
+++ b/operator/server.go
@@ -237,16 +237,16 @@
 	}
 	out.Revision = config.Revision()
 	here := permit.Place{Region: s.agent.Host.Region, DataCentre: s.agent.Host.DataCentre}
-	if ok, why := guard.Region(asked, here); !ok {
+	if ok, why := guard.PermitsRegion(asked, here); !ok {
 		out.Here = why
 	}
 	for _, d := range s.agent.RegionDigests(asked.Service) {
-		ok, _ := guard.Region(asked, permit.Place{Region: d.Region})
+		ok, _ := guard.PermitsRegion(asked, permit.Place{Region: d.Region})
 		out.Regions = append(out.Regions, ExplainedRegion{d, ok})
 	}
 	out.Engines = s.fleet.Explain(fleet.SlotRequest{
 		Request:   asked,
-		Permitted: func(place permit.Place, labels declare.Labels) bool { return guard.Engine(asked, place, labels) },
+		Permitted: func(place permit.Place, labels declare.Labels) bool { return guard.PermitsEngine(asked, place, labels) },
 	})
 	reply(w, http.StatusOK, out)
 }
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -39,9 +39,9 @@
 	rulesByService map[string][]rule
 }
 
-// New compiles the selectors of a validated configuration. It returns an error that
+// Compile compiles the selectors of a validated configuration. It returns an error that
 // names the selector whose Match or Allow expression can't be parsed.
-func New(config declare.Config) (Rules, error) {
+func Compile(config declare.Config) (Rules, error) {
 	rules := Rules{revision: config.Revision(), rulesByService: map[string][]rule{}}
 	for _, s := range declare.Each[declare.Service](config) {
 		rules.rulesByService[s.Name] = nil
@@ -147,10 +147,10 @@
 	return ok
 }
 
-// Region reports whether an engine at the place could be permitted, regardless of
+// PermitsRegion reports whether an engine at the place could be permitted, regardless of
 // the engine's own labels. It needs no request body. If the result is false, the
 // string is the reason.
-func (rs Rules) Region(r request.Request, place Place) (bool, string) {
+func (rs Rules) PermitsRegion(r request.Request, place Place) (bool, string) {
 	applied := false
 	for _, rule := range rs.rulesByService[r.Service] {
 		if !rule.match.Matches(requestLabels{r}) {
@@ -167,9 +167,9 @@
 	return true, ""
 }
 
-// Engine reports whether the request may be sent to an engine with these labels at
+// PermitsEngine reports whether the request may be sent to an engine with these labels at
 // this place.
-func (rs Rules) Engine(r request.Request, place Place, engineLabels declare.Labels) bool {
+func (rs Rules) PermitsEngine(r request.Request, place Place, engineLabels declare.Labels) bool {
 	applied := false
 	for _, rule := range rs.rulesByService[r.Service] {
 		if !rule.match.Matches(requestLabels{r}) {
@@ -186,30 +186,30 @@
 // Guard permits a request if the effective rules permit it and, while a change is
 // pending, the rules after that change permit it too.
 type Guard struct {
-	Current Rules
-	Pending *Rules // nil if no change is pending
+	Effective Rules
+	Pending   *Rules // nil if no change is pending
 }
 
-// Region reports whether both sets of rules permit the place, as Rules does for one.
-func (g Guard) Region(r request.Request, place Place) (bool, string) {
-	if ok, reason := g.Current.Region(r, place); !ok {
+// PermitsRegion reports whether both sets of rules permit the place, as Rules does for one.
+func (g Guard) PermitsRegion(r request.Request, place Place) (bool, string) {
+	if ok, reason := g.Effective.PermitsRegion(r, place); !ok {
 		return false, reason
 	}
 	if g.Pending == nil {
 		return true, ""
 	}
-	if ok, reason := g.Pending.Region(r, place); !ok {
+	if ok, reason := g.Pending.PermitsRegion(r, place); !ok {
 		return false, reason + " (change not yet decided)"
 	}
 	return true, ""
 }
 
-// Engine reports whether both sets of rules permit the engine, as Rules does for one.
-func (g Guard) Engine(r request.Request, place Place, engineLabels declare.Labels) bool {
-	if !g.Current.Engine(r, place, engineLabels) {
+// PermitsEngine reports whether both sets of rules permit the engine, as Rules does for one.
+func (g Guard) PermitsEngine(r request.Request, place Place, engineLabels declare.Labels) bool {
+	if !g.Effective.PermitsEngine(r, place, engineLabels) {
 		return false
 	}
-	return g.Pending == nil || g.Pending.Engine(r, place, engineLabels)
+	return g.Pending == nil || g.Pending.PermitsEngine(r, place, engineLabels)
 }
 
 // Fingerprint hashes which requests of a service the rules permit at a place. It
@@ -223,7 +223,7 @@
 		for _, home := range homes {
 			for _, class := range []request.Class{request.ClassInteractive, request.ClassStandard, request.ClassBatch} {
 				r := request.Request{Service: service, Home: home, Account: account, Class: class}
-				if ok, _ := rs.Region(r, place); ok {
+				if ok, _ := rs.PermitsRegion(r, place); ok {
 					_, _ = hash.WriteString(home + "\x00" + account + "\x00" + string(class) + "\x00" + rs.engineRequirements(r) + "\x01")
 				}
 			}
