--- a/controller/controller.go
+++ b/controller/controller.go
@@ -171,7 +171,7 @@
 	group.Go(c.expireHostsAndEngines)
 	group.Go(c.saveEngines)
 	group.Go(c.confirmPeriodically)
-	c.roster.Hear(c.self())
+	c.roster.Receive(c.self())
 	return group.Wait()
 }
 
@@ -232,7 +232,7 @@
 // and marks engines without recent heartbeats as unresponsive.
 func (c *Controller) expireHostsAndEngines(ctx context.Context) error {
 	duty.Every(ctx, expiryInterval, func() {
-		c.roster.Hear(c.self())
+		c.roster.Receive(c.self())
 		for _, h := range c.roster.Expire(hostTimeout) {
 			c.Log.Warn("host timed out, removed from the roster", zap.String("host", h.Name), zap.String("role", string(h.Role)), zap.Duration("silent_for", c.Clock().Sub(h.Heard)))
 		}
--- a/controller/service.go
+++ b/controller/service.go
@@ -34,12 +34,12 @@
 	wait := min(args.Wait, follow.BriefSyncWait)
 	if args.Known {
 		// The call contains only the name and incarnation of a host that is in the roster.
-		if args.Self = c.roster.Known(args.Self.Name, args.Self.Life); args.Self.Name == "" {
+		if args.Self = c.roster.Lookup(args.Self.Name, args.Self.Life); args.Self.Name == "" {
 			*reply = follow.SyncReply{Stranger: true}
 			return nil
 		}
 	}
-	if c.roster.HearFor(args.Self, rosterTimeout(wait)) {
+	if c.roster.ReceiveWithTimeout(args.Self, rosterTimeout(wait)) {
 		c.Log.Info("host joined or restarted", zap.String("host", args.Self.Name), zap.String("role", string(args.Self.Role)), zap.String("life", args.Self.Life), zap.String("replica", args.Self.Replica))
 	}
 	if args.Life != c.Self.Life {
@@ -64,7 +64,7 @@
 		case <-s.ctx.Done():
 			return nil
 		case <-time.After(time.Until(deadline)): // the caller was connected until now
-			c.roster.HearFor(args.Self, rosterTimeout(wait))
+			c.roster.ReceiveWithTimeout(args.Self, rosterTimeout(wait))
 			return nil
 		case <-changes.roster:
 		case <-changes.engines:
@@ -137,7 +137,7 @@
 			reply.Engines[i].Engine.Source = ""
 		}
 	}
-	reply.Hosts, reply.Gone, reply.Roster = c.roster.Since(args.Roster)
+	reply.Hosts, reply.Gone, reply.Roster = c.roster.ChangedSince(args.Roster)
 	if args.Self.Role == roster.RoleControl {
 		// Gateways call every control host themselves. Forwarding them would send each
 		// start and stop of 300 gateways over each of the thirty pairs of control hosts.
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -40,7 +40,7 @@
 }
 
 // removalRetention is how long after its last report the entry of a removed host is
-// retained, so that Since can return the removal.
+// retained, so that ChangedSince can return the removal.
 const removalRetention = 30 * time.Second
 
 // Roster is the set of running hosts. It is safe for concurrent use.
@@ -58,7 +58,7 @@
 type entry struct {
 	Host
 	timeout    time.Duration // minimum time without a report before the host is removed
-	removed    bool          // retained only so that Since can return the removal
+	removed    bool          // retained only so that ChangedSince can return the removal
 	lastChange uint64        // number of the last change of this entry
 }
 
@@ -67,13 +67,13 @@
 	return &Roster{clock: clock, hosts: make(map[string]*entry), changed: make(chan struct{})}
 }
 
-// Hear stores a report that a host sent of itself. It reports whether the host is new, was
+// Receive stores a report that a host sent of itself. It reports whether the host is new, was
 // removed before, or has restarted.
-func (r *Roster) Hear(h Host) bool { return r.HearFor(h, 0) }
+func (r *Roster) Receive(h Host) bool { return r.ReceiveWithTimeout(h, 0) }
 
-// HearFor is Hear for a host that sends reports less often than
+// ReceiveWithTimeout is Receive for a host that sends reports less often than
 // others: Expire doesn't remove it before the given timeout has passed.
-func (r *Roster) HearFor(h Host, timeout time.Duration) bool {
+func (r *Roster) ReceiveWithTimeout(h Host, timeout time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h.Heard = r.clock()
@@ -108,9 +108,9 @@
 	r.changed = make(chan struct{})
 }
 
-// Known returns the last report of the named host if it was sent by the given incarnation
+// Lookup returns the last report of the named host if it was sent by the given incarnation
 // and the host isn't removed, or else the zero Host.
-func (r *Roster) Known(name, incarnation string) Host {
+func (r *Roster) Lookup(name, incarnation string) Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e, ok := r.hosts[name]; ok && !e.removed && e.Life == incarnation {
@@ -174,10 +174,10 @@
 	}
 }
 
-// Since returns the hosts that were added or changed after the change with the given
+// ChangedSince returns the hosts that were added or changed after the change with the given
 // number, the names of those that were removed, and the number of the latest change,
 // which the caller passes to its next call.
-func (r *Roster) Since(after uint64) (hosts []Host, removed []string, latest uint64) {
+func (r *Roster) ChangedSince(after uint64) (hosts []Host, removed []string, latest uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if after == r.lastChange {
