--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -163,7 +163,7 @@
 	_, err := m.Admit("club", 1, now)
 	var rejection *request.NotRun
 	must.True(t, errors.As(err, &rejection))
-	must.Eq(t, request.ReasonAllowance, rejection.Reason)
+	must.Eq(t, request.ReasonOverAllowance, rejection.Reason)
 	must.Between(t, 200*time.Millisecond, rejection.RetryAfter, 4*time.Second)
 	grant.Refund(now)
 	grant.Refund(now)
--- a/allowance/meter.go
+++ b/allowance/meter.go
@@ -199,7 +199,7 @@
 	if ratio < 1 && float64(m.Random()>>11)/(1<<53) >= ratio {
 		a.rejected += cost
 		return nil, &request.NotRun{
-			Reason:     request.ReasonAllowance,
+			Reason:     request.ReasonOverAllowance,
 			Message:    fmt.Sprintf("the account asks for %.0f units a second; of %.0f in %v, %.0f are used", s.requested, s.limit, m.Policy.Window, s.used),
 			RetryAfter: max(minRetryAfter, min(maxRetryAfter, a.timeToExpire(cost+s.used-s.limit, s.regions))),
 		}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -127,7 +127,7 @@
 		req, err := http.NewRequest(http.MethodPost, a.url(name)+"/services/portal/orders", strings.NewReader("two boards"))
 		must.NoError(a.t, err)
 		req.Header.Set(request.HeaderHome, "r")
-		req.Header.Set(request.HeaderIdempotency, key)
+		req.Header.Set(request.HeaderIdempotencyKey, key)
 		req.Header.Set(standin.HeaderOrder, key)
 		resp, err := http.DefaultClient.Do(req)
 		must.NoError(a.t, err)
@@ -137,7 +137,7 @@
 		if resp.StatusCode == http.StatusOK {
 			return string(data), resp.Header.Get("Idempotency-Replayed") == "true"
 		}
-		must.Eq(a.t, request.NotRunValue, resp.Header.Get(request.HeaderOutcome))
+		must.Eq(a.t, request.OutcomeValueNotRun, resp.Header.Get(request.HeaderOutcome))
 		time.Sleep(100 * time.Millisecond)
 	}
 	a.t.Fatal("the order was not answered")
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -129,7 +129,7 @@
 	digests := s.Peers.RegionDigests(x.req.Service)
 	home := -1
 	for i := range digests {
-		if digests[i].Region == x.req.Home {
+		if digests[i].Region == x.req.HomeRegion {
 			home = i
 		}
 	}
@@ -143,7 +143,7 @@
 	if choice.Index >= 0 {
 		s.Log.Info("region chosen",
 			zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.Uint64("revision", x.config.Revision()),
-			zap.String("home", x.req.Home), zap.String("region", digests[choice.Index].Region),
+			zap.String("home", x.req.HomeRegion), zap.String("region", digests[choice.Index].Region),
 			zap.String("reason", choice.Reason), zap.Duration("expected", choice.FirstTokenTime))
 	}
 	return choice, digests
@@ -242,7 +242,7 @@
 func (s *Server) engineCall(x *exchange, p *payload, ticket *fleet.Ticket) relay.Call {
 	header := relay.Forwardable(x.r.Header)
 	header.Set(headerPriority, strconv.Itoa(x.req.Class.Priority()))
-	path := x.req.Rest
+	path := x.req.Subpath
 	if x.r.URL.RawQuery != "" {
 		path += "?" + x.r.URL.RawQuery
 	}
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -125,13 +125,13 @@
 
 // serveModel serves the OpenAI interface of a model service.
 func (s *Server) serveModel(x *exchange) {
-	path, method := x.req.Rest, x.r.Method
+	path, method := x.req.Subpath, x.r.Method
 	if path == pathModels && method == http.MethodGet {
 		s.serveModels(x)
 		return
 	}
 	if method != http.MethodPost || (path != pathChat && path != pathCompletions) {
-		s.writeError(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonUnknown, Message: "a model service doesn't serve " + method + " " + path})
+		s.writeError(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonUnknownService, Message: "a model service doesn't serve " + method + " " + path})
 		return
 	}
 	data, body, err := s.readModelBody(x)
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -44,13 +44,13 @@
 		return
 	}
 	query := r.URL.Query()
-	req := request.Request{Service: query.Get("service"), Home: query.Get("home"), Class: request.ClassStandard}
+	req := request.Request{Service: query.Get("service"), HomeRegion: query.Get("home"), Class: request.ClassStandard}
 	if _, ok := config.Service(req.Service); req.Service != "" && !ok {
-		s.writeError(w, r, req, &request.NotRun{Reason: request.ReasonUnknown, Message: "service " + quote(req.Service) + " is not declared"})
+		s.writeError(w, r, req, &request.NotRun{Reason: request.ReasonUnknownService, Message: "service " + quote(req.Service) + " is not declared"})
 		return
 	}
-	if req.Home == "" {
-		req.Home = s.place.Region
+	if req.HomeRegion == "" {
+		req.HomeRegion = s.place.Region
 	}
 	list := EntryList{TTL: entriesTTL.Milliseconds(), Revision: config.Revision()}
 	for _, host := range shuffleWithinDataCentres(s.Peers.EntryHosts(), s.Random) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -177,7 +177,7 @@
 		router.Handle(method, "/services/:service/*rest", handle)
 	}
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.writeError(w, r, request.Request{}, &request.NotRun{Reason: request.ReasonUnknown, Message: "no such path: " + r.URL.Path})
+		s.writeError(w, r, request.Request{}, &request.NotRun{Reason: request.ReasonUnknownService, Message: "no such path: " + r.URL.Path})
 	})
 	return router
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -173,7 +173,7 @@
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		must.NoError(t, err)
 		must.Eq(t, status, resp.Status)
-		must.Eq(t, request.NotRunValue, resp.Header.Get(request.HeaderOutcome))
+		must.Eq(t, request.OutcomeValueNotRun, resp.Header.Get(request.HeaderOutcome))
 		must.True(t, resp.Close)
 		if peerKnown {
 			must.Eq(t, other.callersURL+chatPath, resp.Header.Get("Location"))
@@ -194,7 +194,7 @@
 	b.remoteDigests = []route.Digest{{Region: "a", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
 	a.remoteDigests = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
 	got := a.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderHome, "b")
-	must.Eq(t, request.NotRunValue, got.header.Get(request.HeaderOutcome))
+	must.Eq(t, request.OutcomeValueNotRun, got.header.Get(request.HeaderOutcome))
 	must.Eq(t, 1, b.handovers.Load())
 	must.Eq(t, 0, a.handovers.Load())
 }
@@ -277,7 +277,7 @@
 		host, _, plain := newHostWithEngines(t)
 		plain.SetFault(fault, -1)
 		a := host.call(t, http.MethodPost, "/services/portal/orders", "order", "Order", "o1", request.HeaderDeadline, "500ms")
-		must.True(t, a.err != nil || a.header.Get(request.HeaderOutcome) == request.OutcomeUnknownValue, must.Sprintf("%s: %+v", fault, a))
+		must.True(t, a.err != nil || a.header.Get(request.HeaderOutcome) == request.OutcomeValueUnknown, must.Sprintf("%s: %+v", fault, a))
 		must.Eq(t, 1, plain.Ran("o1"), must.Sprint(fault))
 	}
 }
@@ -288,14 +288,14 @@
 	listener.Close()
 	host := newTestHost(t, "a", declarations(bothRegions, newEngine("p1", plainService, "da", listener.Addr().String())))
 	a := host.call(t, http.MethodPost, "/services/portal/orders", "order")
-	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
+	must.Eq(t, request.OutcomeValueNotRun, a.header.Get(request.HeaderOutcome))
 	must.NotEq(t, "", a.header.Get("Retry-After"))
 }
 
 func TestKeyedCallRunsOnce(t *testing.T) {
 	host, _, plain := newHostWithEngines(t)
 	order := func(body string) answer {
-		return host.call(t, http.MethodPost, "/services/portal/orders", body, request.HeaderIdempotency, "k1", "Order", "o1")
+		return host.call(t, http.MethodPost, "/services/portal/orders", body, request.HeaderIdempotencyKey, "k1", "Order", "o1")
 	}
 	first := order("two boards")
 	must.Eq(t, http.StatusOK, first.status)
@@ -305,7 +305,7 @@
 	other := order("three boards")
 	must.Eq(t, http.StatusConflict, other.status)
 	must.Eq(t, 1, plain.Ran("o1"))
-	otherAccount := host.call(t, http.MethodPost, "/services/portal/orders", "two boards", request.HeaderIdempotency, "k1", request.HeaderAccount, "other", "Order", "o2")
+	otherAccount := host.call(t, http.MethodPost, "/services/portal/orders", "two boards", request.HeaderIdempotencyKey, "k1", request.HeaderAccount, "other", "Order", "o2")
 	must.Eq(t, "", otherAccount.header.Get("Idempotency-Replayed"), must.Sprint("a key is valid for one account only"))
 }
 
@@ -313,28 +313,28 @@
 	host, _, plain := newHostWithEngines(t)
 	plain.SetFault(standin.FaultDie, 1)
 	order := func() answer {
-		return host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
+		return host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1")
 	}
-	must.Eq(t, request.OutcomeUnknownValue, order().header.Get(request.HeaderOutcome))
-	must.Eq(t, request.OutcomeUnknownValue, order().header.Get(request.HeaderOutcome))
+	must.Eq(t, request.OutcomeValueUnknown, order().header.Get(request.HeaderOutcome))
+	must.Eq(t, request.OutcomeValueUnknown, order().header.Get(request.HeaderOutcome))
 	must.Eq(t, 1, plain.Ran("o1"))
 }
 
 func TestKeyedCallIsNotRunWithoutItsHomeRegion(t *testing.T) {
 	host, _, plain := newHostWithEngines(t)
 	host.keys.unavailable.Store(true)
-	a := host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1")
-	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
+	a := host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1")
+	must.Eq(t, request.OutcomeValueNotRun, a.header.Get(request.HeaderOutcome))
 	must.Eq(t, 0, plain.Ran("o1"))
 	host.keys.unavailable.Store(false)
-	must.Eq(t, http.StatusOK, host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotency, "k1", "Order", "o1").status)
+	must.Eq(t, http.StatusOK, host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1").status)
 }
 
 func TestNoRequestRunsWithoutLease(t *testing.T) {
 	host, engine, _ := newHostWithEngines(t)
 	host.noLease.Store(true)
 	a := host.call(t, http.MethodPost, chatPath, chatBody(false))
-	must.Eq(t, request.NotRunValue, a.header.Get(request.HeaderOutcome))
+	must.Eq(t, request.OutcomeValueNotRun, a.header.Get(request.HeaderOutcome))
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	must.Eq(t, 0, engine.Stats().Started)
 	must.Eq(t, http.StatusServiceUnavailable, host.call(t, http.MethodGet, "/readyz", "").status)
@@ -357,7 +357,7 @@
 		{"home that is no region", chatPath, "{}", []string{request.HeaderHome, "nowhere"}, 400},
 		{"unknown class", chatPath, "{}", []string{request.HeaderClass, "urgent"}, 400},
 		{"bad deadline", chatPath, "{}", []string{request.HeaderDeadline, "soon"}, 400},
-		{"long key", "/services/portal/x", "", []string{request.HeaderIdempotency, strings.Repeat("k", 300)}, 400},
+		{"long key", "/services/portal/x", "", []string{request.HeaderIdempotencyKey, strings.Repeat("k", 300)}, 400},
 		{"forged hand-over", chatPath, chatBody(false), []string{"Linenscale-Handover-Path", "host-b"}, 400},
 		{"oversized headers", chatPath, "{}", []string{"X-Long", strings.Repeat("x", 64<<10)}, 431},
 	}
@@ -402,7 +402,7 @@
 
 func TestEngineCannotForgeOutcome(t *testing.T) {
 	service := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(request.HeaderOutcome, request.NotRunValue)
+		w.Header().Set(request.HeaderOutcome, request.OutcomeValueNotRun)
 		w.Header().Set(relay.HeaderAttempt, "x")
 		_, _ = io.WriteString(w, "done")
 	})
@@ -453,7 +453,7 @@
 	a.peers = []declare.Host{b.declaration()}
 	a.remoteDigests = []route.Digest{{Region: "b", Slots: 8, At: time.Now(), RoundTrip: time.Millisecond}}
 	order := func() answer {
-		return a.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderHome, "b", request.HeaderIdempotency, "k", "Order", "o1")
+		return a.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderHome, "b", request.HeaderIdempotencyKey, "k", "Order", "o1")
 	}
 	first := order()
 	must.Eq(t, http.StatusOK, first.status, must.Sprintf("%+v", first))
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -27,8 +27,8 @@
 	}
 	s.Log.Info("handing over request", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("region", region), zap.String("host", host.Name), zap.String("reason", reason))
 	header := relay.Forwardable(x.r.Header)
-	forwarded := x.req.WithVisit(s.Host.Name)
-	forwarded.SetHandover(header, time.Now(), x.config.Revision())
+	forwarded := x.req.WithVisitedHost(s.Host.Name)
+	forwarded.SetHandoverHeaders(header, time.Now(), x.config.Revision())
 	if p.unbuffered != nil {
 		// The peer checks its permit before it asks for the body.
 		header.Set("Expect", "100-continue")
@@ -83,7 +83,7 @@
 		return nil
 	}
 	resp.Body.Close()
-	if outcome == request.NotRunValue {
+	if outcome == request.OutcomeValueNotRun {
 		retryAfter, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 		if err != nil {
 			retryAfter = time.Second
@@ -102,7 +102,7 @@
 	case http.StatusGatewayTimeout:
 		return request.ReasonDeadline
 	case http.StatusLoopDetected:
-		return request.ReasonLoop
+		return request.ReasonHandoverLoop
 	default:
 		return request.ReasonNoEngine
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -35,7 +35,7 @@
 		x.r.Body = p.unbuffered
 	}
 	var err error
-	if x.req.Key != "" && !x.req.Repeatable && !x.handedOver {
+	if x.req.IdempotencyKey != "" && !x.req.Repeatable && !x.handedOver {
 		// For a call that was handed over, the first host has recorded the intent.
 		err = s.serveKeyed(x, p)
 	} else {
@@ -65,8 +65,8 @@
 		return err
 	}
 	call := once.Call{
-		Key:        once.Key{Service: x.req.Service, Account: x.req.Account, Key: x.req.Key},
-		HomeRegion: x.req.Home, Digest: digest, Attempt: uuid.NewString(), Until: x.req.Deadline,
+		Key:        once.Key{Service: x.req.Service, Account: x.req.Account, Key: x.req.IdempotencyKey},
+		HomeRegion: x.req.HomeRegion, Digest: digest, Attempt: uuid.NewString(), Until: x.req.Deadline,
 	}
 	verdict, err := s.IdempotencyStore.Begin(x.r.Context(), call)
 	if err != nil {
@@ -82,7 +82,7 @@
 	case once.InProgress:
 		return &request.NotRun{Reason: request.ReasonInProgress, Message: "an earlier call with this key is in progress; this one was not run", RetryAfter: time.Second}
 	case once.Conflict:
-		return &request.NotRun{Reason: request.ReasonConflict, Message: "the key was used for another request"}
+		return &request.NotRun{Reason: request.ReasonKeyConflict, Message: "the key was used for another request"}
 	case once.TableFull:
 		return &request.NotRun{Reason: request.ReasonOverload, Message: "the home of the key keeps as many keys as it can", RetryAfter: time.Minute}
 	default:
@@ -157,7 +157,7 @@
 // body is included only if the selectors permit the request in that region.
 func (s *Server) storableAnswer(x *exchange, p *payload) once.Answer {
 	answer := p.recorder.answer()
-	if !s.regionPermitted(x, x.req.Home) {
+	if !s.regionPermitted(x, x.req.HomeRegion) {
 		answer.Body, answer.Whole = nil, false
 	}
 	return answer
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -42,7 +42,7 @@
 func (s *Server) serveHandover(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	now := time.Now()
 	w.Header().Set(relay.HeaderAttempt, r.Header.Get(relay.HeaderAttempt))
-	visited, timeout, err := request.TakeHandover(r.Header)
+	visited, timeout, err := request.ExtractHandover(r.Header)
 	if err != nil {
 		s.writeError(w, r, request.Request{Service: params.ByName("service")}, request.AsRefusal(err))
 		return
@@ -53,7 +53,7 @@
 		return
 	}
 	for _, host := range visited {
-		req = req.WithVisit(host)
+		req = req.WithVisitedHost(host)
 	}
 	s.serve(&exchange{w: w, r: r, req: req, receivedAt: now, handedOver: true})
 }
@@ -95,11 +95,11 @@
 	x.guard, x.config = guard, config
 	service, ok := config.Service(x.req.Service)
 	if !ok {
-		return &request.NotRun{Reason: request.ReasonUnknown, Message: "service " + quote(x.req.Service) + " is not declared"}
+		return &request.NotRun{Reason: request.ReasonUnknownService, Message: "service " + quote(x.req.Service) + " is not declared"}
 	}
 	x.service = service
-	if _, ok := config.Get(declare.Ref{Kind: declare.KindRegion, Name: x.req.Home}); !ok {
-		return request.BadRequestf("header %s names %q, which is not a region", request.HeaderHome, x.req.Home)
+	if _, ok := config.Get(declare.Ref{Kind: declare.KindRegion, Name: x.req.HomeRegion}); !ok {
+		return request.BadRequestf("header %s names %q, which is not a region", request.HeaderHome, x.req.HomeRegion)
 	}
 	if service.Deadline > 0 {
 		x.req = x.req.WithDeadline(x.receivedAt.Add(service.Deadline))
@@ -132,8 +132,8 @@
 	fields := []zap.Field{
 		zap.String("request", req.ID),
 		zap.String("service", req.Service),
-		zap.String("home", req.Home),
-		zap.Strings("path", req.Path),
+		zap.String("home", req.HomeRegion),
+		zap.Strings("path", req.VisitedHosts),
 	}
 	switch r := refusal.(type) {
 	case *request.NotRun:
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -52,7 +52,7 @@
 	}
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
-	header.Set(request.HeaderOutcome, request.OutcomeUnknownValue)
+	header.Set(request.HeaderOutcome, request.OutcomeValueUnknown)
 	if attempt := w.Header().Get(relay.HeaderAttempt); attempt != "" {
 		header.Set(relay.HeaderAttempt, attempt)
 	}
@@ -71,7 +71,7 @@
 }
 
 func setNotRunHeaders(header http.Header, n *request.NotRun) {
-	header.Set(request.HeaderOutcome, request.NotRunValue)
+	header.Set(request.HeaderOutcome, request.OutcomeValueNotRun)
 	if n.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(n.RetryAfter.Seconds()))))
 	}
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -52,7 +52,7 @@
 func (s *Server) finalError(x *exchange, p *progress) error {
 	if p.mayHaveRun || x.answerStarted {
 		deadlineExceeded := errors.Is(x.r.Context().Err(), context.DeadlineExceeded)
-		return &request.OutcomeUnknown{Message: p.lastErr.Error(), Late: deadlineExceeded}
+		return &request.OutcomeUnknown{Message: p.lastErr.Error(), DeadlineExceeded: deadlineExceeded}
 	}
 	var rejection *request.NotRun
 	if errors.As(p.lastErr, &rejection) {
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -77,8 +77,8 @@
 	if x.progress.lastEventID != "" {
 		header = s.Dialect.ResumeHeader(header, x.progress.lastEventID)
 	}
-	handover := request.Request{ID: x.meta.ID, Deadline: x.deadline, Sends: x.progress.sends}.WithVisit(s.Self.Name)
-	handover.SetHandover(header, s.Clock(), uint64(x.catalog.table.Version()))
+	handover := request.Request{ID: x.meta.ID, Deadline: x.deadline, PriorSends: x.progress.sends}.WithVisitedHost(s.Self.Name)
+	handover.SetHandoverHeaders(header, s.Clock(), uint64(x.catalog.table.Version()))
 	sendsBefore := x.progress.sends
 	remote := s.Dispatcher.BeginRemote(gateway.Region, x.dispatchRequest(nil))
 	var announcedSends atomic.Int64
@@ -136,7 +136,7 @@
 			return relay.NewFailure(false, false, errors.Errorf("the other gateway answered the resumed stream with status %d", resp.StatusCode))
 		}
 		return nil
-	case request.NotRunValue:
+	case request.OutcomeValueNotRun:
 		wait, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 		if err != nil {
 			wait = regionRetryAfter
--- a/ingress/handover_test.go
+++ b/ingress/handover_test.go
@@ -158,8 +158,8 @@
 	kano.declare()
 	healthy := kano.start(t, "portal", "b")
 	header := make(http.Header)
-	handover := request.Request{ID: "r1", Deadline: time.Now().Add(5 * time.Second), Sends: 1}.WithVisit("g1")
-	handover.SetHandover(header, time.Now(), 1)
+	handover := request.Request{ID: "r1", Deadline: time.Now().Add(5 * time.Second), PriorSends: 1}.WithVisitedHost("g1")
+	handover.SetHandoverHeaders(header, time.Now(), 1)
 	var caller platformtest.Caller
 	result, err := caller.Do(context.Background(), hostPort(kano.handover), platformtest.Request{Host: "h", Path: "/safe/1", Header: header})
 	must.NoError(t, err)
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -76,11 +76,11 @@
 func (s *Server) receive(x *exchange) error {
 	remaining := time.Duration(0)
 	if !x.handedOver {
-		request.DropHandover(x.r.Header)
+		request.RemoveHandoverHeaders(x.r.Header)
 	} else {
-		x.progress.sends = request.TakeSends(x.r.Header)
+		x.progress.sends = request.ParseSends(x.r.Header)
 		var err error
-		if _, remaining, err = request.TakeHandover(x.r.Header); err != nil {
+		if _, remaining, err = request.ExtractHandover(x.r.Header); err != nil {
 			return err
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	route, ok := x.catalog.table.Match(host, x.r.URL.EscapedPath())
 	if !ok {
-		return &request.NotRun{Reason: request.ReasonUnknown, Message: "no route for " + host + x.r.URL.Path}
+		return &request.NotRun{Reason: request.ReasonUnknownService, Message: "no route for " + host + x.r.URL.Path}
 	}
 	x.route, x.service = route, route.Pick(s.Random())
 	return nil
--- a/ingress/rejection.go
+++ b/ingress/rejection.go
@@ -47,13 +47,13 @@
 // writeRejection ends a request that was rejected or has failed: it writes the final
 // answer, or truncates the one that has begun.
 func (s *Server) writeRejection(x *exchange, rejection request.Refusal) {
-	outcome := request.OutcomeUnknownValue
+	outcome := request.OutcomeValueUnknown
 	reason := "outcome_unknown"
 	x.refundAllowance(rejection, s.Clock())
 	rejection = s.spreadRetries(x, rejection)
 	var retryAfter time.Duration
 	if notRun, ok := rejection.(*request.NotRun); ok {
-		outcome, reason, retryAfter = request.NotRunValue, string(notRun.Reason), notRun.RetryAfter
+		outcome, reason, retryAfter = request.OutcomeValueNotRun, string(notRun.Reason), notRun.RetryAfter
 	}
 	s.countOutcome(x, reason)
 	s.Log.Info("refused", x.logFields(zap.String("reason", reason), zap.Bool("started", x.answerStarted), zap.Duration("come_back", retryAfter), zap.String("why", rejection.Error()))...)
--- a/load/load.go
+++ b/load/load.go
@@ -109,7 +109,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	if resp.Header.Get(request.HeaderOutcome) == request.NotRunValue {
+	if resp.Header.Get(request.HeaderOutcome) == request.OutcomeValueNotRun {
 		r.refused.Add(1)
 		return
 	}
--- a/operator/server.go
+++ b/operator/server.go
@@ -225,7 +225,7 @@
 func (s *Server) explain(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	asked := request.Request{
-		Service: q.Get("service"), Home: q.Get("home"), Account: q.Get("account"),
+		Service: q.Get("service"), HomeRegion: q.Get("home"), Account: q.Get("account"),
 		Class: request.Class(q.Get("class")), Model: q.Get("model"), Deadline: time.Now().Add(time.Minute),
 	}
 	var out Explanation
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -117,7 +117,7 @@
 func (l requestLabels) Lookup(key string) (string, bool) {
 	switch key {
 	case declare.KeyHome:
-		return l.req.Home, true
+		return l.req.HomeRegion, true
 	case declare.KeyAccount:
 		return l.req.Account, true
 	case declare.KeyClass:
@@ -222,7 +222,7 @@
 	for _, account := range append(rs.namedAccounts(service), "") {
 		for _, home := range homes {
 			for _, class := range []request.Class{request.ClassInteractive, request.ClassStandard, request.ClassBatch} {
-				r := request.Request{Service: service, Home: home, Account: account, Class: class}
+				r := request.Request{Service: service, HomeRegion: home, Account: account, Class: class}
 				if ok, _ := rs.PermitsRegion(r, place); ok {
 					_, _ = hash.WriteString(home + "\x00" + account + "\x00" + string(class) + "\x00" + rs.engineRequirements(r) + "\x01")
 				}
--- a/request/handover.go
+++ b/request/handover.go
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// DropHandover removes all headers that only entry hosts may send.
-func DropHandover(header http.Header) {
+// RemoveHandoverHeaders removes all headers that only entry hosts may send.
+func RemoveHandoverHeaders(header http.Header) {
 	for name := range header {
 		if strings.HasPrefix(http.CanonicalHeaderKey(name), handoverPrefix) {
 			header.Del(name)
@@ -54,33 +54,33 @@
 	}
 }
 
-// SetHandover sets the hand-over headers for the next entry host. The time that
+// SetHandoverHeaders sets the hand-over headers for the next entry host. The time that
 // remains is sent instead of the deadline, so that the hosts' clocks need not agree.
-func (r Request) SetHandover(header http.Header, now time.Time, revision uint64) {
-	header.Set(headerPath, strings.Join(r.Path, ","))
+func (r Request) SetHandoverHeaders(header http.Header, now time.Time, revision uint64) {
+	header.Set(headerPath, strings.Join(r.VisitedHosts, ","))
 	header.Set(headerRemaining, strconv.FormatInt(r.Deadline.Sub(now).Milliseconds(), 10))
 	header.Set(headerRevision, strconv.FormatUint(revision, 10))
 	header.Set(HeaderRequestID, r.ID)
-	if r.Sends > 0 {
-		header.Set(headerSends, strconv.Itoa(r.Sends))
+	if r.PriorSends > 0 {
+		header.Set(headerSends, strconv.Itoa(r.PriorSends))
 	}
 }
 
-// TakeSends returns how many times a request was sent to engines before it was
-// handed over. Call it before TakeHandover, which removes the header.
-func TakeSends(header http.Header) int {
+// ParseSends returns how many times a request was sent to engines before it was
+// handed over. Call it before ExtractHandover, which removes the header.
+func ParseSends(header http.Header) int {
 	sends, err := strconv.Atoi(header.Get(headerSends))
 	if err != nil {
-		return 0 // SetHandover omits the header if the request has not been sent
+		return 0 // SetHandoverHeaders omits the header if the request has not been sent
 	}
 	return max(0, sends)
 }
 
-// TakeHandover reads and removes the hand-over headers. It returns the entry hosts
+// ExtractHandover reads and removes the hand-over headers. It returns the entry hosts
 // visited so far and the time left until the deadline. The error is a *NotRun if a
 // header is missing or malformed, no time is left, or there were more than
 // MaxHandovers hand-overs.
-func TakeHandover(header http.Header) (path []string, remaining time.Duration, err error) {
+func ExtractHandover(header http.Header) (path []string, remaining time.Duration, err error) {
 	pathText, err := singleValue(header, headerPath)
 	if err != nil {
 		return nil, 0, err
@@ -89,13 +89,13 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	DropHandover(header)
+	RemoveHandoverHeaders(header)
 	if pathText == "" {
 		return nil, 0, BadRequestf("header %s is missing from a hand-over", headerPath)
 	}
 	path = strings.Split(pathText, ",")
 	if len(path) > MaxHandovers {
-		return nil, 0, &NotRun{Reason: ReasonLoop, Message: "the request has been handed over " + strconv.Itoa(len(path)) + " times: " + pathText}
+		return nil, 0, &NotRun{Reason: ReasonHandoverLoop, Message: "the request has been handed over " + strconv.Itoa(len(path)) + " times: " + pathText}
 	}
 	millis, err := strconv.ParseInt(remainingText, 10, 64)
 	if err != nil || millis <= 0 {
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -14,23 +14,23 @@
 
 // Reasons for which a request is not run.
 const (
-	ReasonBadRequest   Reason = "bad_request"
-	ReasonUnknown      Reason = "unknown_service"
-	ReasonNotPermitted Reason = "not_permitted"
-	ReasonNoEngine     Reason = "no_engine"
-	ReasonOverload     Reason = "overload"
-	ReasonDeadline     Reason = "deadline"
-	ReasonLoop         Reason = "handover_loop"
-	ReasonNoLease      Reason = "no_lease"
-	ReasonTooLarge     Reason = "too_large"
-	ReasonConflict     Reason = "key_conflict"
-	ReasonInProgress   Reason = "in_progress"
-	ReasonNoHome       Reason = "no_home"
-	ReasonStopping     Reason = "stopping"
-	ReasonCancelled    Reason = "cancelled"
-	ReasonUnknownKey   Reason = "unknown_key"
-	ReasonAllowance    Reason = "over_allowance"
-	ReasonQuarantined  Reason = "crashes_engines"
+	ReasonBadRequest     Reason = "bad_request"
+	ReasonUnknownService Reason = "unknown_service"
+	ReasonNotPermitted   Reason = "not_permitted"
+	ReasonNoEngine       Reason = "no_engine"
+	ReasonOverload       Reason = "overload"
+	ReasonDeadline       Reason = "deadline"
+	ReasonHandoverLoop   Reason = "handover_loop"
+	ReasonNoLease        Reason = "no_lease"
+	ReasonTooLarge       Reason = "too_large"
+	ReasonKeyConflict    Reason = "key_conflict"
+	ReasonInProgress     Reason = "in_progress"
+	ReasonNoHome         Reason = "no_home"
+	ReasonStopping       Reason = "stopping"
+	ReasonCancelled      Reason = "cancelled"
+	ReasonUnknownKey     Reason = "unknown_key"
+	ReasonOverAllowance  Reason = "over_allowance"
+	ReasonQuarantined    Reason = "crashes_engines"
 )
 
 // Refusal is a final answer that doesn't come from an engine. It is either a
@@ -50,8 +50,8 @@
 
 // OutcomeUnknown is the refusal of a request that an engine may have run.
 type OutcomeUnknown struct {
-	Message string
-	Late    bool // the request was abandoned because its deadline passed
+	Message          string
+	DeadlineExceeded bool // the request was abandoned because its deadline passed
 }
 
 var (
@@ -91,7 +91,7 @@
 	switch n.Reason {
 	case ReasonBadRequest:
 		return http.StatusBadRequest
-	case ReasonUnknown:
+	case ReasonUnknownService:
 		return http.StatusNotFound
 	case ReasonNotPermitted:
 		return http.StatusForbidden
@@ -99,13 +99,13 @@
 		return http.StatusRequestEntityTooLarge
 	case ReasonUnknownKey:
 		return http.StatusUnauthorized
-	case ReasonConflict, ReasonInProgress:
+	case ReasonKeyConflict, ReasonInProgress:
 		return http.StatusConflict
-	case ReasonOverload, ReasonAllowance:
+	case ReasonOverload, ReasonOverAllowance:
 		return http.StatusTooManyRequests
 	case ReasonDeadline:
 		return http.StatusGatewayTimeout
-	case ReasonLoop:
+	case ReasonHandoverLoop:
 		return http.StatusLoopDetected
 	default:
 		return http.StatusServiceUnavailable
--- a/request/request.go
+++ b/request/request.go
@@ -11,21 +11,21 @@
 
 // Headers that callers set. HeaderHome is required; the others are optional.
 const (
-	HeaderHome        = "Linenscale-Home"
-	HeaderAccount     = "Linenscale-Account"
-	HeaderClass       = "Linenscale-Class"
-	HeaderDeadline    = "Linenscale-Deadline" // a duration such as "2s"
-	HeaderRequestID   = "Linenscale-Request-Id"
-	HeaderIdempotency = "Idempotency-Key"
+	HeaderHome           = "Linenscale-Home"
+	HeaderAccount        = "Linenscale-Account"
+	HeaderClass          = "Linenscale-Class"
+	HeaderDeadline       = "Linenscale-Deadline" // a duration such as "2s"
+	HeaderRequestID      = "Linenscale-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// HeaderOutcome is set on every refusal, to NotRunValue or OutcomeUnknownValue.
+// HeaderOutcome is set on every refusal, to OutcomeValueNotRun or OutcomeValueUnknown.
 const HeaderOutcome = "Linenscale-Outcome"
 
 // Values of HeaderOutcome.
 const (
-	NotRunValue         = "not-run"
-	OutcomeUnknownValue = "unknown"
+	OutcomeValueNotRun  = "not-run"
+	OutcomeValueUnknown = "unknown"
 )
 
 // maxHeaderValue bounds each header value that this package reads, in bytes.
@@ -57,20 +57,20 @@
 // Request is an immutable description of one request. The zero value is not
 // valid; Identify builds one.
 type Request struct {
-	ID          string
-	Service     string
-	Rest        string // the URL path after the service's name, with its leading slash
-	Method      string
-	Home        string // the member's home region
-	Account     string
-	Class       Class
-	Key         string // idempotency key, or ""
-	Deadline    time.Time
-	Model       string   // set once the body has been read
-	Path        []string // entry hosts visited so far, in order
-	Repeatable  bool     // the request may run more than once
-	Sends       int      // number of sends to engines before the request was handed over
-	PrefixChain []uint64 // hashes of the prompt's prefixes, each one block longer
+	ID             string
+	Service        string
+	Subpath        string // the URL path after the service's name, with its leading slash
+	Method         string
+	HomeRegion     string // the member's home region
+	Account        string
+	Class          Class
+	IdempotencyKey string // idempotency key, or ""
+	Deadline       time.Time
+	Model          string   // set once the body has been read
+	VisitedHosts   []string // entry hosts visited so far, in order
+	Repeatable     bool     // the request may run more than once
+	PriorSends     int      // number of sends to engines before the request was handed over
+	PrefixChain    []uint64 // hashes of the prompt's prefixes, each one block longer
 }
 
 // WithModel returns a copy of the request with the model that its body names.
@@ -85,10 +85,10 @@
 	return r
 }
 
-// WithVisit returns a copy of the request with host appended to the visited entry
+// WithVisitedHost returns a copy of the request with host appended to the visited entry
 // hosts.
-func (r Request) WithVisit(host string) Request {
-	r.Path = append(slices.Clone(r.Path), host)
+func (r Request) WithVisitedHost(host string) Request {
+	r.VisitedHosts = append(slices.Clone(r.VisitedHosts), host)
 	return r
 }
 
@@ -109,7 +109,7 @@
 }
 
 // IsHandover reports whether another entry host handed the request over.
-func (r Request) IsHandover() bool { return len(r.Path) > 0 }
+func (r Request) IsHandover() bool { return len(r.VisitedHosts) > 0 }
 
 // Identify builds a Request from its method, path and headers, without the body. The
 // deadline is maxDuration after now, or earlier if HeaderDeadline asks for it. A
@@ -118,14 +118,14 @@
 	if forged := findReservedHeader(header); forged != "" {
 		return Request{}, BadRequestf("header %s is reserved for entry hosts", forged)
 	}
-	r := Request{Service: service, Rest: rest, Method: method, Deadline: now.Add(maxDuration)}
+	r := Request{Service: service, Subpath: rest, Method: method, Deadline: now.Add(maxDuration)}
 	fields := []struct {
 		name   string
 		target *string
 	}{
-		{HeaderHome, &r.Home},
+		{HeaderHome, &r.HomeRegion},
 		{HeaderAccount, &r.Account},
-		{HeaderIdempotency, &r.Key},
+		{HeaderIdempotencyKey, &r.IdempotencyKey},
 		{HeaderRequestID, &r.ID},
 	}
 	for _, f := range fields {
@@ -135,7 +135,7 @@
 		}
 		*f.target = value
 	}
-	if r.Home == "" {
+	if r.HomeRegion == "" {
 		return Request{}, BadRequestf("header %s must name the member's home region", HeaderHome)
 	}
 	if r.ID == "" {
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -34,18 +34,18 @@
 			must.True(t, errors.As(err, &refusal))
 			return
 		}
-		must.NotEq(t, "", r.Home)
+		must.NotEq(t, "", r.HomeRegion)
 		must.NotEq(t, "", r.ID)
 		must.False(t, r.IsHandover())
 		must.False(t, r.Deadline.After(now.Add(maxDuration)))
 		must.Between(t, 0, r.Class.Priority(), 2)
-		must.False(t, strings.ContainsAny(r.Home+r.Account+r.Key+r.ID, "\r\n\x00"))
+		must.False(t, strings.ContainsAny(r.HomeRegion+r.Account+r.IdempotencyKey+r.ID, "\r\n\x00"))
 	})
 }
 
-// FuzzTakeHandover checks that TakeHandover never accepts more than MaxHandovers
+// FuzzExtractHandover checks that ExtractHandover never accepts more than MaxHandovers
 // hosts and leaves no hand-over header that would be forwarded.
-func FuzzTakeHandover(f *testing.F) {
+func FuzzExtractHandover(f *testing.F) {
 	f.Add("host-a", "1000")
 	f.Add("host-a,host-b", "1000")
 	f.Add("", "x")
@@ -53,7 +53,7 @@
 		header := http.Header{}
 		header.Set("Linenscale-Handover-Path", path)
 		header.Set("Linenscale-Handover-Remaining", remaining)
-		hosts, remainingTime, err := request.TakeHandover(header)
+		hosts, remainingTime, err := request.ExtractHandover(header)
 		if err != nil {
 			return
 		}
@@ -71,16 +71,16 @@
 	r, err := request.Identify("s", "/x", http.MethodGet, header, now, maxDuration)
 	must.NoError(t, err)
 	forwarded := http.Header{}
-	r.WithVisit("host-a").SetHandover(forwarded, now.Add(10*time.Second), 7)
-	path, remaining, err := request.TakeHandover(forwarded)
+	r.WithVisitedHost("host-a").SetHandoverHeaders(forwarded, now.Add(10*time.Second), 7)
+	path, remaining, err := request.ExtractHandover(forwarded)
 	must.NoError(t, err)
 	must.Eq(t, []string{"host-a"}, path)
 	must.Eq(t, maxDuration-10*time.Second, remaining)
 	must.False(t, r.IsHandover(), must.Sprint("a request is immutable"))
 
 	expired := http.Header{}
-	r.WithVisit("host-a").SetHandover(expired, now.Add(2*maxDuration), 7)
-	_, _, err = request.TakeHandover(expired)
+	r.WithVisitedHost("host-a").SetHandoverHeaders(expired, now.Add(2*maxDuration), 7)
+	_, _, err = request.ExtractHandover(expired)
 	var refusal *request.NotRun
 	must.True(t, errors.As(err, &refusal))
 	must.Eq(t, request.ReasonDeadline, refusal.Reason)
