--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -192,8 +192,8 @@
 		InFlight:    func() int64 { return d.gateway.InFlight() },
 		Stopping:    func() bool { return d.gateway.Stopping() },
 	})
-	d.client = relay.New(d.dialer, relay.Options{AnswerTime: d.settings.Limits.RequestTime})
-	d.away = relay.New(d.deployment().Dialer(d.dialer), relay.Options{AnswerTime: d.settings.Limits.RequestTime})
+	d.client = relay.New(d.dialer, relay.Options{AnswerTimeout: d.settings.Limits.RequestTime})
+	d.away = relay.New(d.deployment().Dialer(d.dialer), relay.Options{AnswerTimeout: d.settings.Limits.RequestTime})
 	d.gateway = gateway.New(gateway.Deps{
 		Host: d.host, Limits: d.settings.Limits, Authority: d.agent, Peers: d.agent,
 		IdempotencyStore: keyhome.NewClient(d.agent, d.near), Fleet: d.fleet, EngineClient: d.client, HandoverClient: d.away,
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -130,10 +130,10 @@
 		RetryBudget: retry.Policy(m.settings.Retries), Allowances: meter, Log: m.log, Metrics: m.metrics, Clock: steady.Time,
 	})
 	dialer := m.engineDialer()
-	client := relay.New(dialer, relay.Options{IdleTime: engineIdle})
+	client := relay.New(dialer, relay.Options{IdleTimeout: engineIdle})
 	server = ingress.New(ingress.Deps{
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
-		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTime: peerIdle}), Log: m.log, Metrics: m.metrics,
+		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTimeout: peerIdle}), Log: m.log, Metrics: m.metrics,
 		Random: rand.Uint64, Clock: steady.Time, StopTimeout: m.settings.StopTime - stopMargin,
 		KeyLease:   ingress.KeyLease{RevokedWithin: m.settings.KeysRevokedWithin, FreshAsOf: follower.FreshUntil, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -240,22 +240,22 @@
 const headerPriority = "Engine-Priority"
 
 func (s *Server) engineCall(x *exchange, p *payload, ticket *fleet.Ticket) relay.Call {
-	header := relay.Forwardable(x.r.Header)
+	header := relay.ForwardableHeaders(x.r.Header)
 	header.Set(headerPriority, strconv.Itoa(x.req.Class.Priority()))
 	path := x.req.Subpath
 	if x.r.URL.RawQuery != "" {
 		path += "?" + x.r.URL.RawQuery
 	}
 	return relay.Call{
-		Method:  x.r.Method,
-		URL:     "http://" + ticket.Address + path,
-		Header:  header,
-		Body:    p.reader(),
-		Length:  p.length,
-		Attempt: uuid.NewString(),
-		Echoes:  x.service.Type == declare.ServiceModel,
-		Fresh:   !x.req.Repeatable,
-		Head:    func(resp *http.Response) { s.applySignals(x, ticket, resp) },
+		Method:        x.r.Method,
+		URL:           "http://" + ticket.Address + path,
+		Header:        header,
+		Body:          p.reader(),
+		BodyLength:    p.length,
+		AttemptID:     uuid.NewString(),
+		EchoesAttempt: x.service.Type == declare.ServiceModel,
+		OwnConnection: !x.req.Repeatable,
+		OnAnswer:      func(resp *http.Response) { s.applySignals(x, ticket, resp) },
 	}
 }
 
@@ -272,9 +272,9 @@
 	switch {
 	case x.r.Context().Err() != nil, isCallerError(err):
 		outcome = fleet.Abandoned
-	case isFailure && failure.Shed:
+	case isFailure && failure.Overloaded:
 		outcome = fleet.Shed
-	case !isFailure || failure.Broken:
+	case !isFailure || failure.ConnectionBroken:
 		outcome = fleet.Broken
 	}
 	ticket.Done(fleet.Result{Outcome: outcome})
@@ -351,7 +351,7 @@
 // deliverBuffered delivers a model answer that is not an event stream. It reads the whole
 // answer and checks that it is a JSON document before it writes anything.
 func (s *Server) deliverBuffered(writer *deferredWriter, resp *http.Response) error {
-	data, err := relay.ReadWhole(resp, s.Limits.BodyBytes)
+	data, err := relay.ReadAnswer(resp, s.Limits.BodyBytes)
 	if err != nil {
 		return err
 	}
@@ -368,7 +368,7 @@
 // incomplete answer is detected by its HTTP framing.
 func (s *Server) deliverUnbuffered(writer *deferredWriter, p *payload, resp *http.Response) error {
 	defer resp.Body.Close()
-	var observe relay.Look
+	var observe relay.ChunkFilter
 	var source io.Reader = resp.Body
 	if p.recorder != nil {
 		p.recorder.recordHead(resp)
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -161,9 +161,9 @@
 // copyAnswerHeaders copies the headers of an answer for the caller. It leaves out those
 // of the protocols between hosts and engines, so that an engine can't forge an outcome.
 func copyAnswerHeaders(to http.Header, resp *http.Response) {
-	for name, values := range relay.Forwardable(resp.Header) {
+	for name, values := range relay.ForwardableHeaders(resp.Header) {
 		switch name {
-		case relay.HeaderStream, request.HeaderOutcome:
+		case relay.HeaderStreamID, request.HeaderOutcome:
 			continue
 		case relay.HeaderAttempt:
 			continue
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -26,7 +26,7 @@
 		return true, &request.NotRun{Reason: request.ReasonNoEngine, Message: "no entry host of region " + quote(region) + " can be reached"}
 	}
 	s.Log.Info("handing over request", zap.String("request", x.req.ID), zap.String("service", x.req.Service), zap.String("region", region), zap.String("host", host.Name), zap.String("reason", reason))
-	header := relay.Forwardable(x.r.Header)
+	header := relay.ForwardableHeaders(x.r.Header)
 	forwarded := x.req.WithVisitedHost(s.Host.Name)
 	forwarded.SetHandoverHeaders(header, time.Now(), x.config.Revision())
 	if p.unbuffered != nil {
@@ -35,14 +35,14 @@
 	}
 	sentAt := time.Now()
 	resp, err := s.HandoverClient.Send(x.r.Context(), relay.Call{
-		Method:  x.r.Method,
-		URL:     "http://" + host.Reach(host.Handover) + x.r.URL.RequestURI(),
-		Header:  header,
-		Body:    p.reader(),
-		Length:  p.length,
-		Attempt: uuid.NewString(),
-		Echoes:  true,
-		Fresh:   !x.req.Repeatable,
+		Method:        x.r.Method,
+		URL:           "http://" + host.Reach(host.Handover) + x.r.URL.RequestURI(),
+		Header:        header,
+		Body:          p.reader(),
+		BodyLength:    p.length,
+		AttemptID:     uuid.NewString(),
+		EchoesAttempt: true,
+		OwnConnection: !x.req.Repeatable,
 	})
 	if err == nil {
 		err = peerError(resp)
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -28,7 +28,7 @@
 func (s *Server) applyPushback(x *exchange, ticket *fleet.Ticket, resp *http.Response) {
 	rejected := resp.Header.Get(relay.HeaderNotRun) == "true"
 	signal := pushback.Parse(rejected, resp.Header, time.Now())
-	draining := resp.Header.Get(relay.HeaderLeaving) == "true"
+	draining := resp.Header.Get(relay.HeaderDraining) == "true"
 	ticket.ApplyPushback(signal, draining)
 	if !rejected {
 		ticket.Accepted()
@@ -46,7 +46,7 @@
 
 // applyLimit applies the engine's rate limit, if its answer announces one.
 func (s *Server) applyLimit(x *exchange, ticket *fleet.Ticket, header http.Header) {
-	signal := ratelimit.Parse(header.Values(relay.HeaderLimit))
+	signal := ratelimit.Parse(header.Values(relay.HeaderRateLimit))
 	ticket.ApplyLimit(signal)
 	if _, unlimited := signal.(ratelimit.Unlimited); unlimited {
 		return
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -217,11 +217,11 @@
 
 func (r *recorder) recordHead(resp *http.Response) {
 	r.status = resp.StatusCode
-	r.header = relay.Forwardable(resp.Header)
+	r.header = relay.ForwardableHeaders(resp.Header)
 	r.header.Del("Set-Cookie")
 }
 
-// observe is a relay.Look that records each chunk and lets all of it pass.
+// observe is a relay.ChunkFilter that records each chunk and lets all of it pass.
 func (r *recorder) observe(chunk []byte) (keep int, end bool) {
 	r.appendBody(chunk)
 	return len(chunk), false
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -183,7 +183,7 @@
 	limits := settings.DefaultLimits
 	limits.RequestTime = 20 * time.Second
 	limits.SlowCallerTime = 500 * time.Millisecond
-	client := relay.New(&net.Dialer{Timeout: time.Second}, relay.Options{AnswerTime: limits.RequestTime})
+	client := relay.New(&net.Dialer{Timeout: time.Second}, relay.Options{AnswerTimeout: limits.RequestTime})
 	t.Cleanup(client.Close)
 	var random atomic.Uint64
 	host.server = gateway.New(gateway.Deps{
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -69,7 +69,7 @@
 // the body, -1 if unknown.
 func (s *Server) writeHead(x *exchange, resp *http.Response, length int64) {
 	header := x.w.Header()
-	for name, values := range relay.Forwardable(resp.Header) {
+	for name, values := range relay.ForwardableHeaders(resp.Header) {
 		header[name] = values
 	}
 	if _, present := header["Content-Type"]; !present {
@@ -114,7 +114,7 @@
 			if !x.answerStarted {
 				s.writeHead(x, resp, -1)
 			}
-			if err := out.Pass(complete); err != nil {
+			if err := out.WriteFlush(complete); err != nil {
 				return err
 			}
 			x.recordEvent(time.Now())
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -133,17 +133,17 @@
 func (s *Server) send(x *exchange, p *progress, ticket *dispatch.Ticket) error {
 	resp, err := s.Engines.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + ticket.Address + x.r.URL.RequestURI(), Host: x.r.Host,
-		Header: s.Dialect.EngineHeader(relay.Forwardable(x.r.Header), EngineRequest{
+		Header: s.Dialect.EngineHeader(relay.ForwardableHeaders(x.r.Header), EngineRequest{
 			Engine: ticket.Engine, Timeout: s.remaining(x), LastEventID: p.lastEventID,
 			RemoveKey: x.catalog.table.HasAccounts(), Account: x.account.Name, TransferFrom: ticket.TransferFrom,
 		}),
-		Body: x.bodyReader(), Length: int64(len(x.body)),
+		Body: x.bodyReader(), BodyLength: int64(len(x.body)),
 		// Engines often crash together. A second send on a pooled connection could be reset by
 		// another crashed engine and use up the last send. Opening a new connection to a
 		// crashed engine fails, which proves that it didn't receive the request.
-		Echoes: true, Fresh: !x.route.Repeatable() || p.sends > 0,
-		Wanted: ticket.CheckUsable,
-		Judge:  func(resp *http.Response) error { return s.checkAnswer(x, p, ticket, resp) },
+		EchoesAttempt: true, OwnConnection: !x.route.Repeatable() || p.sends > 0,
+		CheckUsable: ticket.CheckUsable,
+		CheckAnswer: func(resp *http.Response) error { return s.checkAnswer(x, p, ticket, resp) },
 	})
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 	case errors.As(err, &misdirect):
 		p.sends++
 		return dispatch.Misdirected, true
-	case errors.As(err, &failure) && failure.Shed:
+	case errors.As(err, &failure) && failure.Overloaded:
 		p.sends++
 		return dispatch.Shed, true
 	case errors.As(err, &callerErr) || errors.Is(x.r.Context().Err(), context.Canceled):
@@ -247,5 +247,5 @@
 func (x *exchange) connectionBroke(err error) bool {
 	var truncated *truncatedAnswer
 	var failure *relay.Failure
-	return x.r.Context().Err() == nil && (errors.As(err, &truncated) || (errors.As(err, &failure) && failure.Broken))
+	return x.r.Context().Err() == nil && (errors.As(err, &truncated) || (errors.As(err, &failure) && failure.ConnectionBroken))
 }
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -73,7 +73,7 @@
 // failed.
 func (s *Server) handOver(x *exchange, gateway roster.Host) (pathBroken bool, err error) {
 	s.Log.Info("handing over request", x.logFields(zap.String("gateway", gateway.Name), zap.String("region", gateway.Region), zap.Duration("remaining", s.remaining(x)))...)
-	header := relay.Forwardable(x.r.Header)
+	header := relay.ForwardableHeaders(x.r.Header)
 	if x.progress.lastEventID != "" {
 		header = s.Dialect.ResumeHeader(header, x.progress.lastEventID)
 	}
@@ -84,10 +84,10 @@
 	var announcedSends atomic.Int64
 	resp, err := s.Peers.Send(x.r.Context(), relay.Call{
 		Method: x.r.Method, URL: "http://" + gateway.Handover + x.r.URL.RequestURI(), Host: x.r.Host,
-		Header: header, Body: x.bodyReader(), Length: int64(len(x.body)),
-		Echoes: true, Fresh: !x.route.Repeatable() && !s.remotePaths.answeredRecently(gateway, s.Clock()),
-		Judge:    func(resp *http.Response) error { return x.checkRemoteAnswer(resp) },
-		Informed: func(header http.Header) { announcedSends.Store(int64(parseSends(header))) },
+		Header: header, Body: x.bodyReader(), BodyLength: int64(len(x.body)),
+		EchoesAttempt: true, OwnConnection: !x.route.Repeatable() && !s.remotePaths.answeredRecently(gateway, s.Clock()),
+		CheckAnswer:     func(resp *http.Response) error { return x.checkRemoteAnswer(resp) },
+		OnInformational: func(header http.Header) { announcedSends.Store(int64(parseSends(header))) },
 	})
 	remote.End()
 	x.progress.sends = max(x.progress.sends, int(announcedSends.Load()))
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -102,7 +102,7 @@
 	}
 	p.fleet.RecordProbe(e.Service, e.Engine, sentAt, err == nil)
 	if header != nil {
-		p.fleet.RecordProbeDraining(e.Service, e.Engine, header.Get(relay.HeaderLeaving) == "true", sentAt)
+		p.fleet.RecordProbeDraining(e.Service, e.Engine, header.Get(relay.HeaderDraining) == "true", sentAt)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		p.fleet.ConnectionRefused(e.Engine)
--- a/relay/headers.go
+++ b/relay/headers.go
@@ -14,9 +14,9 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// Forwardable returns a copy of src without hop-by-hop headers: those listed in
+// ForwardableHeaders returns a copy of src without hop-by-hop headers: those listed in
 // hopByHopHeaders and those that a Connection header names.
-func Forwardable(src http.Header) http.Header {
+func ForwardableHeaders(src http.Header) http.Header {
 	dst := src.Clone()
 	for _, value := range src.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -34,17 +34,17 @@
 // has run any part of it.
 const HeaderNotRun = "Engine-Not-Run"
 
-// HeaderLimit is the number of requests per second that an engine accepts from all
+// HeaderRateLimit is the number of requests per second that an engine accepts from all
 // hosts together. The limit lasts as long as the engine's answers carry the header.
-const HeaderLimit = "Engine-Rate-Limit"
+const HeaderRateLimit = "Engine-Rate-Limit"
 
-// HeaderLeaving is "true" in each answer of an engine that is draining before it
+// HeaderDraining is "true" in each answer of an engine that is draining before it
 // stops, and accepts no new requests.
-const HeaderLeaving = "Engine-Leaving"
+const HeaderDraining = "Engine-Leaving"
 
-// HeaderStream carries the identifier with which a broken stream can be resumed.
+// HeaderStreamID carries the identifier with which a broken stream can be resumed.
 // Streams without it can't be resumed.
-const HeaderStream = "Engine-Stream-Id"
+const HeaderStreamID = "Engine-Stream-Id"
 
 // Failure is the error of an attempt that brought no answer that can be forwarded.
 type Failure struct {
@@ -53,11 +53,11 @@
 	NotRun bool
 	// Shed is true if the engine rejected the request because of its load. This
 	// doesn't count as a failure of the engine's health.
-	Shed bool
+	Overloaded bool
 	// Broken is true if the connection ended before the header of an answer
 	// arrived.
-	Broken bool
-	cause  error
+	ConnectionBroken bool
+	cause            error
 }
 
 // Error implements error.
@@ -68,37 +68,37 @@
 
 // Call describes one attempt of a request.
 type Call struct {
-	Method  string
-	URL     string
-	Host    string // Host header; "" for the host of the URL
-	Header  http.Header
-	Body    io.Reader // nil for none
-	Length  int64     // length of Body in bytes; -1 if unknown
-	Attempt string    // identity of the attempt, sent in HeaderAttempt
+	Method     string
+	URL        string
+	Host       string // Host header; "" for the host of the URL
+	Header     http.Header
+	Body       io.Reader // nil for none
+	BodyLength int64     // length of Body in bytes; -1 if unknown
+	AttemptID  string    // identity of the attempt, sent in HeaderAttempt
 	// Echoes is true if the engine echoes the attempt's identity. Only then may
 	// the call use a pooled connection.
-	Echoes bool
+	EchoesAttempt bool
 	// Fresh requires a connection of its own, for a call that must not be
 	// repeated.
-	Fresh bool
+	OwnConnection bool
 	// Judge checks the status and headers of the answer, and returns an error,
-	// usually a *Failure, if the answer can't be forwarded. If Judge is nil, the
+	// usually a *Failure, if the answer can't be forwarded. If CheckAnswer is nil, the
 	// call follows linenscale's own engine protocol: Send sets HeaderAttempt, and
-	// checks that the answer isn't marked as not run, echoes the attempt if Echoes
+	// checks that the answer isn't marked as not run, echoes the attempt if EchoesAttempt
 	// is set, and is framed so that truncation can be detected.
-	Judge func(*http.Response) error
+	CheckAnswer func(*http.Response) error
 	// Wanted runs once a new connection for the call is open, before anything is
 	// written to it. Opening may take so long that the engine has announced in
 	// the meantime that it accepts no requests. An error ends the call as not
 	// run. Wanted may be nil; it doesn't run if a pooled connection is reused.
-	Wanted func() error
-	// Head receives an engine's answer to this attempt before Judge checks it,
+	CheckUsable func() error
+	// Head receives an engine's answer to this attempt before CheckAnswer checks it,
 	// including a rejection, to read what the headers report about the engine. It
 	// may be nil.
-	Head func(*http.Response)
+	OnAnswer func(*http.Response)
 	// Informed receives the headers of each informational response (1xx), on
 	// another goroutine. It may be nil.
-	Informed func(http.Header)
+	OnInformational func(http.Header)
 }
 
 // Client sends calls over pooled connections, or over connections that serve one
@@ -119,31 +119,31 @@
 
 // Options configures a Client. Zero fields have the defaults below.
 type Options struct {
-	// AnswerTime bounds the wait for the headers of an answer. If it is 0, only
+	// AnswerTimeout bounds the wait for the headers of an answer. If it is 0, only
 	// the call's context bounds the wait.
-	AnswerTime time.Duration
-	// IdleTime is how long an idle connection stays open. It should be shorter
+	AnswerTimeout time.Duration
+	// IdleTimeout is how long an idle connection stays open. It should be shorter
 	// than the engines' own idle timeout, so that no call uses a connection that
 	// the engine is closing.
-	IdleTime time.Duration
-	// IdlePerHost bounds the idle connections to one address.
-	IdlePerHost int
+	IdleTimeout time.Duration
+	// MaxIdlePerHost bounds the idle connections to one address.
+	MaxIdlePerHost int
 }
 
 // New creates a client that opens its connections with dialer.
 func New(dialer Dialer, opts Options) *Client {
-	if opts.IdleTime == 0 {
-		opts.IdleTime = defaultIdleTime
+	if opts.IdleTimeout == 0 {
+		opts.IdleTimeout = defaultIdleTime
 	}
-	if opts.IdlePerHost == 0 {
-		opts.IdlePerHost = defaultIdlePerHost
+	if opts.MaxIdlePerHost == 0 {
+		opts.MaxIdlePerHost = defaultIdlePerHost
 	}
 	pooled := &http.Transport{
 		DialContext:           checkingDialer{dialer}.DialContext,
-		MaxIdleConnsPerHost:   opts.IdlePerHost,
-		IdleConnTimeout:       opts.IdleTime,
-		ResponseHeaderTimeout: opts.AnswerTime,
-		ExpectContinueTimeout: opts.AnswerTime,
+		MaxIdleConnsPerHost:   opts.MaxIdlePerHost,
+		IdleConnTimeout:       opts.IdleTimeout,
+		ResponseHeaderTimeout: opts.AnswerTimeout,
+		ExpectContinueTimeout: opts.AnswerTimeout,
 		ReadBufferSize:        bufferSize,
 		WriteBufferSize:       bufferSize,
 		DisableCompression:    true,
@@ -171,9 +171,9 @@
 func (c *Client) Send(ctx context.Context, call Call) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	if call.Informed != nil {
+	if call.OnInformational != nil {
 		trace.Got1xxResponse = func(_ int, header textproto.MIMEHeader) error {
-			call.Informed(http.Header(header))
+			call.OnInformational(http.Header(header))
 			return nil
 		}
 	}
@@ -184,11 +184,11 @@
 	switch {
 	case body != nil:
 		body = opaqueReader{body}
-	case call.Judge != nil:
+	case call.CheckAnswer != nil:
 		body = opaqueReader{http.NoBody}
 	}
-	if call.Wanted != nil {
-		ctx = context.WithValue(ctx, usableCheckKey{}, call.Wanted)
+	if call.CheckUsable != nil {
+		ctx = context.WithValue(ctx, usableCheckKey{}, call.CheckUsable)
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.Method, call.URL, body)
 	if err != nil {
@@ -201,24 +201,24 @@
 	if _, present := req.Header["User-Agent"]; !present {
 		req.Header["User-Agent"] = nil // otherwise net/http sends its own name
 	}
-	if call.Judge == nil {
-		req.Header.Set(HeaderAttempt, call.Attempt)
+	if call.CheckAnswer == nil {
+		req.Header.Set(HeaderAttempt, call.AttemptID)
 	}
 	if call.Body != nil {
-		req.ContentLength = call.Length
+		req.ContentLength = call.BodyLength
 	}
 	transport := c.unpooled
-	if call.Echoes && !call.Fresh {
+	if call.EchoesAttempt && !call.OwnConnection {
 		transport = c.pooled
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return nil, &Failure{NotRun: !connected.Load(), Broken: connected.Load() && ctx.Err() == nil, cause: errors.Annotatef(err, "send to %s", req.URL.Host)}
+		return nil, &Failure{NotRun: !connected.Load(), ConnectionBroken: connected.Load() && ctx.Err() == nil, cause: errors.Annotatef(err, "send to %s", req.URL.Host)}
 	}
-	if call.Head != nil && (!call.Echoes || call.Judge != nil || resp.Header.Get(HeaderAttempt) == call.Attempt) {
-		call.Head(resp)
+	if call.OnAnswer != nil && (!call.EchoesAttempt || call.CheckAnswer != nil || resp.Header.Get(HeaderAttempt) == call.AttemptID) {
+		call.OnAnswer(resp)
 	}
-	check := call.Judge
+	check := call.CheckAnswer
 	if check == nil {
 		check = func(resp *http.Response) error { return checkAnswer(call, resp) }
 	}
@@ -229,10 +229,10 @@
 	return resp, nil
 }
 
-// usableCheckKey is the context key with which a call's Wanted reaches the dialer.
+// usableCheckKey is the context key with which a call's CheckUsable reaches the dialer.
 type usableCheckKey struct{}
 
-// checkingDialer opens connections, then runs the Wanted function of the call.
+// checkingDialer opens connections, then runs the CheckUsable function of the call.
 type checkingDialer struct{ Dialer }
 
 // DialContext implements Dialer.
@@ -252,10 +252,10 @@
 	return conn, nil
 }
 
-// NewFailure returns the error of an attempt, for use in a Call's Judge. shed
+// NewFailure returns the error of an attempt, for use in a Call's CheckAnswer. shed
 // reports a rejection because of load.
 func NewFailure(notRun, shed bool, cause error) *Failure {
-	return &Failure{NotRun: notRun, Shed: shed, cause: cause}
+	return &Failure{NotRun: notRun, Overloaded: shed, cause: cause}
 }
 
 // opaqueReader hides the concrete type of a body, so that net/http can't rewind it
@@ -266,12 +266,12 @@
 func checkAnswer(call Call, resp *http.Response) error {
 	if resp.Header.Get(HeaderNotRun) == "true" {
 		return &Failure{
-			NotRun: true,
-			Shed:   resp.StatusCode == http.StatusTooManyRequests,
-			cause:  errors.Errorf("engine rejected the request with status %d", resp.StatusCode),
+			NotRun:     true,
+			Overloaded: resp.StatusCode == http.StatusTooManyRequests,
+			cause:      errors.Errorf("engine rejected the request with status %d", resp.StatusCode),
 		}
 	}
-	if call.Echoes && resp.Header.Get(HeaderAttempt) != call.Attempt {
+	if call.EchoesAttempt && resp.Header.Get(HeaderAttempt) != call.AttemptID {
 		return &Failure{cause: errors.Errorf("the answer belongs to another attempt, %q", resp.Header.Get(HeaderAttempt))}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.ProtoMajor == 1 {
@@ -285,14 +285,14 @@
 // chunkSize bounds one read from a body that is forwarded, in bytes.
 const chunkSize = 1 << 10
 
-// Look inspects each chunk of a body before it is forwarded. It returns how many of
+// ChunkFilter inspects each chunk of a body before it is forwarded. It returns how many of
 // the chunk's bytes to forward, and whether the body ends with them.
-type Look func(chunk []byte) (keep int, end bool)
+type ChunkFilter func(chunk []byte) (keep int, end bool)
 
 // Copy forwards a body as it arrives, with a flush after each read. writeTimeout
 // bounds each write to the caller, and filter may be nil. Copy returns the number of
 // bytes forwarded. The error is a *CallerError if the write failed.
-func Copy(w http.ResponseWriter, src io.Reader, writeTimeout time.Duration, filter Look) (int64, error) {
+func Copy(w http.ResponseWriter, src io.Reader, writeTimeout time.Duration, filter ChunkFilter) (int64, error) {
 	out := NewWriter(w, writeTimeout)
 	chunk := chunkPool.Get().(*[chunkSize]byte)
 	defer chunkPool.Put(chunk)
@@ -304,7 +304,7 @@
 			n, end = filter(chunk[:n])
 		}
 		if n > 0 {
-			if err := out.Pass(chunk[:n]); err != nil {
+			if err := out.WriteFlush(chunk[:n]); err != nil {
 				return total, err
 			}
 			total += int64(n)
@@ -342,11 +342,11 @@
 	return &Writer{w: w, controller: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// Pass writes data and flushes it; the error is a *CallerError. Because each change of
-// the deadline resets a timer, Pass extends the deadline only after a quarter of the
+// WriteFlush writes data and flushes it; the error is a *CallerError. Because each change of
+// the deadline resets a timer, WriteFlush extends the deadline only after a quarter of the
 // timeout has elapsed. A write may therefore take between three quarters of the
 // timeout and all of it.
-func (p *Writer) Pass(data []byte) error {
+func (p *Writer) WriteFlush(data []byte) error {
 	if now := time.Now(); p.deadline.Sub(now) < p.writeTimeout*3/4 {
 		p.deadline = now.Add(p.writeTimeout)
 		// Ignore the error: a ResponseWriter without deadlines, as in tests, works too.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -24,7 +24,7 @@
 	done bool   // the last event has been found
 }
 
-// filter implements Look.
+// filter implements ChunkFilter.
 func (e *endDetector) filter(chunk []byte) (keep int, end bool) {
 	if at := e.findAcrossChunks(chunk); at > 0 {
 		e.done = true
@@ -70,7 +70,7 @@
 func (c *Client) Stream(ctx context.Context, w http.ResponseWriter, resp *http.Response, baseURL string, writeTimeout time.Duration) error {
 	var detector endDetector
 	var forwarded int64
-	streamID := resp.Header.Get(HeaderStream)
+	streamID := resp.Header.Get(HeaderStreamID)
 	attempt := resp.Header.Get(HeaderAttempt)
 	for resumes := 0; ; resumes++ {
 		n, err := Copy(w, resp.Body, writeTimeout, detector.filter)
@@ -100,18 +100,18 @@
 // resume requests the rest of a stream from a byte offset.
 func (c *Client) resume(ctx context.Context, baseURL, streamID, attempt string, offset int64) (*http.Response, error) {
 	return c.Send(ctx, Call{
-		Method:  http.MethodGet,
-		URL:     baseURL + "/engine/streams/" + streamID + "?offset=" + strconv.FormatInt(offset, 10),
-		Header:  http.Header{},
-		Attempt: attempt,
-		Echoes:  true,
-		Fresh:   true,
+		Method:        http.MethodGet,
+		URL:           baseURL + "/engine/streams/" + streamID + "?offset=" + strconv.FormatInt(offset, 10),
+		Header:        http.Header{},
+		AttemptID:     attempt,
+		EchoesAttempt: true,
+		OwnConnection: true,
 	})
 }
 
-// ReadWhole reads and closes the body of an unstreamed answer. A body that is
+// ReadAnswer reads and closes the body of an unstreamed answer. A body that is
 // truncated or longer than limit bytes is a *Failure.
-func ReadWhole(resp *http.Response, limit int64) ([]byte, error) {
+func ReadAnswer(resp *http.Response, limit int64) ([]byte, error) {
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
--- a/relay/wanted_test.go
+++ b/relay/wanted_test.go
@@ -29,9 +29,9 @@
 			t.Cleanup(client.Close)
 			send := func(usableErr error) error {
 				resp, err := client.Send(context.Background(), relay.Call{
-					Method: http.MethodPost, URL: engine.URL, Header: http.Header{}, Echoes: true, Fresh: fresh,
-					Wanted: func() error { return usableErr },
-					Judge:  func(*http.Response) error { return nil },
+					Method: http.MethodPost, URL: engine.URL, Header: http.Header{}, EchoesAttempt: true, OwnConnection: fresh,
+					CheckUsable: func() error { return usableErr },
+					CheckAnswer: func(*http.Response) error { return nil },
 				})
 				if err == nil {
 					resp.Body.Close()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -142,10 +142,10 @@
 	limit, leaving := e.limit, e.leaving
 	e.mu.Unlock()
 	if limit != "" {
-		w.Header().Set(relay.HeaderLimit, limit)
+		w.Header().Set(relay.HeaderRateLimit, limit)
 	}
 	if leaving {
-		w.Header().Set(relay.HeaderLeaving, "true")
+		w.Header().Set(relay.HeaderDraining, "true")
 	}
 	e.router.ServeHTTP(w, r)
 }
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -68,7 +68,7 @@
 	s := newStream(e.opts.Name, req.Model, r.Header.Get(relay.HeaderAttempt), tokens)
 	id := e.keep(s)
 	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set(relay.HeaderStream, id)
+	w.Header().Set(relay.HeaderStreamID, id)
 	half := len(s.events) / 2
 	for i, event := range s.events {
 		if i > 0 && !sleep(r.Context(), e.opts.TokenTime) {
@@ -127,7 +127,7 @@
 		return
 	}
 	w.Header().Set(relay.HeaderAttempt, s.attempt)
-	w.Header().Set(relay.HeaderStream, params.ByName("id"))
+	w.Header().Set(relay.HeaderStreamID, params.ByName("id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for _, event := range s.events {
 		if offset >= len(event) {
