--- a/agent/duties.go
+++ b/agent/duties.go
@@ -159,7 +159,7 @@
 			continue
 		}
 		group.Go(func() {
-			if err := a.ShortCalls.WithTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{req, a.ownStatus()}, &replies[i]); err != nil {
+			if err := a.ShortCalls.CallTimeout(ctx, localCallTimeout, address, "Host.Grant", GrantArgs{req, a.ownStatus()}, &replies[i]); err != nil {
 				replies[i] = GrantReply{}
 			}
 		})
@@ -199,7 +199,7 @@
 	}
 	view, _ := a.View()
 	var reply leader.WatchReply
-	if err := a.ShortCalls.WithTimeout(ctx, localCallTimeout, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
+	if err := a.ShortCalls.CallTimeout(ctx, localCallTimeout, address, "Host.Watch", leader.WatchArgs{Seq: view.Seq, Hops: maxHops, Relay: true}, &reply); err != nil {
 		return
 	}
 	if err := a.applyChanges(reply); err != nil {
@@ -322,7 +322,7 @@
 // pingOnce measures the round trip to a host and records the result for its region.
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
-	err := a.ShortCalls.WithTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
+	err := a.ShortCalls.CallTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.links[region]
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -123,6 +123,6 @@
 		return EngineReply{}, errors.NotFoundf("host %q", host)
 	}
 	var reply EngineReply
-	err := a.ShortCalls.WithTimeout(ctx, timeout, address, "Host.InFlight", EngineArgs{engine}, &reply)
+	err := a.ShortCalls.CallTimeout(ctx, timeout, address, "Host.InFlight", EngineArgs{engine}, &reply)
 	return reply, errors.Trace(err)
 }
--- a/controller/hosts_test.go
+++ b/controller/hosts_test.go
@@ -201,7 +201,7 @@
 		},
 		Replica: h.id, Folder: h.folder, Voters: 3, Regions: regions, Heartbeat: 300 * time.Millisecond, GatherTime: h.gatherTime, DrainTimeout: h.drainTimeout,
 		Seeds: func() []string { return h.seeds }, SyncCalls: wire.NewClient(dialer{h.network, h.ip}), Commands: wire.NewClient(dialer{h.network, h.ip}),
-		Send: func(e raft.Envelope) { sender.Post(controller.PeerAddress(e.To), e) },
+		Send: func(e raft.Envelope) { sender.Enqueue(controller.PeerAddress(e.To), e) },
 		Log:  h.log, Clock: time.Now, SteadyClock: steady.Now, ConfirmState: true, Seed: uint64(h.incarnation),
 	})
 	must.NoError(h.t, err)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -176,7 +176,7 @@
 	return func(e raft.Envelope) {
 		if host, err := d.settings.Host(voters.HostOf(e.To)); err == nil {
 			address, _, _ := agent.ControlAddress(d.host, host)
-			sender.Post(address, e)
+			sender.Enqueue(address, e)
 		}
 	}
 }
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -194,7 +194,7 @@
 		}
 		address, _, _ := agent.ControlAddress(j.host, v)
 		var state FormationState
-		if err := j.calls.WithTimeout(ctx, formCall, address, "Formation.State", j.group, &state); err != nil {
+		if err := j.calls.CallTimeout(ctx, formCall, address, "Formation.State", j.group, &state); err != nil {
 			answered = false
 			continue
 		}
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -45,7 +45,7 @@
 	c, err := controller.New(controller.Deps{
 		Self: m.self(), Replica: id, Folder: folder, Voters: m.settings.Voters(), Regions: m.settings.Regions,
 		Heartbeat: m.settings.Heartbeat, GatherTime: controller.DefaultGatherTime, DrainTimeout: controller.DefaultDrainTimeout, Seeds: m.seedPeers, SyncCalls: m.calls, Commands: m.commands,
-		Send: func(e raft.Envelope) { sender.Post(controller.PeerAddress(e.To), e) },
+		Send: func(e raft.Envelope) { sender.Enqueue(controller.PeerAddress(e.To), e) },
 		Log:  m.log, Clock: steady.Time, SteadyClock: steady.Now, ConfirmState: m.settings.KeysRevokedWithin > 0, Seed: rand.Uint64(),
 	})
 	if err != nil {
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -153,7 +153,7 @@
 		args := f.newSyncArgs(l)
 		sentAt := f.Steady()
 		var reply SyncReply
-		err := f.Client.WithTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
+		err := f.Client.CallTimeout(ctx, args.Wait+syncSlack, l.address, Service+".Sync", args, &reply)
 		if err != nil {
 			f.recordFailure(l, err)
 			duty.Pause(ctx, retryInterval)
@@ -264,7 +264,7 @@
 // fetchState fetches the ledger's state from a control host and applies it if it is newer.
 func (f *Follower) fetchState(ctx context.Context, l *link) {
 	var reply StateReply
-	if err := f.Client.WithTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
+	if err := f.Client.CallTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
 		f.Log.Warn("ledger state not fetched, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
 		return
 	}
--- a/keyhome/client.go
+++ b/keyhome/client.go
@@ -103,7 +103,7 @@
 func (c *Client) callLeader(ctx context.Context, endpoint Endpoint, command once.Command) (Reply, bool) {
 	for range 2 {
 		var reply Reply
-		err := c.rpc.WithTimeout(ctx, endpoint.Timeout, endpoint.Address, "Keys.Do", command, &reply)
+		err := c.rpc.CallTimeout(ctx, endpoint.Timeout, endpoint.Address, "Keys.Do", command, &reply)
 		if err != nil {
 			return Reply{}, false
 		}
--- a/wire/client.go
+++ b/wire/client.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// WithTimeout makes one call, as Call does, with a deadline after timeout.
-func (c *Client) WithTimeout(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
+// CallTimeout makes one call, as Call does, with a deadline after timeout.
+func (c *Client) CallTimeout(ctx context.Context, timeout time.Duration, address, method string, args, reply any) error {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.Call(callCtx, address, method, args, reply)
--- a/wire/deployment_test.go
+++ b/wire/deployment_test.go
@@ -43,7 +43,7 @@
 			client := wire.NewClient(test.from.Dialer(&net.Dialer{Timeout: time.Second}))
 			defer client.Close()
 			var got string
-			err := client.WithTimeout(context.Background(), 5*time.Second, address, "Echo.Say", "x", &got)
+			err := client.CallTimeout(context.Background(), 5*time.Second, address, "Echo.Say", "x", &got)
 			must.Eq(t, test.ok, err == nil)
 			must.Eq(t, test.ok, got == "x")
 		})
@@ -61,7 +61,7 @@
 	for _, from := range []wire.Deployment{"other", "club"} {
 		sender := wire.NewSender[int](from.Dialer(&net.Dialer{Timeout: time.Second}), "Echo.Take")
 		group.Go(func() { _ = sender.Run(ctx) })
-		sender.Post(address, 1)
+		sender.Enqueue(address, 1)
 	}
 	for range 500 {
 		if echo.calls.Load() > 0 {
--- a/wire/sender.go
+++ b/wire/sender.go
@@ -28,7 +28,7 @@
 )
 
 // Sender sends messages of one type to peers. Messages to one peer are sent in the
-// order of Post; any of them may be lost. NewSender creates one and Run runs it.
+// order of Enqueue; any of them may be lost. NewSender creates one and Run runs it.
 //
 // The dialer must have a timeout. During a network partition no connection opens, and
 // the sooner the next one is tried, the sooner messages arrive after the partition
@@ -71,9 +71,9 @@
 	}
 }
 
-// Post queues a message for the peer at address. It drops the message if the queue is
+// Enqueue queues a message for the peer at address. It drops the message if the queue is
 // full.
-func (s *Sender[T]) Post(address string, message T) {
+func (s *Sender[T]) Enqueue(address string, message T) {
 	select {
 	case s.queue(address) <- message:
 	default:
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -85,11 +85,11 @@
 		client := wire.NewClient(&net.Dialer{Timeout: time.Second})
 		defer client.Close()
 		var reply string
-		err := client.WithTimeout(context.Background(), 50*time.Millisecond, address, "Echo.Hang", "x", &reply)
+		err := client.CallTimeout(context.Background(), 50*time.Millisecond, address, "Echo.Hang", "x", &reply)
 		must.Eq(t, wire.Unanswered, kindOf(t, err))
-		must.NoError(t, client.WithTimeout(context.Background(), time.Second, address, "Echo.Say", "hello", &reply))
+		must.NoError(t, client.CallTimeout(context.Background(), time.Second, address, "Echo.Say", "hello", &reply))
 		must.Eq(t, "hello", reply)
-		must.Eq(t, wire.RemoteError, kindOf(t, client.WithTimeout(context.Background(), time.Second, address, "Echo.Fail", "x", &reply)))
+		must.Eq(t, wire.RemoteError, kindOf(t, client.CallTimeout(context.Background(), time.Second, address, "Echo.Fail", "x", &reply)))
 	})
 }
 
@@ -100,7 +100,7 @@
 	must.NoError(t, err)
 	listener.Close()
 	client := wire.NewClient(&net.Dialer{Timeout: time.Second})
-	err = client.WithTimeout(context.Background(), time.Second, listener.Addr().String(), "Echo.Say", "x", new(string))
+	err = client.CallTimeout(context.Background(), time.Second, listener.Addr().String(), "Echo.Say", "x", new(string))
 	must.Eq(t, wire.Unsent, kindOf(t, err))
 }
 
@@ -115,10 +115,10 @@
 	defer group.Wait()
 	defer cancel()
 	for i := range 5000 { // no process listens at this address
-		sender.Post("127.0.0.1:1", i)
+		sender.Enqueue("127.0.0.1:1", i)
 	}
 	for i := range 100 {
-		sender.Post(address, i)
+		sender.Enqueue(address, i)
 	}
 	for range 200 {
 		if echo.calls.Load() == 100 {
