--- a/controller/controller.go
+++ b/controller/controller.go
@@ -110,7 +110,7 @@
 	stopping     atomic.Bool
 	startedAt    time.Time
 	table        atomic.Pointer[catalog.Table] // of the ledger's current catalog
-	savedEngines *disk.Pair                    // the engines on disk, read after a restart
+	savedEngines *disk.DualFile                // the engines on disk, read after a restart
 	freshness    freshness
 
 	encodeMu sync.Mutex
--- a/controller/hosts_test.go
+++ b/controller/hosts_test.go
@@ -233,7 +233,7 @@
 // loseDisk stops the host and wipes its disk; it restarts under a new identity.
 func (h *host) loseDisk() {
 	h.stop()
-	h.folder.Lose()
+	h.folder.RemoveAll()
 	h.id = raft.ID(fmt.Sprintf("%s#new%d", peer(h.ip), h.incarnation))
 }
 
--- a/controller/saved_engines.go
+++ b/controller/saved_engines.go
@@ -28,7 +28,7 @@
 
 // restoreEngines adds the engines saved before the restart to the registry.
 func (c *Controller) restoreEngines(folder disk.Folder) {
-	pair, data := disk.OpenPair(folder, savedEnginesName)
+	pair, data := disk.OpenDualFile(folder, savedEnginesName)
 	c.savedEngines = pair
 	if data == nil {
 		return
--- a/disk/memory.go
+++ b/disk/memory.go
@@ -55,8 +55,8 @@
 	m.full = full
 }
 
-// Lose removes all files durably, as when the disk is replaced.
-func (m *Memory) Lose() {
+// RemoveAll removes all files durably, as when the disk is replaced.
+func (m *Memory) RemoveAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.current, m.durable = map[string]*fileContent{}, map[string]*fileContent{}
--- a/disk/pair.go
+++ b/disk/pair.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 )
 
-// Pair stores one small value that is often replaced. Writes alternate between two
-// files, so that a torn write leaves the previous value intact. OpenPair opens one;
+// DualFile stores one small value that is often replaced. Writes alternate between two
+// files, so that a torn write leaves the previous value intact. OpenDualFile opens one;
 // it is not safe for concurrent use.
-type Pair struct {
+type DualFile struct {
 	folder Folder
 	names  [2]string
 	serial uint64 // serial number of the latest value; 0 if there is none
@@ -23,10 +23,10 @@
 	checksumSize = 8
 )
 
-// OpenPair opens the pair with the given name in a folder. It returns the latest
+// OpenDualFile opens the pair with the given name in a folder. It returns the latest
 // complete value, or nil if there is none.
-func OpenPair(folder Folder, name string) (*Pair, []byte) {
-	p := &Pair{folder: folder, names: [2]string{name + "-a", name + "-b"}}
+func OpenDualFile(folder Folder, name string) (*DualFile, []byte) {
+	p := &DualFile{folder: folder, names: [2]string{name + "-a", name + "-b"}}
 	var latest []byte
 	for _, file := range p.names {
 		data, err := folder.Read(file)
@@ -46,7 +46,7 @@
 
 // Write replaces the value durably. After an error the stored value is either the
 // previous or the new one, and Write may be called again.
-func (p *Pair) Write(value []byte) error {
+func (p *DualFile) Write(value []byte) error {
 	serial := p.serial + 1
 	data := binary.LittleEndian.AppendUint64(make([]byte, 0, serialSize+len(value)+checksumSize), serial)
 	data = append(data, value...)
--- a/internal/simlog/simlog.go
+++ b/internal/simlog/simlog.go
@@ -155,7 +155,7 @@
 // LoseDisk ends a replica and its folder; it will come back as another.
 func (c *Cluster) LoseDisk(n *Node) {
 	c.Crash(n, 0)
-	n.folder.Lose()
+	n.folder.RemoveAll()
 	n.mark = 0
 	n.lives++
 	n.ID = id(n.Index, n.lives)
--- a/replica/mark.go
+++ b/replica/mark.go
@@ -26,7 +26,7 @@
 // commitIndexSaver writes the commit index to disk. Its method run does the writes, in a
 // goroutine of its own.
 type commitIndexSaver struct {
-	pair      *disk.Pair
+	pair      *disk.DualFile
 	log       *zap.Logger
 	pending   chan uint64 // buffers the latest index that is not yet written
 	lastIndex uint64
@@ -35,7 +35,7 @@
 // openCommitIndexSaver also returns the stored commit index, or 0 if there is none or it is
 // unreadable.
 func openCommitIndexSaver(folder disk.Folder, log *zap.Logger) (*commitIndexSaver, uint64) {
-	pair, data := disk.OpenPair(folder, commitFileName)
+	pair, data := disk.OpenDualFile(folder, commitFileName)
 	s := &commitIndexSaver{pair: pair, log: log, pending: make(chan uint64, 1)}
 	if len(data) != binary.Size(s.lastIndex) {
 		return s, 0
