--- a/daemon/cut_test.go
+++ b/daemon/cut_test.go
@@ -23,12 +23,13 @@
 	"github.com/linenscale/linenscale/standin"
 )
 
-// wideArea is how far the wide-area address of a host is from its own.
-const wideArea = 100
+// wideAreaOffset is the difference between the numbers of a host's wide-area address and
+// its own address.
+const wideAreaOffset = 100
 
-// twoRegions gives three hosts in region a, which hold the control log, and two
-// in region b, with a network between the regions that can be cut. Each host
-// has loopback addresses of its own, by which the network knows its region.
+// twoRegions returns three hosts in region a, the voters of the control log, and two in
+// region b, with a network that can be partitioned between the regions. Each host has
+// its own loopback addresses, by which the network identifies its region.
 func twoRegions(t *testing.T, engines map[string]string) (*association, *standin.WAN) {
 	t.Helper()
 	dir := t.TempDir()
@@ -39,7 +40,7 @@
 		name, region string
 		at           int
 	}{{"a1", "a", 1}, {"a2", "a", 2}, {"a3", "a", 3}, {"b1", "b", 4}, {"b2", "b", 5}} {
-		ip, wide := network.IP(h.at), network.IP(wideArea+h.at)
+		ip, wide := network.IP(h.at), network.IP(wideAreaOffset+h.at)
 		text += fmt.Sprintf("  - {name: %s, region: %s, data_centre: d%s, callers: %q, handover: %q, control: %q, operators: %q, wide_area: %s, disk: %t, voter: %t}\n",
 			h.name, h.region, h.region, ip+":7100", ip+":7200", ip+":7300", ip+":7400", wide, h.region == "a", h.region == "a")
 		for _, port := range []string{":7200", ":7300"} {
@@ -75,7 +76,7 @@
 	return a, wan
 }
 
-// call makes one plain call for a member of a region.
+// call sends one plain request with a home region through a host and returns its status.
 func (a *association) call(host, home, order string) int {
 	req, err := http.NewRequest(http.MethodPost, a.url(host)+"/services/portal/orders", strings.NewReader("x"))
 	must.NoError(a.t, err)
@@ -92,10 +93,10 @@
 	return declare.Envelope{Object: declare.Selector{Name: "all", Service: "portal", Allow: allow}}
 }
 
-// TestCutOffRegionGoesOnAndNoChangePassesItBy cuts region b off. It must go on
-// serving its members for longer than any lease; a change that takes its permit
-// must be refused while it is cut off, and hold everywhere once accepted.
-func TestCutOffRegionGoesOnAndNoChangePassesItBy(t *testing.T) {
+// TestPartitionedRegionKeepsServingAndChangesWaitForIt partitions region b. Region b must
+// serve its members for longer than any lease. A change that withdraws its permission
+// must be rejected during the partition, and be effective on all hosts once accepted.
+func TestPartitionedRegionKeepsServingAndChangesWaitForIt(t *testing.T) {
 	portals := map[string]*standin.Plain{"a": standin.NewPlain("pa", 0), "b": standin.NewPlain("pb", 0)}
 	addresses := map[string]string{}
 	for region, portal := range portals {
@@ -126,22 +127,22 @@
 		Name: "pa", Service: "portal", DataCentre: "da", Address: addresses["a"], Slots: 5,
 	}}}})
 	must.NoError(t, err)
-	must.Eq(t, control.StatusAccepted, out.Status, must.Sprint("it doesn't matter to b"))
+	must.Eq(t, control.StatusAccepted, out.Status, must.Sprint("the change doesn't affect region b"))
 
 	wan.Cut("b", false)
-	var again control.Outcome
-	for i := range 30 { // until b has been heard of again
-		again, err = a.client().Change(ctx, declare.Change{ID: fmt.Sprint("only-a-", i), Base: 2, Puts: []declare.Envelope{selector("region=a")}})
+	var retried control.Outcome
+	for i := range 30 { // until the leader receives reports from b again
+		retried, err = a.client().Change(ctx, declare.Change{ID: fmt.Sprint("only-a-", i), Base: 2, Puts: []declare.Envelope{selector("region=a")}})
 		must.NoError(t, err)
-		if again.Status == control.StatusAccepted {
+		if retried.Status == control.StatusAccepted {
 			break
 		}
 	}
-	must.Eq(t, control.StatusAccepted, again.Status)
+	must.Eq(t, control.StatusAccepted, retried.Status)
 	ran := portals["b"].Ran("forbidden")
 	for range 20 {
 		for _, host := range []string{"b1", "b2"} {
-			must.NotEq(t, http.StatusOK, a.call(host, "b", "forbidden"), must.Sprint("an accepted change must be in force at once"))
+			must.NotEq(t, http.StatusOK, a.call(host, "b", "forbidden"), must.Sprint("an accepted change must be effective at once"))
 		}
 	}
 	must.Eq(t, 0, ran+portals["b"].Ran("forbidden"))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,8 @@
-// Package daemon joins the parts of one linenscaled process and runs them
-// until its context ends. Each duty runs in a goroutine of one group; if one
-// fails, all end.
+// Package daemon assembles one linenscaled process and runs it until its context ends.
+//
+// Run runs a host of an association, whose settings file lists all hosts. RunMember runs
+// a member, a gateway or control host that finds the others by seeds. Each background
+// task runs in a goroutine of one group; if one fails, all end.
 package daemon
 
 import (
@@ -33,13 +35,13 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// fleetInterval is how often the fleet looks at its queues and its health.
+// fleetInterval is how often the fleet updates its queues and its health estimates.
 const fleetInterval = 200 * time.Millisecond
 
-// controlGroup names the control log.
-const controlGroup = "control"
+// controlLogName is the control log's name, and its folder below a host's data folder.
+const controlLogName = "control"
 
-// process is one running linenscaled.
+// process is one running host of an association.
 type process struct {
 	settings settings.Settings
 	host     settings.Host
@@ -47,28 +49,28 @@
 	metrics  *telemetry.Metrics
 	seed     uint64
 
-	dialer    *net.Dialer
-	near      *wire.Client
-	long      *wire.Client
-	formation *Formation
-	fleet     *fleet.Fleet
-	leader    *leader.Leader
-	replicaID raft.ID
-	agent     *agent.Agent
-	keys      *keyService
-	gateway   *gateway.Server
-	client    *relay.Client // to engines
-	away      *relay.Client // to other hosts
+	dialer       *net.Dialer
+	shortCalls   *wire.Client
+	longPolls    *wire.Client
+	formation    *Formation
+	fleet        *fleet.Fleet
+	leader       *leader.Leader
+	replicaID    raft.ID
+	agent        *agent.Agent
+	keys         *keyService
+	gateway      *gateway.Server
+	engineClient *relay.Client
+	peerClient   *relay.Client
 
 	controlSender *wire.Sender[raft.Envelope]
 	keySender     *wire.Sender[raft.Envelope]
 }
 
-// listeners are the four open ports of a process.
+// listeners holds the four listeners of a process.
 type listeners struct{ callers, handover, control, operators net.Listener }
 
-// Run runs the process of one host until ctx ends. Then requests in flight are
-// finished, within the settings' bound, before the control side ends.
+// Run runs the process of the named host until ctx ends. It then waits for requests in
+// flight, for at most the settings' stop time, before it ends the background tasks.
 func Run(ctx context.Context, s settings.Settings, name string, log *zap.Logger) error {
 	host, err := s.Host(name)
 	if err != nil {
@@ -80,20 +82,21 @@
 	}
 	d := &process{
 		settings: s, host: host, log: log.With(zap.String("host", host.Name)), seed: rand.Uint64(),
-		dialer: newDialer(host, dialTime), formation: &Formation{commits: map[string]func() uint64{}},
-	}
-	// What serves callers ends first; the duties below it go on until then.
-	below, stopBelow := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopBelow()
-	group := pool.New().WithContext(below).WithCancelOnError()
-	if err := d.build(ctx, below, group, open.control); err != nil {
-		stopBelow()
+		dialer: newDialer(host, dialTimeout), formation: &Formation{commits: map[string]func() uint64{}},
+	}
+	// The servers for callers end first. The background tasks, which they depend on, run
+	// until then.
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	group := pool.New().WithContext(background).WithCancelOnError()
+	if err := d.build(ctx, background, group, open.control); err != nil {
+		stopBackground()
 		return errors.Wrap(err, group.Wait())
 	}
-	d.startDuties(group, open.operators)
-	group.Go(func(below context.Context) error {
-		defer stopBelow()
-		return d.serve(ctx, below, open)
+	d.startBackgroundTasks(group, open.operators)
+	group.Go(func(background context.Context) error {
+		defer stopBackground()
+		return d.serve(ctx, background, open)
 	})
 	return group.Wait()
 }
@@ -113,23 +116,23 @@
 	return open, nil
 }
 
-// build makes the parts. The control port answers from the start, because
-// other hosts may wait for this one to form a log.
-func (d *process) build(ctx, below context.Context, group *pool.ContextPool, control net.Listener) error {
+// build creates the components and starts the control server. The control port is served
+// first, because other hosts may wait for this one to form a log.
+func (d *process) build(ctx, background context.Context, group *pool.ContextPool, control net.Listener) error {
 	raft.RegisterMessages()
 	var err error
 	if d.metrics, err = telemetry.NewMetrics(); err != nil {
 		return errors.Trace(err)
 	}
-	d.near, d.long = wire.NewClient(d.deployment().Dialer(d.dialer)), wire.NewClient(d.deployment().Dialer(d.dialer))
-	senders := d.deployment().Dialer(newDialer(d.host, senderDial))
+	d.shortCalls, d.longPolls = wire.NewClient(d.deployment().Dialer(d.dialer)), wire.NewClient(d.deployment().Dialer(d.dialer))
+	senders := d.deployment().Dialer(newDialer(d.host, senderDialTimeout))
 	d.controlSender = wire.NewSender[raft.Envelope](senders, "Host.Deliver")
 	d.keySender = wire.NewSender[raft.Envelope](senders, "Keys.Deliver")
 	server := wire.NewServer()
 	if err := server.Register("Formation", d.formation); err != nil {
 		return errors.Trace(err)
 	}
-	d.keys = &keyService{ctx: below}
+	d.keys = &keyService{ctx: background}
 	if err := server.Register("Keys", d.keys); err != nil {
 		return errors.Trace(err)
 	}
@@ -143,36 +146,37 @@
 		}
 	}
 	d.buildAgent()
-	return errors.Trace(server.Register("Host", agent.NewService(below, d.agent)))
+	return errors.Trace(server.Register("Host", agent.NewService(background, d.agent)))
 }
 
 // openControl opens this host's replica of the control log.
 func (d *process) openControl(ctx context.Context) error {
-	folder, err := d.folder(controlGroup)
+	folder, err := d.openFolder(controlLogName)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	j := &joiner{group: controlGroup, host: d.host, voters: d.settings.Voters(), folder: folder, calls: d.near, log: d.log}
-	if d.replicaID, err = j.identity(ctx); err != nil {
+	b := &bootstrapper{logName: controlLogName, host: d.host, initialVoters: d.settings.Voters(), folder: folder, calls: d.shortCalls, log: d.log}
+	if d.replicaID, err = b.resolveIdentity(ctx); err != nil {
 		return errors.Trace(err)
 	}
 	initial, err := declare.LoadConfig(d.settings.DeclarationsDir(), d.settings.Objects()...)
 	if err != nil {
-		return errors.Annotate(err, "declarations")
+		return errors.Annotate(err, "load declarations")
 	}
 	d.leader, err = leader.New(leader.Options{
-		ID: d.replicaID, Timing: d.settings.Control, Folder: folder, Send: d.sendTo(d.controlSender),
+		ID: d.replicaID, Timing: d.settings.Control, Folder: folder, Send: d.sendFunc(d.controlSender),
 		Clock: steady.Time, Initial: initial, Voters: len(d.settings.Voters()), Log: d.log, Metrics: d.metrics, Seed: d.seed,
 	})
 	if err != nil {
-		return errors.Annotate(err, "control log")
+		return errors.Annotate(err, "open control log")
 	}
-	d.formation.opened(controlGroup, func() uint64 { return d.leader.Status().Commit })
+	d.formation.register(controlLogName, func() uint64 { return d.leader.Status().Commit })
 	return nil
 }
 
-// sendTo gives the way by which a replica's messages leave.
-func (d *process) sendTo(sender *wire.Sender[raft.Envelope]) func(raft.Envelope) {
+// sendFunc returns the function by which a replica sends its messages. It drops messages
+// to hosts that the settings don't list.
+func (d *process) sendFunc(sender *wire.Sender[raft.Envelope]) func(raft.Envelope) {
 	return func(e raft.Envelope) {
 		if host, err := d.settings.Host(voters.HostOf(e.To)); err == nil {
 			address, _, _ := agent.Reach(d.host, host)
@@ -181,33 +185,34 @@
 	}
 }
 
-// deployment is what the hosts of these settings belong to.
+// deployment returns the name that the hosts of these settings share; connections from
+// other deployments are rejected.
 func (d *process) deployment() wire.Deployment { return wire.Deployment(d.settings.Association) }
 
 func (d *process) buildAgent() {
 	d.agent = agent.New(agent.Deps{
-		Settings: d.settings, Host: d.host, Leader: d.leader, Replica: d.replicaID, KeyReplica: d.keys.replicaID,
-		Fleet: d.fleet, Near: d.near, Long: d.long, Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
+		Settings: d.settings, Host: d.host, Leader: d.leader, Replica: d.replicaID, KeyReplica: d.keys.replicaStatus,
+		Fleet: d.fleet, Near: d.shortCalls, Long: d.longPolls, Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
 		Incarnation: uuid.NewString(),
 		InFlight:    func() int64 { return d.gateway.InFlight() },
 		Stopping:    func() bool { return d.gateway.Stopping() },
 	})
-	d.client = relay.New(d.dialer, relay.Options{AnswerTime: d.settings.Limits.RequestTime})
-	d.away = relay.New(d.deployment().Dialer(d.dialer), relay.Options{AnswerTime: d.settings.Limits.RequestTime})
+	d.engineClient = relay.New(d.dialer, relay.Options{AnswerTime: d.settings.Limits.RequestTime})
+	d.peerClient = relay.New(d.deployment().Dialer(d.dialer), relay.Options{AnswerTime: d.settings.Limits.RequestTime})
 	d.gateway = gateway.New(gateway.Deps{
 		Host: d.host, Limits: d.settings.Limits, Authority: d.agent, Peers: d.agent,
-		Keys: keyhome.NewClient(d.agent, d.near), Fleet: d.fleet, Engines: d.client, Away: d.away,
+		Keys: keyhome.NewClient(d.agent, d.shortCalls), Fleet: d.fleet, Engines: d.engineClient, Away: d.peerClient,
 		Log: d.log, Metrics: d.metrics, Random: rand.Uint64,
 	})
 }
 
-// startDuties starts everything below the callers' interface.
-func (d *process) startDuties(group *pool.ContextPool, operators net.Listener) {
+// startBackgroundTasks starts everything but the servers for callers and hand-over.
+func (d *process) startBackgroundTasks(group *pool.ContextPool, operators net.Listener) {
 	if d.leader != nil {
 		group.Go(d.leader.Run)
 	}
 	group.Go(d.agent.Run)
-	group.Go(d.keysDuty)
+	group.Go(d.runKeyLog)
 	group.Go(func(ctx context.Context) error { return tick(ctx, d.fleet) })
 	group.Go(probe.New(d.fleet, probeTransport(d.dialer), d.settings.Platform, d.log).Run)
 	group.Go(func(ctx context.Context) error {
@@ -215,26 +220,27 @@
 	})
 }
 
-// serve serves callers until ctx ends, or a duty below fails.
-func (d *process) serve(ctx, below context.Context, open listeners) error {
-	either, cancel := context.WithCancel(ctx)
+// serve serves callers until ctx ends or a background task fails. A leader of the
+// control log then steps down, so that the others elect the next one at once.
+func (d *process) serve(ctx, background context.Context, open listeners) error {
+	serveCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(below, cancel)
+	stop := context.AfterFunc(background, cancel)
 	defer stop()
 	d.log.Info("started", zap.String("callers", d.host.Callers), zap.String("region", d.host.Region), zap.Bool("disk", d.host.Disk))
-	err := d.gateway.Run(either, open.callers, d.deployment().Listener(open.handover, d.log))
+	err := d.gateway.Run(serveCtx, open.callers, d.deployment().Listener(open.handover, d.log))
 	if d.leader != nil && d.leader.Status().Role == raft.Leader {
 		d.leader.StepDown()
-		time.Sleep(stepDownTime)
+		time.Sleep(stepDownDelay)
 	}
-	d.client.Close()
-	d.away.Close()
+	d.engineClient.Close()
+	d.peerClient.Close()
 	d.log.Info("stopped")
 	return err
 }
 
-// stepDownTime is how long a stopping leader waits for its message to leave.
-const stepDownTime = 100 * time.Millisecond
+// stepDownDelay is how long a stopping leader waits for its last message to be sent.
+const stepDownDelay = 100 * time.Millisecond
 
 func tick(ctx context.Context, f *fleet.Fleet) error {
 	duty.Every(ctx, fleetInterval, f.Tick)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -27,15 +27,15 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// association is three hosts of one data centre, run in this process.
+// association is a set of hosts that run in the test's process.
 type association struct {
 	t        *testing.T
 	settings settings.Settings
 	stop     map[string]func()
 }
 
-// claimNetwork gives a deployment loopback addresses of its own: a port that is
-// merely free now may be taken before it is listened on.
+// claimNetwork reserves loopback addresses for one deployment: a port that is only free
+// now may be in use before the host listens on it.
 func claimNetwork(t *testing.T) *loopback.Network {
 	t.Helper()
 	network, err := loopback.Claim()
@@ -44,6 +44,8 @@
 	return network
 }
 
+// newAssociation returns three hosts of one data centre, not started, with one engine
+// at the address portal.
 func newAssociation(t *testing.T, portal string) *association {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,7 +74,7 @@
 func (a *association) start(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New().WithErrors()
-	log, err := telemetry.NewLogger(io.Discard, "debug") // what is logged must be fit to be written
+	log, err := telemetry.NewLogger(io.Discard, "debug") // encodes each line, to find fields that can't be encoded
 	must.NoError(a.t, err)
 	group.Go(func() error { return daemon.Run(ctx, a.settings, name, log) })
 	a.stop[name] = func() {
@@ -82,7 +84,7 @@
 	}
 }
 
-// startAll starts the three hosts and waits until they serve.
+// startAll starts the three hosts and waits until they are ready.
 func (a *association) startAll() {
 	names := []string{"h1", "h2", "h3"}
 	for _, name := range names {
@@ -121,7 +123,8 @@
 	return operator.NewClient(hosts, 20*time.Second)
 }
 
-// order makes a keyed call until it is answered.
+// order sends a request with an idempotency key until it is answered. Each other reply
+// must say that the request was not run.
 func (a *association) order(name, key string) (body string, replayed bool) {
 	for range 100 {
 		req, err := http.NewRequest(http.MethodPost, a.url(name)+"/services/portal/orders", strings.NewReader("two boards"))
@@ -144,9 +147,10 @@
 	return "", false
 }
 
-// TestHostsRunTogether starts three hosts, changes the configuration, repeats
-// an order on another host, loses one host, and restarts all of them.
-func TestHostsRunTogether(t *testing.T) {
+// TestAssociationServesThroughHostLossAndRestart changes the configuration, repeats an
+// order on another host, stops one host and restarts all. No accepted change may be lost
+// and the order may run only once.
+func TestAssociationServesThroughHostLossAndRestart(t *testing.T) {
 	portal := standin.NewPlain("p1", 0)
 	server := httptest.NewServer(portal)
 	defer server.Close()
@@ -158,9 +162,9 @@
 	out, err := a.client().Change(ctx, change)
 	must.NoError(t, err)
 	must.Eq(t, control.StatusAccepted, out.Status)
-	again, err := a.client().Change(ctx, change)
+	resent, err := a.client().Change(ctx, change)
 	must.NoError(t, err)
-	must.Eq(t, out, again, must.Sprint("a resent change gets its first answer"))
+	must.Eq(t, out, resent, must.Sprint("a resent change must get the outcome of the first"))
 
 	first, replayed := a.order("h1", "k1")
 	must.False(t, replayed)
@@ -181,15 +185,15 @@
 	a.startAll()
 	config, err := a.client().Config(ctx)
 	must.NoError(t, err)
-	must.Eq(t, 3, config.Revision(), must.Sprint("what was accepted is there after a restart of all"))
+	must.Eq(t, 3, config.Revision(), must.Sprint("accepted changes must survive a restart of all hosts"))
 	_, replayed = a.order("h2", "k1")
 	must.True(t, replayed)
 	must.Eq(t, 1, portal.Ran("k1"))
 }
 
-// TestLostDiskIsReplacedWithoutAnOperator takes a voter's data folder away. Its
-// host must come back under a new identity, which takes the old one's place.
-func TestLostDiskIsReplacedWithoutAnOperator(t *testing.T) {
+// TestVoterWithLostDiskIsReplacedAutomatically deletes a voter's data folder. The host
+// must restart under a new identity, which replaces the old one among the voters.
+func TestVoterWithLostDiskIsReplacedAutomatically(t *testing.T) {
 	portal := standin.NewPlain("p1", 0)
 	server := httptest.NewServer(portal)
 	defer server.Close()
@@ -214,9 +218,10 @@
 	must.Eq(t, 1, portal.Ran("k1"))
 }
 
-// TestAHostOfAnotherAssociationTakesNoPart guards against hosts that take one at a reused
-// address for one of their own: it joined, and served what the others declare.
-func TestAHostOfAnotherAssociationTakesNoPart(t *testing.T) {
+// TestHostOfAnotherAssociationIsRejected starts a host of another association at the
+// address of a stopped host. Without the check it joined, and served the configuration of
+// the first association.
+func TestHostOfAnotherAssociationIsRejected(t *testing.T) {
 	portal := standin.NewPlain("p1", 0)
 	server := httptest.NewServer(portal)
 	defer server.Close()
--- a/daemon/dial.go
+++ b/daemon/dial.go
@@ -13,16 +13,17 @@
 	"github.com/linenscale/linenscale/trip"
 )
 
-// Bounds of the opening of a connection between hosts that settings name.
+// Timeouts for opening a connection between the hosts of an association.
 const (
-	dialTime = 2 * time.Second
-	// senderDial is the bound for messages that nobody waits for: a few round trips
-	// between regions, so that they flow soon after a cut.
-	senderDial = 450 * time.Millisecond
+	dialTimeout = 2 * time.Second
+	// senderDialTimeout applies to asynchronous messages, which no caller waits for. It
+	// is a few round trips between regions, so that messages flow again soon after a
+	// partition heals.
+	senderDialTimeout = 450 * time.Millisecond
 )
 
-// newDialer opens connections from the host's own IP number, by which other
-// hosts know it.
+// newDialer returns a dialer that connects from the host's own IP address, by which
+// other hosts identify it.
 func newDialer(host settings.Host, timeout time.Duration) *net.Dialer {
 	dialer := &net.Dialer{Timeout: timeout}
 	if address, err := net.ResolveTCPAddr("tcp", host.Control); err == nil {
@@ -35,65 +36,67 @@
 	return &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, DisableCompression: true}
 }
 
-// A connection on which nothing is sent is probed, so that one whose other end has
-// gone without a word ends too: in the middle of a stream nothing else tells.
+// TCP keep-alive for idle connections. It ends a connection whose peer vanished without
+// closing it; in the middle of a stream nothing else detects that.
 const (
-	probeEvery = time.Second
-	probeCount = 2
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// tripDialer opens connections within bounds that follow the trips seen so far, and
-// learns the trips from them.
-type tripDialer struct {
+// adaptiveDialer opens connections with a timeout that follows the round trips measured
+// so far, and measures a round trip with each connection that it opens.
+type adaptiveDialer struct {
 	net.Dialer
-	trips *trip.Table
-	place func(address string) string
-	slack time.Duration // for what the other end does
-	// patient is true for those who try again and again: they find a place that
-	// has moved farther away.
+	roundTrips    *trip.Table
+	destinationOf func(address string) string
+	slack         time.Duration // for the peer's processing
+	// patient is true for callers that retry indefinitely. After timeouts, some of their
+	// attempts get a longer timeout, so that they still reach a destination whose round
+	// trip has grown.
 	patient bool
 }
 
-// DialContext opens a connection.
-func (d *tripDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	place := d.place(address)
-	bound := d.trips.Bound(place, d.slack)
+// DialContext opens a connection within the timeout for the address's destination, and
+// records the round trip or, for a patient dialer, the timeout.
+func (d *adaptiveDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	destination := d.destinationOf(address)
+	timeout := d.roundTrips.Bound(destination, d.slack)
 	if d.patient {
-		bound = d.trips.PatientBound(place, d.slack)
+		timeout = d.roundTrips.PatientBound(destination, d.slack)
 	}
-	bounded, cancel := context.WithTimeout(ctx, bound)
+	dialCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
-	conn, err := d.Dialer.DialContext(bounded, network, address)
+	start := time.Now()
+	conn, err := d.Dialer.DialContext(dialCtx, network, address)
 	switch {
 	case err == nil:
-		d.trips.Note(place, time.Since(began))
-	case d.patient && ctx.Err() == nil && bounded.Err() != nil:
-		d.trips.Missed(place)
+		d.roundTrips.Note(destination, time.Since(start))
+	case d.patient && ctx.Err() == nil && dialCtx.Err() != nil:
+		d.roundTrips.Missed(destination)
 	}
 	return conn, err
 }
 
-// newMemberDialer opens connections from the host's own IP number, that break by
-// themselves when what is sent stays unacknowledged: behind a cut, nothing else
-// ever tells.
+// newMemberDialer returns a dialer that connects from the host's own IP address. The
+// kernel ends its connections when sent bytes stay unacknowledged for tcpUserTimeout:
+// in a partition nothing else detects the loss.
 func newMemberDialer(m settings.Member) net.Dialer {
-	own := m.IP
+	localIP := m.IP
 	if m.Bind != "" {
-		own = m.Bind
+		localIP = m.Bind
 	}
 	return net.Dialer{
-		LocalAddr:       &net.TCPAddr{IP: net.ParseIP(own)},
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
+		LocalAddr:       &net.TCPAddr{IP: net.ParseIP(localIP)},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var optErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return optErr
 		},
 	}
 }
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -1,5 +1,4 @@
-// This file defines how a replica gets its identity, and how a new log is
-// formed.
+// This file chooses the identity of a replica and forms new logs.
 
 package daemon
 
@@ -22,95 +21,98 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// identityFile holds the identity that a folder's log belongs to.
+// identityFile stores the identity of the replica whose log is in the folder.
 const identityFile = "identity"
 
-// firstIdentity ends the identity of a voter that formed a log.
-const firstIdentity = "#1"
+// initialIdentitySuffix ends the identity of each voter that formed a log.
+const initialIdentitySuffix = "#1"
 
-// Timing of the forming of a log.
+// Timing of the formation of a log.
 const (
-	formPatience = 10 * time.Second
-	formPause    = 200 * time.Millisecond
-	formCall     = 500 * time.Millisecond
+	bootstrapTimeout       = 10 * time.Second       // to reach all other initial voters
+	bootstrapRetryInterval = 200 * time.Millisecond // between two rounds of calls
+	bootstrapCallTimeout   = 500 * time.Millisecond // of one call
 )
 
-// Formation tells other hosts whether this one's logs have begun. It is
-// answered as "Formation" of net/rpc, before anything else of the process is.
+// Formation is the net/rpc service that reports to other hosts whether this host's
+// logs contain anything committed. The process serves it before all other services,
+// because hosts that form a log wait for its reply.
 type Formation struct {
 	mu      sync.Mutex
 	commits map[string]func() uint64
 }
 
-// FormationState is what a host says of one log.
+// FormationState is a host's report of one log.
 type FormationState struct {
-	Begun bool // something has been committed in it
+	Begun bool // the log has a committed entry
 }
 
-// State answers for the log of that name.
-func (f *Formation) State(group string, state *FormationState) error {
+// State reports the state of the named log. Begun is false for a log that isn't open.
+func (f *Formation) State(logName string, state *FormationState) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if commit, ok := f.commits[group]; ok {
+	if commit, ok := f.commits[logName]; ok {
 		state.Begun = commit() > 0
 	}
 	return nil
 }
 
-func (f *Formation) opened(group string, commit func() uint64) {
+// register adds an open log, with the function that returns its commit index.
+func (f *Formation) register(logName string, commit func() uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.commits[group] = commit
+	f.commits[logName] = commit
 }
 
-// joiner decides under which identity a host takes part in a log.
-type joiner struct {
-	group  string
-	host   settings.Host
-	voters []settings.Host // that form the log
-	folder disk.Folder
-	calls  *wire.Client
-	log    *zap.Logger
+// bootstrapper chooses the identity under which a host takes part in a log, and forms
+// the log where no voter has done so.
+type bootstrapper struct {
+	logName       string
+	host          settings.Host
+	initialVoters []settings.Host // the hosts that form the log
+	folder        disk.Folder
+	calls         *wire.Client
+	log           *zap.Logger
 }
 
-// identity gives the identity of the folder's log. An empty folder gets a new
-// identity, which no membership holds yet. Only where this host is one of those
-// that form the log, all the others can be asked, and none of them has seen
-// anything committed, is the log formed: otherwise a voter whose folder was
-// lost could vote a second time as its old self.
-func (j *joiner) identity(ctx context.Context) (raft.ID, error) {
-	known, err := readIdentity(j.folder)
+// resolveIdentity returns the identity of the folder's replica. An empty folder gets a
+// new identity that is in no membership yet. The host takes its initial identity, and
+// so forms the log, only if it is an initial voter, all other initial voters reply, and
+// none of them has a committed entry. Otherwise a voter that lost its folder could vote
+// a second time under its old identity.
+func (b *bootstrapper) resolveIdentity(ctx context.Context) (raft.ID, error) {
+	stored, err := readIdentity(b.folder)
 	if err != nil {
 		return raft.None, errors.Trace(err)
 	}
-	if known != raft.None {
-		return j.reform(known)
+	if stored != raft.None {
+		return b.ensureInitialMembership(stored)
 	}
-	id := newIdentity(j.host.Name)
-	if j.mayForm(ctx) {
-		id = raft.ID(j.host.Name + firstIdentity)
+	id := newIdentity(b.host.Name)
+	if b.mayFormLog(ctx) {
+		id = raft.ID(b.host.Name + initialIdentitySuffix)
 	}
-	if err := writeIdentity(j.folder, id); err != nil {
-		return raft.None, errors.Annotate(err, "identity")
+	if err := writeIdentity(b.folder, id); err != nil {
+		return raft.None, errors.Annotate(err, "write identity")
 	}
-	j.log.Info("new identity", zap.String("log", j.group), zap.String("identity", string(id)))
-	return j.reform(id)
+	b.log.Info("created replica identity", zap.String("log", b.logName), zap.String("identity", string(id)))
+	return b.ensureInitialMembership(id)
 }
 
-// reform writes the first membership of a log that was to be formed, if that
-// hasn't been done: the process may have ended in between.
-func (j *joiner) reform(id raft.ID) (raft.ID, error) {
-	hosts := make([]string, len(j.voters))
-	for i, v := range j.voters {
+// ensureInitialMembership writes the first membership of a log that this host forms, if
+// it is missing: the process may have ended after it wrote the identity.
+func (b *bootstrapper) ensureInitialMembership(id raft.ID) (raft.ID, error) {
+	hosts := make([]string, len(b.initialVoters))
+	for i, v := range b.initialVoters {
 		hosts[i] = v.Name
 	}
-	return id, formFirst(j.folder, id, hosts)
+	return id, writeInitialMembership(b.folder, id, hosts)
 }
 
-// formFirst writes the first membership of a log, if the identity is one that
-// forms a log and this hasn't been done.
-func formFirst(folder disk.Folder, id raft.ID, hosts []string) error {
-	if !strings.HasSuffix(string(id), firstIdentity) {
+// writeInitialMembership writes the first membership of a log if id is an initial
+// identity and the folder contains no log yet.
+func writeInitialMembership(folder disk.Folder, id raft.ID, hosts []string) error {
+	if !strings.HasSuffix(string(id), initialIdentitySuffix) {
 		return nil
 	}
 	names, err := folder.Names()
@@ -122,24 +124,25 @@
 	}
 	ids := make([]raft.ID, len(hosts))
 	for i, host := range hosts {
-		ids[i] = raft.ID(host + firstIdentity)
+		ids[i] = raft.ID(host + initialIdentitySuffix)
 	}
 	return errors.Trace(replica.Form(folder, ids))
 }
 
-// readIdentity gives a folder's identity, or raft.None where it has none yet.
+// readIdentity returns a folder's identity, or raft.None if it has none yet.
 func readIdentity(folder disk.Folder) (raft.ID, error) {
 	data, err := folder.Read(identityFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return raft.None, nil
 	}
-	return raft.ID(strings.TrimSpace(string(data))), errors.Annotate(err, "identity")
+	return raft.ID(strings.TrimSpace(string(data))), errors.Annotate(err, "read identity")
 }
 
-// newIdentity gives an identity that no membership holds yet.
+// newIdentity returns a random identity of a host, which is in no membership yet.
 func newIdentity(host string) raft.ID { return raft.ID(host + "#" + uuid.NewString()[:8]) }
 
-// writeIdentity makes a folder's identity durable.
+// writeIdentity stores a folder's identity durably: it writes a new file, syncs it and
+// renames it into place.
 func writeIdentity(folder disk.Folder, id raft.ID) error {
 	file, err := folder.Create(identityFile + ".new")
 	if err != nil {
@@ -158,47 +161,50 @@
 	return errors.Trace(folder.Sync())
 }
 
-func (j *joiner) mayForm(ctx context.Context) bool {
-	if !j.forms() {
+// mayFormLog reports whether this host may form the log. It repeats its calls until all
+// other initial voters reply or bootstrapTimeout ends.
+func (b *bootstrapper) mayFormLog(ctx context.Context) bool {
+	if !b.isInitialVoter() {
 		return false
 	}
-	until := time.Now().Add(formPatience)
+	until := time.Now().Add(bootstrapTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		answered, begun := j.askOthers(ctx)
-		if begun {
+		allAnswered, anyBegun := b.pollOtherVoters(ctx)
+		if anyBegun {
 			return false
 		}
-		if answered {
+		if allAnswered {
 			return true
 		}
-		time.Sleep(formPause)
+		time.Sleep(bootstrapRetryInterval)
 	}
 	return false
 }
 
-func (j *joiner) forms() bool {
-	for _, v := range j.voters {
-		if v.Name == j.host.Name {
+func (b *bootstrapper) isInitialVoter() bool {
+	for _, v := range b.initialVoters {
+		if v.Name == b.host.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// askOthers tells whether all others answered, and whether any has begun.
-func (j *joiner) askOthers(ctx context.Context) (answered, begun bool) {
-	answered = true
-	for _, v := range j.voters {
-		if v.Name == j.host.Name {
+// pollOtherVoters reports whether all other initial voters replied, and whether any of
+// them has a committed entry.
+func (b *bootstrapper) pollOtherVoters(ctx context.Context) (allAnswered, anyBegun bool) {
+	allAnswered = true
+	for _, v := range b.initialVoters {
+		if v.Name == b.host.Name {
 			continue
 		}
-		address, _, _ := agent.Reach(j.host, v)
+		address, _, _ := agent.Reach(b.host, v)
 		var state FormationState
-		if err := j.calls.WithTimeout(ctx, formCall, address, "Formation.State", j.group, &state); err != nil {
-			answered = false
+		if err := b.calls.WithTimeout(ctx, bootstrapCallTimeout, address, "Formation.State", b.logName, &state); err != nil {
+			allAnswered = false
 			continue
 		}
-		begun = begun || state.Begun
+		anyBegun = anyBegun || state.Begun
 	}
-	return answered, begun
+	return allAnswered, anyBegun
 }
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -1,5 +1,5 @@
-// This file defines the duty that runs this host's part of its region's log of
-// keys.
+// This file runs this host's replica of its region's key log: the replicated log of
+// idempotency keys.
 
 package daemon
 
@@ -19,66 +19,68 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// maxKeyVoters is how many hosts of a region vote in its log of keys.
+// maxKeyVoters bounds the hosts of a region that vote in its key log.
 const maxKeyVoters = 3
 
-// keysGroup names the log of keys.
-const keysGroup = "keys"
+// keyLogName is the key log's name, and its folder below a host's data folder.
+const keyLogName = "keys"
 
-// keyService answers as "Keys" of net/rpc. Until the replica is open, it leads
-// nothing.
+// keyService is the net/rpc service "Keys". Until the replica is open, it reports that
+// this host doesn't lead.
 type keyService struct {
-	ctx  context.Context // net/rpc gives its methods none
-	home atomic.Pointer[keyhome.Home]
-	id   atomic.Pointer[raft.ID]
+	ctx     context.Context // net/rpc passes no context to methods
+	replica atomic.Pointer[keyhome.Home]
+	id      atomic.Pointer[raft.ID]
 }
 
-// keyTime bounds one command.
-const keyTime = 2 * time.Second
+// keyCommandTimeout bounds the execution of one command.
+const keyCommandTimeout = 2 * time.Second
 
-// Do carries out a command, if this host leads.
+// Do executes a command if this host leads the key log; otherwise the reply says that
+// it doesn't.
 func (k *keyService) Do(c once.Command, reply *keyhome.Reply) error {
-	home := k.home.Load()
-	if home == nil {
+	replica := k.replica.Load()
+	if replica == nil {
 		*reply = keyhome.Reply{NotLead: true}
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(k.ctx, keyTime)
+	ctx, cancel := context.WithTimeout(k.ctx, keyCommandTimeout)
 	defer cancel()
-	got, err := home.Do(ctx, c)
-	*reply = got
+	result, err := replica.Do(ctx, c)
+	*reply = result
 	return err
 }
 
-// Nothing stands where a call has no answer.
+// Nothing is the reply of a call that returns no data.
 type Nothing struct{}
 
-// Deliver takes messages for this host's replica.
+// Deliver passes raft messages to this host's replica. It drops them while the replica
+// isn't open.
 func (k *keyService) Deliver(envelopes []raft.Envelope, _ *Nothing) error {
-	if home := k.home.Load(); home != nil {
+	if replica := k.replica.Load(); replica != nil {
 		for _, e := range envelopes {
-			home.Deliver(e)
+			replica.Deliver(e)
 		}
 	}
 	return nil
 }
 
-// replicaID gives the identity of the replica, and whether it leads.
-func (k *keyService) replicaID() (raft.ID, bool) {
-	home, id := k.home.Load(), k.id.Load()
-	if home == nil || id == nil {
+// replicaStatus returns the replica's identity, raft.None while it isn't open, and
+// whether it leads.
+func (k *keyService) replicaStatus() (raft.ID, bool) {
+	replica, id := k.replica.Load(), k.id.Load()
+	if replica == nil || id == nil {
 		return raft.None, false
 	}
-	return *id, home.Status().Role == raft.Leader
+	return *id, replica.Status().Role == raft.Leader
 }
 
-// keyVoters gives the hosts that form a region's log of keys: those with disks
-// first.
+// keyVoters returns the hosts that form a region's key log, hosts with disks first.
 func keyVoters(s settings.Settings, region string) []settings.Host {
 	var out []settings.Host
-	for _, disks := range []bool{true, false} {
+	for _, withDisk := range []bool{true, false} {
 		for _, h := range s.Hosts {
-			if h.Region == region && h.Disk == disks && len(out) < maxKeyVoters {
+			if h.Region == region && h.Disk == withDisk && len(out) < maxKeyVoters {
 				out = append(out, h)
 			}
 		}
@@ -86,37 +88,37 @@
 	return out
 }
 
-// keysDuty opens the replica and runs it.
-func (d *process) keysDuty(ctx context.Context) error {
-	folder, err := d.folder(keysGroup)
+// runKeyLog opens this host's replica of the key log and runs it until ctx ends.
+func (d *process) runKeyLog(ctx context.Context) error {
+	folder, err := d.openFolder(keyLogName)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	formers := keyVoters(d.settings, d.host.Region)
-	j := &joiner{group: keysGroup, host: d.host, voters: formers, folder: folder, calls: d.near, log: d.log}
-	id, err := j.identity(ctx)
+	initialVoters := keyVoters(d.settings, d.host.Region)
+	b := &bootstrapper{logName: keyLogName, host: d.host, initialVoters: initialVoters, folder: folder, calls: d.shortCalls, log: d.log}
+	id, err := b.resolveIdentity(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	home, err := keyhome.Open(keyhome.Options{
-		ID: id, Folder: folder, Send: d.sendTo(d.keySender), Spares: d.keySpares,
-		Voters: len(formers), Log: d.log, Seed: d.seed + 1,
+	replica, err := keyhome.Open(keyhome.Options{
+		ID: id, Folder: folder, Send: d.sendFunc(d.keySender), Spares: d.keySpares,
+		Voters: len(initialVoters), Log: d.log, Seed: d.seed + 1,
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	d.formation.opened(keysGroup, func() uint64 { return home.Status().Commit })
+	d.formation.register(keyLogName, func() uint64 { return replica.Status().Commit })
 	d.keys.id.Store(&id)
-	d.keys.home.Store(home)
-	d.log.Info("log of keys", zap.String("identity", string(id)), zap.Bool("disk", d.host.Disk))
-	return home.Run(ctx)
+	d.keys.replica.Store(replica)
+	d.log.Info("key log opened", zap.String("identity", string(id)), zap.Bool("disk", d.host.Disk))
+	return replica.Run(ctx)
 }
 
 func (d *process) keySpares() []voters.Spare { return d.agent.KeySpares() }
 
-// folder opens the data folder of a log, or one in memory for a host without
-// a disk.
-func (d *process) folder(group string) (disk.Folder, error) {
+// openFolder opens the data folder of a log. A host without a disk gets a folder in
+// memory.
+func (d *process) openFolder(logName string) (disk.Folder, error) {
 	path := d.settings.DataDir(d.host)
 	if path == "" {
 		return disk.NewMemory(), nil
@@ -124,5 +126,5 @@
 	if _, err := disk.OpenDir(path); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return disk.OpenDir(path + "/" + group)
+	return disk.OpenDir(path + "/" + logName)
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -1,5 +1,5 @@
-// This file defines the process of a host that finds the others by seeds: a
-// gateway or a control host.
+// This file defines the process of a member: a gateway or control host that finds the
+// other hosts by seeds.
 
 package daemon
 
@@ -28,64 +28,65 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// Bounds of a member's process.
+// Timing of a member's process.
 const (
-	// stopMargin is how much earlier than the settings' stop time a process
-	// ends by itself.
+	// stopMargin is how long before the end of the settings' stop time a gateway stops
+	// waiting for requests in flight.
 	stopMargin = 700 * time.Millisecond
-	// controlStop is how long a stopping control host answers what it has.
-	controlStop = 400 * time.Millisecond
-	// reloadEvery is how often the settings file is looked at.
-	reloadEvery = 2 * time.Second
-	// dispatchEvery is how often the dispatcher looks at the engines even if
-	// none has changed.
-	dispatchEvery = 200 * time.Millisecond
-	// engineSlack and peerSlack are how much longer than a round trip the opening
-	// of a connection may take. A lost opening packet is sent again only after a
-	// second, so that waiting longer than for an ordinary answer gains nothing.
-	// Hosts that are given a part of a core answer when it is their turn, which
-	// comes ten times a second; engines may be busy as well.
+	// controlStopDelay is how long a stopping control host still answers requests in
+	// flight.
+	controlStopDelay = 400 * time.Millisecond
+	// reloadInterval is how often the settings file is read again.
+	reloadInterval = 2 * time.Second
+	// dispatchInterval is how often the dispatcher updates its engines even if none
+	// has changed.
+	dispatchInterval = 200 * time.Millisecond
+	// engineSlack and peerSlack are how much longer than a round trip the opening of a
+	// connection may take. TCP sends a lost SYN again only after a second, so a longer
+	// timeout than an ordinary answer needs gains nothing. A host that is limited to a
+	// share of a core is scheduled ten times a second, so its answer may take 100 ms;
+	// an engine may be busy as well.
 	engineSlack = 200 * time.Millisecond
 	peerSlack   = 100 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay unacknowledged before a
-	// connection counts as broken.
-	unacknowledged = 1200 * time.Millisecond
-	// engineIdle is how long an idle connection to an engine is kept.
-	engineIdle = 2 * time.Second
-	// peerIdle is the same for a connection to a gateway of another region: half
-	// as long as that one keeps it.
-	peerIdle = 30 * time.Second
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// ends a connection.
+	tcpUserTimeout = 1200 * time.Millisecond
+	// engineIdleTimeout is how long an idle connection to an engine stays open.
+	engineIdleTimeout = 2 * time.Second
+	// peerIdleTimeout is how long an idle connection to another gateway stays open: half
+	// as long as that gateway keeps it open.
+	peerIdleTimeout = 30 * time.Second
 )
 
-// member is one running process.
+// member is one running gateway or control host.
 type member struct {
-	path     string
-	settings settings.Member
-	seeds    atomic.Pointer[[]string]
-	life     string
-	log      *zap.Logger
-	metrics  *telemetry.Metrics
-	trips    *trip.Table
-	regions  atomic.Pointer[follow.Follower] // tells which region a host stands in
-	calls    *wire.Client
-	commands *wire.Client
+	path        string
+	settings    settings.Member
+	seeds       atomic.Pointer[[]string]
+	incarnation string
+	log         *zap.Logger
+	metrics     *telemetry.Metrics
+	roundTrips  *trip.Table
+	follower    atomic.Pointer[follow.Follower] // maps a host's address to its region
+	calls       *wire.Client
+	commands    *wire.Client
 }
 
-// dialer opens connections to hosts of any region. A patient one is for those who
-// try again and again.
-func (m *member) dialer(patient bool) *tripDialer {
-	return &tripDialer{Dialer: newMemberDialer(m.settings), trips: m.trips, place: m.placeOf, slack: peerSlack, patient: patient}
+// dialer returns a dialer for hosts of any region. patient is true for callers that
+// retry indefinitely.
+func (m *member) dialer(patient bool) *adaptiveDialer {
+	return &adaptiveDialer{Dialer: newMemberDialer(m.settings), roundTrips: m.roundTrips, destinationOf: m.destinationOf, slack: peerSlack, patient: patient}
 }
 
-// deployment is what this host belongs to.
+// deployment returns the name of the system that this host belongs to.
 func (m *member) deployment() wire.Deployment { return wire.Deployment(m.settings.Deployment) }
 
-// peerDialer is dialer for connections that other hosts of the deployment take.
+// peerDialer returns a dialer for connections that only hosts of this deployment accept.
 func (m *member) peerDialer(patient bool) wire.Dialer {
 	return m.deployment().Dialer(m.dialer(patient))
 }
 
-// listenPeers opens an address for other hosts of the deployment.
+// listenPeers listens on an address for connections from hosts of this deployment.
 func (m *member) listenPeers(address string) (net.Listener, error) {
 	listener, err := m.listen(address)
 	if err != nil {
@@ -94,15 +95,16 @@
 	return m.deployment().Listener(listener, m.log), nil
 }
 
-// engineDialer opens connections to engines, which all stand in this region.
-func (m *member) engineDialer() *tripDialer {
+// engineDialer returns a dialer for engines, which are all in this region.
+func (m *member) engineDialer() *adaptiveDialer {
 	here := func(string) string { return m.settings.Region }
-	return &tripDialer{Dialer: newMemberDialer(m.settings), trips: m.trips, place: here, slack: engineSlack}
+	return &adaptiveDialer{Dialer: newMemberDialer(m.settings), roundTrips: m.roundTrips, destinationOf: here, slack: engineSlack}
 }
 
-// placeOf gives the region of a host's address where it is known, else the address.
-func (m *member) placeOf(address string) string {
-	if f := m.regions.Load(); f != nil {
+// destinationOf returns the region of a host's address, or the address while its region
+// is unknown. Hosts of one region share a round trip estimate.
+func (m *member) destinationOf(address string) string {
+	if f := m.follower.Load(); f != nil {
 		if region, ok := f.RegionOf(address); ok {
 			return region
 		}
@@ -110,14 +112,14 @@
 	return address
 }
 
-// lifeDigits is how much of a random identity tells lives of hosts apart: 2^48 of them. It
-// is told with every question.
-const lifeDigits = 13
+// incarnationLength is how many characters of a UUID identify an incarnation of a host:
+// they have 48 random bits. The identity is short because every call sends it.
+const incarnationLength = 13
 
-func newLife() string { return uuid.NewString()[:lifeDigits] }
+func newIncarnation() string { return uuid.NewString()[:incarnationLength] }
 
-// RunMember runs the process whose settings file is at path until ctx ends.
-// reload is sent to when the file may have changed.
+// RunMember runs the member whose settings file is at path until ctx ends. A value
+// received from reload makes it read the file again; only the seeds are applied.
 func RunMember(ctx context.Context, path string, reload <-chan struct{}, log *zap.Logger) error {
 	s, err := settings.ReadMember(path)
 	if err != nil {
@@ -128,75 +130,78 @@
 		return errors.Trace(err)
 	}
 	m := &member{
-		path: path, settings: s, life: newLife(), metrics: metrics, trips: trip.New(),
+		path: path, settings: s, incarnation: newIncarnation(), metrics: metrics, roundTrips: trip.New(),
 		log: log.With(zap.String("host", s.Name)),
 	}
 	m.calls, m.commands = wire.NewClient(m.peerDialer(true)), wire.NewClient(m.peerDialer(true))
 	seeds := s.SeedPeers()
 	m.seeds.Store(&seeds)
-	m.log.Info("started", zap.String("role", string(s.Role)), zap.String("life", m.life), zap.String("region", s.Region),
+	m.log.Info("started", zap.String("role", string(s.Role)), zap.String("life", m.incarnation), zap.String("region", s.Region),
 		zap.String("data_centre", s.DataCentre), zap.Strings("seeds", seeds), zap.Bool("first_start", s.FirstStart))
 	defer m.log.Info("stopped")
-	// What serves callers ends first; the duties below it go on until then.
+	// The servers for callers end first. The background tasks, which they depend on, run
+	// until then.
 	below, stopBelow := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBelow()
 	group := pool.New().WithContext(below).WithCancelOnError()
-	group.Go(func(ctx context.Context) error { return m.reloads(ctx, reload) })
+	group.Go(func(ctx context.Context) error { return m.watchSettings(ctx, reload) })
 	if s.Role == roster.RoleControl {
 		m.serve(group, s.Listen.Metrics, metrics.Handler())
 	}
 	if s.Role == roster.RoleControl {
-		err = m.control(ctx, below, group, stopBelow)
+		err = m.startControlHost(ctx, below, group, stopBelow)
 	} else {
-		err = m.gateway(ctx, group, stopBelow)
+		err = m.startGateway(ctx, group, stopBelow)
 	}
 	if err != nil {
 		stopBelow()
-		_ = group.Wait() // what stopped the start is the error that counts
+		_ = group.Wait() // the error of the failed start is the one to report
 		return err
 	}
 	return group.Wait()
 }
 
-// self gives what every host tells of itself.
-func (m *member) self() roster.Host {
+// rosterEntry returns this host's own entry in the roster, which it sends to others.
+func (m *member) rosterEntry() roster.Host {
 	return roster.Host{
 		Name: m.settings.Name, Role: m.settings.Role, Region: m.settings.Region, DataCentre: m.settings.DataCentre,
-		Life: m.life, Peer: m.settings.Peer(), Callers: m.settings.Listen.Callers, Operators: m.settings.Listen.Operators,
+		Life: m.incarnation, Peer: m.settings.Peer(), Callers: m.settings.Listen.Callers, Operators: m.settings.Listen.Operators,
 	}
 }
 
 func (m *member) seedPeers() []string { return *m.seeds.Load() }
 
-// reloads is the duty that takes over new seeds.
-func (m *member) reloads(ctx context.Context, reload <-chan struct{}) error {
-	ticker := time.NewTicker(reloadEvery)
+// watchSettings reads the settings file again at each interval and on each reload, and
+// applies its seeds. If the file can't be read, the old seeds stay.
+func (m *member) watchSettings(ctx context.Context, reload <-chan struct{}) error {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-reload:
-			asked = true
+			requested = true
 		case <-ticker.C:
 		}
 		s, err := settings.ReadMember(m.path)
 		if err != nil {
-			m.log.Error("settings not reloaded", telemetry.Cause(err))
+			m.log.Error("settings reload failed, keeping previous seeds", telemetry.Cause(err))
 			continue
 		}
 		seeds := s.SeedPeers()
-		if asked || !slices.Equal(seeds, m.seedPeers()) {
-			m.log.Info("settings reloaded", zap.Strings("seeds", seeds), zap.Bool("asked", asked))
+		if requested || !slices.Equal(seeds, m.seedPeers()) {
+			m.log.Info("settings reloaded", zap.Strings("seeds", seeds), zap.Bool("asked", requested))
 		}
 		m.seeds.Store(&seeds)
 	}
 }
 
-// dispatchDuty keeps the dispatcher up to date with the engines.
-func dispatchDuty(ctx context.Context, d *dispatch.Dispatcher, engines *registry.Table) error {
-	ticker := time.NewTicker(dispatchEvery)
+// runDispatcher updates the dispatcher when the engines change and at each interval,
+// when it also expires engines without a heartbeat.
+func runDispatcher(ctx context.Context, d *dispatch.Dispatcher, engines *registry.Table) error {
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for {
 		changed := engines.Changed()
@@ -211,25 +216,26 @@
 	}
 }
 
-// tellLoad is the duty that tells other gateways of this one's requests.
-func (m *member) tellLoad(ctx context.Context, d *dispatch.Dispatcher, words *wire.Datagrams[rollup.Message]) error {
+// sendLoadReports sends this gateway's load reports to other gateways at regular
+// intervals. A report that can't be sent is dropped; the next one supersedes it.
+func (m *member) sendLoadReports(ctx context.Context, d *dispatch.Dispatcher, datagrams *wire.Datagrams[rollup.Message]) error {
 	duty.Every(ctx, rollup.Every, func() {
 		for _, out := range d.Tell() {
-			if err := words.Send(out.Message, out.To); err != nil {
-				m.log.Debug("load not told", telemetry.Cause(err))
+			if err := datagrams.Send(out.Message, out.To); err != nil {
+				m.log.Debug("load report not sent", telemetry.Cause(err))
 			}
 		}
 	})
 	return nil
 }
 
-// listen opens an address that others know.
+// listen listens on an address by which others reach this host.
 func (m *member) listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", m.settings.Bound(address))
 	return listener, errors.Trace(err)
 }
 
-// serve starts the duty that serves an address, if there is one.
+// serve starts an HTTP server on an address in group. An empty address starts none.
 func (m *member) serve(group *pool.ContextPool, address string, handler http.Handler) {
 	if address == "" {
 		return
@@ -239,7 +245,7 @@
 		if err != nil {
 			return err
 		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTime}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 		stop := context.AfterFunc(ctx, func() { server.Close() })
 		defer stop()
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -249,6 +255,6 @@
 	})
 }
 
-// readHeaderTime bounds the reading of the head of an operator's, an engine's
-// or the platform's call.
-const readHeaderTime = 5 * time.Second
+// readHeaderTimeout bounds the time to read the headers of a request from an operator,
+// an engine or the platform.
+const readHeaderTimeout = 5 * time.Second
--- a/daemon/member_test.go
+++ b/daemon/member_test.go
@@ -25,11 +25,11 @@
 	"github.com/linenscale/linenscale/settings"
 )
 
-// dataCentres of the deployment under test, each in a region of its own.
+// dataCentres maps each data centre of the deployment under test to its region.
 var dataCentres = map[string]string{"ikeja": "lagos", "wuse": "abuja", "nassarawa": "kano"}
 
-// deployment is a small system of real processes' parts, run in this process:
-// a control host and a gateway for each data centre.
+// deployment is a small system that runs in the test's process: a control host and a
+// gateway in each data centre.
 type deployment struct {
 	t       *testing.T
 	network *loopback.Network
@@ -48,8 +48,8 @@
 	group    *pool.ErrorPool
 }
 
-// ip gives the address of a control host or gateway, by the number of its data
-// centre.
+// ip returns the IP address of the control host or gateway of the data centre with that
+// number.
 func (d *deployment) ip(centre int, role roster.Role) string {
 	if role == roster.RoleControl {
 		return d.network.IP(1 + 2*centre)
@@ -87,9 +87,9 @@
 	return m
 }
 
-func (d *deployment) start(m settings.Member, first bool) {
+func (d *deployment) start(m settings.Member, firstStart bool) {
 	d.t.Helper()
-	m.FirstStart = first
+	m.FirstStart = firstStart
 	data, err := yaml.Marshal(m)
 	must.NoError(d.t, err)
 	path := filepath.Join(d.dir, m.Name+".yaml")
@@ -100,7 +100,7 @@
 	d.hosts[m.Name] = h
 }
 
-// stop ends a host as SIGTERM does.
+// stop stops a host as SIGTERM does, and waits until it has stopped.
 func (d *deployment) stop(name string) {
 	d.t.Helper()
 	h := d.hosts[name]
@@ -118,7 +118,7 @@
 	}
 }
 
-// engine starts an engine that registers with all control hosts.
+// engine starts an engine, which registers with all control hosts until the test ends.
 func (d *deployment) engine(service, centre string, cold time.Duration) *platformtest.Engine {
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,7 +134,7 @@
 	return e
 }
 
-// declare puts a declaration with those routes, to any host, until it is
+// declare sends a declaration with the routes to one of the control hosts until it is
 // accepted.
 func (d *deployment) declare(routes ...platformtest.Route) {
 	d.t.Helper()
@@ -149,18 +149,19 @@
 	})
 }
 
-func (d *deployment) eventually(what string, holds func() bool) {
+func (d *deployment) eventually(what string, condition func() bool) {
 	d.t.Helper()
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
 	d.t.Fatalf("%s: not within 30 s", what)
 }
 
-// ask sends one request through the gateway of a data centre.
-func (d *deployment) ask(centre, path string, model bool) platformtest.Result {
+// send sends one request through a data centre's gateway. A failed call returns the zero
+// Result.
+func (d *deployment) send(centre, path string, model bool) platformtest.Result {
 	d.t.Helper()
 	result, err := d.caller.Do(context.Background(), d.hosts["front-"+centre].settings.Listen.Callers, platformtest.Request{Host: "h", Path: path, Model: model})
 	if err != nil {
@@ -169,19 +170,19 @@
 	return result
 }
 
-// served waits until a data centre's gateway serves a path.
-func (d *deployment) served(centre, path string, model bool) platformtest.Result {
+// awaitServed sends requests until a data centre's gateway serves the path.
+func (d *deployment) awaitServed(centre, path string, model bool) platformtest.Result {
 	d.t.Helper()
 	var result platformtest.Result
 	d.eventually("served", func() bool {
-		result = d.ask(centre, path, model)
+		result = d.send(centre, path, model)
 		return result.Status == http.StatusOK && result.Whole
 	})
 	return result
 }
 
-// read gives what a host shows at a URL.
-func read(t *testing.T, url string) string {
+// httpGet returns the body of the answer at a URL.
+func httpGet(t *testing.T, url string) string {
 	t.Helper()
 	resp, err := http.Get(url)
 	must.NoError(t, err)
@@ -197,13 +198,13 @@
 	boundRoute  = platformtest.Route{Name: "b", Host: "h", PathPrefix: "/b/", Kind: "safe", TimeoutMs: 2000, TargetLatencyMs: 500, MaxAttempts: 2, Service: "portal", HomeRegions: []string{"abuja"}}
 )
 
-// TestMembersServeADay runs the whole path: hosts find each other by seeds, an
-// operator declares, engines register, drain and end, a region's engines are
-// evacuated, hosts stop and come back, and requests are served meanwhile.
-func TestMembersServeADay(t *testing.T) {
+// TestDeploymentServesThroughOperations runs whole hosts that find each other by seeds.
+// Requests must be served as expected while the configuration changes, a data centre is
+// evacuated, engines announce limits and drain, and hosts stop and restart.
+func TestDeploymentServesThroughOperations(t *testing.T) {
 	d := newDeployment(t)
-	young := d.ask("ikeja", "/p/1", false)
-	must.True(t, young.Status == 0 || young.Promised(), must.Sprint("nothing is declared"))
+	early := d.send("ikeja", "/p/1", false)
+	must.True(t, early.Status == 0 || early.Promised(), must.Sprint("no declaration was accepted yet"))
 	portal := map[string]*platformtest.Engine{}
 	for centre := range dataCentres {
 		portal[centre] = d.engine("portal", centre, 0)
@@ -211,16 +212,16 @@
 	}
 	d.declare(portalRoute, modelRoute, boundRoute)
 	for centre := range dataCentres {
-		must.NotEq(t, "", d.served(centre, "/p/1", false).Engine)
-		must.Eq(t, platformtest.Event(1), d.served(centre, "/m/1", true).Body[:len(platformtest.Event(1))])
-		must.Eq(t, portal["wuse"].ID, d.served(centre, "/b/1", false).Engine, must.Sprint("bound to abuja"))
+		must.NotEq(t, "", d.awaitServed(centre, "/p/1", false).Engine)
+		must.Eq(t, platformtest.Event(1), d.awaitServed(centre, "/m/1", true).Body[:len(platformtest.Event(1))])
+		must.Eq(t, portal["wuse"].ID, d.awaitServed(centre, "/b/1", false).Engine, must.Sprint("the route's home region is abuja"))
 	}
-	must.Eq(t, http.StatusNotFound, d.ask("ikeja", "/none/", false).Status)
+	must.Eq(t, http.StatusNotFound, d.send("ikeja", "/none/", false).Status)
 
-	t.Log("a change is in force everywhere, and read back anywhere")
+	t.Log("a change becomes effective on all gateways, and all control hosts return it")
 	d.declare(portalRoute, modelRoute)
 	for centre := range dataCentres {
-		d.eventually("the dropped route is gone", func() bool { return d.ask(centre, "/b/1", false).Status == http.StatusNotFound })
+		d.eventually("the removed route answers 404", func() bool { return d.send(centre, "/b/1", false).Status == http.StatusNotFound })
 	}
 	for _, seed := range d.seeds {
 		shown, status, err := d.operator.Read(context.Background(), seed)
@@ -229,74 +230,74 @@
 		must.Eq(t, d.version, shown.ConfigVersion)
 	}
 
-	t.Log("an evacuated region's requests go elsewhere")
+	t.Log("requests of an evacuated data centre go to remote engines")
 	d.eventually("evacuated", func() bool {
 		status, err := d.operator.Evacuate(context.Background(), d.seeds[2], "ikeja", true)
 		return err == nil && status == http.StatusOK
 	})
-	d.eventually("served elsewhere", func() bool {
-		result := d.ask("ikeja", "/p/1", false)
+	d.eventually("served by a remote engine", func() bool {
+		result := d.send("ikeja", "/p/1", false)
 		return result.Status == http.StatusOK && result.Engine != portal["ikeja"].ID
 	})
-	d.eventually("taken back", func() bool {
+	d.eventually("evacuation ended", func() bool {
 		status, err := d.operator.Evacuate(context.Background(), d.seeds[1], "ikeja", false)
 		return err == nil && status == http.StatusOK
 	})
-	d.eventually("served at home", func() bool { return d.ask("ikeja", "/p/1", false).Engine == portal["ikeja"].ID })
+	d.eventually("served by the local engine", func() bool { return d.send("ikeja", "/p/1", false).Engine == portal["ikeja"].ID })
 
-	t.Log("an engine that names a limit is spared and shown, until it names none")
+	t.Log("an engine that announces a rate limit gets less load and is listed, until it withdraws the limit")
 	portal["ikeja"].SetLimit("1")
-	d.eventually("spared", func() bool {
-		result := d.ask("ikeja", "/p/1", false)
+	d.eventually("served by another engine", func() bool {
+		result := d.send("ikeja", "/p/1", false)
 		return result.Status == http.StatusOK && result.Engine != portal["ikeja"].ID
 	})
 	limits := "http://" + d.hosts["front-ikeja"].settings.Listen.Metrics + daemon.LimitsPath
-	must.StrContains(t, read(t, limits), portal["ikeja"].ID)
+	must.StrContains(t, httpGet(t, limits), portal["ikeja"].ID)
 	portal["ikeja"].SetLimit("")
-	d.eventually("lifted", func() bool {
-		d.ask("ikeja", "/p/1", false)
-		return !strings.Contains(read(t, limits), portal["ikeja"].ID)
+	d.eventually("limit withdrawn", func() bool {
+		d.send("ikeja", "/p/1", false)
+		return !strings.Contains(httpGet(t, limits), portal["ikeja"].ID)
 	})
 
-	t.Log("an engine that drains gets nothing after it was acknowledged")
+	t.Log("a draining engine gets no request once its drain is acknowledged")
 	portal["ikeja"].SetDraining()
-	d.eventually("acknowledged", func() bool { return !portal["ikeja"].DrainAcked().IsZero() })
+	d.eventually("drain acknowledged", func() bool { return !portal["ikeja"].DrainAcked().IsZero() })
 	for range 10 {
-		must.NotEq(t, portal["ikeja"].ID, d.ask("ikeja", "/p/1", false).Engine)
+		must.NotEq(t, portal["ikeja"].ID, d.send("ikeja", "/p/1", false).Engine)
 	}
 
-	t.Log("the directory names who serves")
-	d.eventually("two regions are named in turn", func() bool {
+	t.Log("the directory returns the gateways to use")
+	d.eventually("the local gateway is returned", func() bool {
 		got, err := d.operator.Resolve(context.Background(), d.hosts["core-wuse"].settings.Listen.Directory, "h", "lagos", "ikeja")
 		return err == nil && slices.Equal(got, []string{d.hosts["front-ikeja"].settings.Listen.Callers})
 	})
 	d.stop("front-ikeja")
-	d.eventually("the others are named instead", func() bool {
+	d.eventually("the remaining gateways are returned", func() bool {
 		got, err := d.operator.Resolve(context.Background(), d.hosts["core-wuse"].settings.Listen.Directory, "h", "lagos", "ikeja")
 		return err == nil && len(got) == 2
 	})
-	must.StrContains(t, read(t, "http://"+d.hosts["front-wuse"].settings.Listen.Metrics), "linenscale_requests")
+	must.StrContains(t, httpGet(t, "http://"+d.hosts["front-wuse"].settings.Listen.Metrics), "linenscale_requests")
 
-	t.Log("hosts stop and start again in turn, one of them with an empty disk")
+	t.Log("control hosts restart one after the other, one of them with an empty disk")
 	for i, centre := range []string{"ikeja", "wuse", "nassarawa"} {
 		name := "core-" + centre
-		again := d.hosts[name].settings
+		restarted := d.hosts[name].settings
 		d.stop(name)
 		if i == 1 {
-			must.NoError(t, os.RemoveAll(again.DataDir))
+			must.NoError(t, os.RemoveAll(restarted.DataDir))
 		}
-		d.start(again, false)
+		d.start(restarted, false)
 		d.declare(portalRoute, modelRoute)
-		d.eventually("it shows the newest", func() bool {
-			shown, _, err := d.operator.Read(context.Background(), again.Listen.Operators)
+		d.eventually("the restarted host returns the newest declaration", func() bool {
+			shown, _, err := d.operator.Read(context.Background(), restarted.Listen.Operators)
 			return err == nil && shown.ConfigVersion == d.version
 		})
 	}
 	d.start(d.member("front-ikeja", "ikeja", d.ip(0, roster.RoleGateway), roster.RoleGateway), false)
-	d.served("ikeja", "/p/1", false)
+	d.awaitServed("ikeja", "/p/1", false)
 }
 
-func TestMemberSettingsThatAreWrongAreRefused(t *testing.T) {
+func TestInvalidMemberSettingsAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "host.yaml")
 	must.NoError(t, os.WriteFile(path, []byte("name: x\nrole: cook\n"), 0o600))
 	err := daemon.RunMember(context.Background(), path, make(chan struct{}), zap.NewNop())
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -1,4 +1,4 @@
-// This file defines the two roles of a host that finds the others by seeds.
+// This file starts the two roles of a member: control host and gateway.
 
 package daemon
 
@@ -31,19 +31,20 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// control runs a control host.
-func (m *member) control(ctx, below context.Context, group *pool.ContextPool, stopBelow func()) error {
+// startControlHost opens the ledger's replica and the listeners, and starts the control
+// host's background tasks in group. They run until ctx ends and the controller has stopped.
+func (m *member) startControlHost(ctx, background context.Context, group *pool.ContextPool, stopBackground func()) error {
 	folder, err := disk.OpenDir(m.settings.DataDir)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	id, err := m.identity(folder)
+	id, err := m.resolveIdentity(folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	sender := wire.NewSender[raft.Envelope](m.peerDialer(true), follow.Service+".Deliver")
 	c, err := controller.New(controller.Deps{
-		Self: m.self(), Replica: id, Folder: folder, Voters: m.settings.Voters(), Regions: m.settings.Regions,
+		Self: m.rosterEntry(), Replica: id, Folder: folder, Voters: m.settings.Voters(), Regions: m.settings.Regions,
 		Heartbeat: m.settings.Heartbeat, Gather: controller.GatherTime, Told: controller.DrainTold, Seeds: m.seedPeers, Calls: m.calls, Commands: m.commands,
 		Send: func(e raft.Envelope) { sender.Post(controller.PeerOf(e.To), e) },
 		Log:  m.log, Clock: steady.Time, Steady: steady.Now, Strict: m.settings.KeysRevokedWithin > 0, Seed: rand.Uint64(),
@@ -51,9 +52,9 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	m.regions.Store(c.Follower())
+	m.follower.Store(c.Follower())
 	server := wire.NewServer()
-	if err := server.Register(follow.Service, controller.NewService(below, c)); err != nil {
+	if err := server.Register(follow.Service, controller.NewService(background, c)); err != nil {
 		return errors.Trace(err)
 	}
 	listener, err := m.listenPeers(m.settings.Peer())
@@ -66,20 +67,20 @@
 	m.serve(group, m.settings.Listen.Operators, platform.NewOperators(c, m.log))
 	m.serve(group, m.settings.Listen.Directory, platform.NewDirectory(c))
 	group.Go(func(context.Context) error {
-		defer stopBelow()
+		defer stopBackground()
 		<-ctx.Done()
 		m.log.Info("stopping")
 		c.Stop()
-		time.Sleep(controlStop)
+		time.Sleep(controlStopDelay)
 		return nil
 	})
 	return nil
 }
 
-// identity gives the identity of the folder's replica. An empty folder gets a
-// new one, which no membership holds, except at the first start of the whole
-// system, when the seeds form the ledger's log.
-func (m *member) identity(folder disk.Folder) (raft.ID, error) {
+// resolveIdentity returns the identity of the folder's replica. An empty folder gets a
+// new identity that is in no membership yet. The exception is the first start of the
+// whole system, when the seeds form the ledger's log under their initial identities.
+func (m *member) resolveIdentity(folder disk.Folder) (raft.ID, error) {
 	id, err := readIdentity(folder)
 	if err != nil {
 		return raft.None, errors.Trace(err)
@@ -88,18 +89,19 @@
 	if id == raft.None {
 		id = newIdentity(peer)
 		if m.settings.FirstStart && slices.Contains(m.seedPeers(), peer) {
-			id = raft.ID(peer + firstIdentity)
+			id = raft.ID(peer + initialIdentitySuffix)
 		}
 		if err := writeIdentity(folder, id); err != nil {
-			return raft.None, errors.Annotate(err, "identity")
+			return raft.None, errors.Annotate(err, "write identity")
 		}
-		m.log.Info("new identity", zap.String("identity", string(id)))
+		m.log.Info("created replica identity", zap.String("identity", string(id)))
 	}
-	return id, formFirst(folder, id, m.seedPeers())
+	return id, writeInitialMembership(folder, id, m.seedPeers())
 }
 
-// gateway runs a gateway.
-func (m *member) gateway(ctx context.Context, group *pool.ContextPool, stopBelow func()) error {
+// startGateway opens the gateway's listeners and starts its background tasks in group.
+// The server stops when ctx ends; stopBackground then ends the other tasks.
+func (m *member) startGateway(ctx context.Context, group *pool.ContextPool, stopBackground func()) error {
 	callers, err := m.listen(m.settings.Listen.Callers)
 	if err != nil {
 		return errors.Trace(err)
@@ -108,55 +110,55 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	engines := registry.New(m.life, m.settings.Heartbeat, steady.Time)
-	self := m.self()
+	engines := registry.New(m.incarnation, m.settings.Heartbeat, steady.Time)
+	self := m.rosterEntry()
 	self.Handover = m.settings.Handover()
 	var server *ingress.Server
 	var dispatcher *dispatch.Dispatcher
 	follower := follow.New(follow.Deps{
 		Self: func() roster.Host {
-			now := self
-			now.Stopping = server.Stopping()
-			return now
+			entry := self
+			entry.Stopping = server.Stopping()
+			return entry
 		},
 		Seeds: m.seedPeers, Calls: m.calls, Engines: engines,
 		Took: func(s ledger.State) { server.Take(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
 	})
-	m.regions.Store(follower)
+	m.follower.Store(follower)
 	regions := m.allRegions()
 	meter := allowance.New(allowance.Deps{Region: self.Region, Regions: regions, Policy: allowance.Policy(m.settings.Allowances), Random: rand.Uint64})
 	dispatcher = dispatch.New(dispatch.Deps{
-		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, Regions: m.settings.Regions, Engines: engines, Peers: follower.Gateways, Trip: m.trips.RoundTrip,
+		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, Regions: m.settings.Regions, Engines: engines, Peers: follower.Gateways, Trip: m.roundTrips.RoundTrip,
 		Budget: retry.Policy(m.settings.Retries), Allowances: meter, Log: m.log, Metrics: m.metrics, Clock: steady.Time,
 	})
 	dialer := m.engineDialer()
-	client := relay.New(dialer, relay.Options{IdleTime: engineIdle})
+	client := relay.New(dialer, relay.Options{IdleTime: engineIdleTimeout})
 	server = ingress.New(ingress.Deps{
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
-		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTime: peerIdle}), Log: m.log, Metrics: m.metrics,
+		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTime: peerIdleTimeout}), Log: m.log, Metrics: m.metrics,
 		Random: rand.Uint64, Clock: steady.Time, StopTime: m.settings.StopTime - stopMargin,
 		Keys:       ingress.Keys{RevokedWithin: m.settings.KeysRevokedWithin, SureUntil: follower.SureUntil, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
 	})
 	group.Go(follower.Run)
-	group.Go(func(ctx context.Context) error { return dispatchDuty(ctx, dispatcher, engines) })
+	group.Go(func(ctx context.Context) error { return runDispatcher(ctx, dispatcher, engines) })
 	group.Go(server.Examine)
-	words, err := wire.ListenDatagrams[rollup.Message](m.settings.Bound(m.settings.Peer()), m.deployment())
+	datagrams, err := wire.ListenDatagrams[rollup.Message](m.settings.Bound(m.settings.Peer()), m.deployment())
 	if err != nil {
 		return errors.Trace(err)
 	}
-	group.Go(func(ctx context.Context) error { return words.Run(ctx, dispatcher.Hear) })
-	group.Go(func(ctx context.Context) error { return m.tellLoad(ctx, dispatcher, words) })
+	group.Go(func(ctx context.Context) error { return datagrams.Run(ctx, dispatcher.Hear) })
+	group.Go(func(ctx context.Context) error { return m.sendLoadReports(ctx, dispatcher, datagrams) })
 	m.serve(group, m.settings.Listen.Ready, platform.NewReady(server.Ready))
-	m.serve(group, m.settings.Listen.Metrics, withShown(m.metrics.Handler(), meter, dispatcher))
+	m.serve(group, m.settings.Listen.Metrics, withStatusPages(m.metrics.Handler(), meter, dispatcher))
 	group.Go(func(context.Context) error {
-		defer stopBelow()
+		defer stopBackground()
 		return server.Run(ctx, callers, handover)
 	})
 	return nil
 }
 
-// allRegions lists the regions of the settings, each once, in order.
+// allRegions returns the regions of the settings, sorted and without duplicates.
 func (m *member) allRegions() []string {
 	return slices.Compact(slices.Sorted(maps.Values(m.settings.Regions)))
 }
--- a/daemon/shown.go
+++ b/daemon/shown.go
@@ -1,4 +1,4 @@
-// This file defines what a gateway shows operators beside its metrics.
+// This file serves a gateway's status pages for operators, on the listener of its metrics.
 
 package daemon
 
@@ -11,27 +11,28 @@
 	"github.com/linenscale/linenscale/internal/steady"
 )
 
-// Paths beside a gateway's metrics.
+// Paths of a gateway's status pages.
 const (
-	// AccountsPath shows what it knows of client accounts' allowances.
+	// AccountsPath serves the gateway's state of the client accounts' allowances.
 	AccountsPath = "/accounts"
-	// LimitsPath shows which engines name limits.
+	// LimitsPath serves the engines that announce rate limits.
 	LimitsPath = "/limits"
-	// EnginesPath shows the engines, and why they get nothing.
+	// EnginesPath serves the engines, and why any of them is excluded from dispatch.
 	EnginesPath = "/engines"
 )
 
-// withShown adds to what a handler of metrics serves.
-func withShown(metrics http.Handler, meter *allowance.Meter, dispatcher *dispatch.Dispatcher) http.Handler {
+// withStatusPages returns a handler that serves the status pages, and metrics on all
+// other paths.
+func withStatusPages(metrics http.Handler, meter *allowance.Meter, dispatcher *dispatch.Dispatcher) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", metrics)
-	mux.HandleFunc("GET "+AccountsPath, func(w http.ResponseWriter, _ *http.Request) { show(w, meter.Statuses(steady.Time())) })
-	mux.HandleFunc("GET "+LimitsPath, func(w http.ResponseWriter, _ *http.Request) { show(w, dispatcher.Limits()) })
-	mux.HandleFunc("GET "+EnginesPath, func(w http.ResponseWriter, _ *http.Request) { show(w, dispatcher.EngineStatuses()) })
+	mux.HandleFunc("GET "+AccountsPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, meter.Statuses(steady.Time())) })
+	mux.HandleFunc("GET "+LimitsPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, dispatcher.Limits()) })
+	mux.HandleFunc("GET "+EnginesPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, dispatcher.EngineStatuses()) })
 	return mux
 }
 
-func show(w http.ResponseWriter, what any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(what) // an operator who has gone asks again
+	_ = json.NewEncoder(w).Encode(value) // fails only if the operator disconnected
 }
