--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -51,12 +51,12 @@
 	return err
 }
 
-// Nothing is the reply of a call that returns no data.
-type Nothing struct{}
+// Empty is the reply of a call that returns no data.
+type Empty struct{}
 
 // Deliver passes raft messages to this host's replica. It drops them while the replica
 // isn't open.
-func (k *keyService) Deliver(envelopes []raft.Envelope, _ *Nothing) error {
+func (k *keyService) Deliver(envelopes []raft.Envelope, _ *Empty) error {
 	if replica := k.replica.Load(); replica != nil {
 		for _, e := range envelopes {
 			replica.Deliver(e)
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -134,7 +134,7 @@
 		log: log.With(zap.String("host", s.Name)),
 	}
 	m.calls, m.commands = wire.NewClient(m.peerDialer(true)), wire.NewClient(m.peerDialer(true))
-	seeds := s.SeedPeers()
+	seeds := s.SeedPeerAddresses()
 	m.seeds.Store(&seeds)
 	m.log.Info("started", zap.String("role", string(s.Role)), zap.String("life", m.incarnation), zap.String("region", s.Region),
 		zap.String("data_centre", s.DataCentre), zap.Strings("seeds", seeds), zap.Bool("first_start", s.FirstStart))
@@ -165,7 +165,7 @@
 func (m *member) rosterEntry() roster.Host {
 	return roster.Host{
 		Name: m.settings.Name, Role: m.settings.Role, Region: m.settings.Region, DataCentre: m.settings.DataCentre,
-		Life: m.incarnation, Peer: m.settings.Peer(), Callers: m.settings.Listen.Callers, Operators: m.settings.Listen.Operators,
+		Life: m.incarnation, Peer: m.settings.PeerAddress(), Callers: m.settings.Listen.Callers, Operators: m.settings.Listen.Operators,
 	}
 }
 
@@ -190,7 +190,7 @@
 			m.log.Error("settings reload failed, keeping previous seeds", telemetry.Cause(err))
 			continue
 		}
-		seeds := s.SeedPeers()
+		seeds := s.SeedPeerAddresses()
 		if requested || !slices.Equal(seeds, m.seedPeers()) {
 			m.log.Info("settings reloaded", zap.Strings("seeds", seeds), zap.Bool("asked", requested))
 		}
@@ -231,7 +231,7 @@
 
 // listen listens on an address by which others reach this host.
 func (m *member) listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp", m.settings.Bound(address))
+	listener, err := net.Listen("tcp", m.settings.BindAddress(address))
 	return listener, errors.Trace(err)
 }
 
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -44,7 +44,7 @@
 	}
 	sender := wire.NewSender[raft.Envelope](m.peerDialer(true), follow.Service+".Deliver")
 	c, err := controller.New(controller.Deps{
-		Self: m.rosterEntry(), Replica: id, Folder: folder, Voters: m.settings.Voters(), Regions: m.settings.Regions,
+		Self: m.rosterEntry(), Replica: id, Folder: folder, Voters: m.settings.VoterCount(), Regions: m.settings.Regions,
 		Heartbeat: m.settings.Heartbeat, Gather: controller.GatherTime, Told: controller.DrainTold, Seeds: m.seedPeers, Calls: m.calls, Commands: m.commands,
 		Send: func(e raft.Envelope) { sender.Post(controller.PeerOf(e.To), e) },
 		Log:  m.log, Clock: steady.Time, Steady: steady.Now, Strict: m.settings.KeysRevokedWithin > 0, Seed: rand.Uint64(),
@@ -57,7 +57,7 @@
 	if err := server.Register(follow.Service, controller.NewService(background, c)); err != nil {
 		return errors.Trace(err)
 	}
-	listener, err := m.listenPeers(m.settings.Peer())
+	listener, err := m.listenPeers(m.settings.PeerAddress())
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return raft.None, errors.Trace(err)
 	}
-	peer := m.settings.Peer()
+	peer := m.settings.PeerAddress()
 	if id == raft.None {
 		id = newIdentity(peer)
 		if m.settings.FirstStart && slices.Contains(m.seedPeers(), peer) {
@@ -106,13 +106,13 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	handover, err := m.listenPeers(m.settings.Handover())
+	handover, err := m.listenPeers(m.settings.HandoverAddress())
 	if err != nil {
 		return errors.Trace(err)
 	}
 	engines := registry.New(m.incarnation, m.settings.Heartbeat, steady.Time)
 	self := m.rosterEntry()
-	self.Handover = m.settings.Handover()
+	self.Handover = m.settings.HandoverAddress()
 	var server *ingress.Server
 	var dispatcher *dispatch.Dispatcher
 	follower := follow.New(follow.Deps{
@@ -143,7 +143,7 @@
 	group.Go(follower.Run)
 	group.Go(func(ctx context.Context) error { return runDispatcher(ctx, dispatcher, engines) })
 	group.Go(server.Examine)
-	datagrams, err := wire.ListenDatagrams[rollup.Message](m.settings.Bound(m.settings.Peer()), m.deployment())
+	datagrams, err := wire.ListenDatagrams[rollup.Message](m.settings.BindAddress(m.settings.PeerAddress()), m.deployment())
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -30,9 +30,9 @@
 	return &Client{hosts: hosts, http: &http.Client{Timeout: timeout}}
 }
 
-// ErrUnanswered says that no host gave an answer. A change may have been taken
+// ErrNoAnswer says that no host gave an answer. A change may have been taken
 // all the same; it may be sent again with the same ID.
-var ErrUnanswered = errors.New("no host gave an answer")
+var ErrNoAnswer = errors.New("no host gave an answer")
 
 // sendAgain is how long a change is sent again, and pauseBetween the pause.
 const (
@@ -55,7 +55,7 @@
 			return out, nil
 		}
 		if ctx.Err() != nil || time.Now().After(until) {
-			return out, errors.Wrap(err, ErrUnanswered)
+			return out, errors.Wrap(err, ErrNoAnswer)
 		}
 		time.Sleep(pauseBetween)
 	}
--- a/settings/member.go
+++ b/settings/member.go
@@ -131,8 +131,8 @@
 // in ordinary trouble: control hosts are asked each half second.
 const leastRevoked = 2 * time.Second
 
-// Bound gives the address to listen on for one that others know.
-func (m Member) Bound(address string) string {
+// BindAddress gives the address to listen on for one that others know.
+func (m Member) BindAddress(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || m.Bind == "" {
 		return address
@@ -140,18 +140,18 @@
 	return net.JoinHostPort(m.Bind, port)
 }
 
-// Peer is the address of net/rpc between hosts.
-func (m Member) Peer() string { return m.inner(m.IP, peerPort) }
+// PeerAddress is the address of net/rpc between hosts.
+func (m Member) PeerAddress() string { return m.inner(m.IP, peerPort) }
 
-// Handover is a gateway's address for requests from other gateways.
-func (m Member) Handover() string { return m.inner(m.IP, handoverPort) }
+// HandoverAddress is a gateway's address for requests from other gateways.
+func (m Member) HandoverAddress() string { return m.inner(m.IP, handoverPort) }
 
 func (m Member) inner(ip string, place int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(m.Ports[0]+place))
 }
 
-// SeedPeers gives the seeds' addresses of net/rpc between hosts.
-func (m Member) SeedPeers() []string {
+// SeedPeerAddresses gives the seeds' addresses of net/rpc between hosts.
+func (m Member) SeedPeerAddresses() []string {
 	out := make([]string, 0, len(m.Seeds))
 	for _, seed := range m.Seeds {
 		if address, err := netip.ParseAddrPort(seed); err == nil {
@@ -161,8 +161,8 @@
 	return out
 }
 
-// Voters is how many control hosts vote, so that Losses of them may be lost.
-func (m Member) Voters() int { return 2*m.Losses + 1 }
+// VoterCount is how many control hosts vote, so that Losses of them may be lost.
+func (m Member) VoterCount() int { return 2*m.Losses + 1 }
 
 // member checks the values of a Member.
 func (c *checker) member(m Member) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -62,15 +62,15 @@
 func TestAMembersSettingsAreRead(t *testing.T) {
 	m, err := settings.ReadMember("testdata/member.yaml")
 	must.NoError(t, err)
-	must.Eq(t, "10.1.0.35:7660", m.Peer())
-	must.Eq(t, "10.1.0.35:7661", m.Handover())
-	must.Eq(t, []string{"10.1.0.38:7660", "10.2.0.31:7660"}, m.SeedPeers())
-	must.Eq(t, 3, m.Voters())
+	must.Eq(t, "10.1.0.35:7660", m.PeerAddress())
+	must.Eq(t, "10.1.0.35:7661", m.HandoverAddress())
+	must.Eq(t, []string{"10.1.0.38:7660", "10.2.0.31:7660"}, m.SeedPeerAddresses())
+	must.Eq(t, 3, m.VoterCount())
 	must.Eq(t, 1200*time.Millisecond, m.Heartbeat)
 	must.Eq(t, settings.Retry{Share: 0.2, Extra: 56, Window: 10 * time.Second}, m.Retries)
-	must.Eq(t, "10.1.0.35:1", m.Bound("10.1.0.35:1"))
+	must.Eq(t, "10.1.0.35:1", m.BindAddress("10.1.0.35:1"))
 	m.Bind = "127.0.0.1"
-	must.Eq(t, "127.0.0.1:1", m.Bound("10.1.0.35:1"))
+	must.Eq(t, "127.0.0.1:1", m.BindAddress("10.1.0.35:1"))
 }
 
 func TestExamplesAreSound(t *testing.T) {
@@ -88,7 +88,7 @@
 	must.NoError(t, err)
 	gateway, err := settings.ReadMember("../examples/members/gateway.yaml")
 	must.NoError(t, err)
-	must.SliceContains(t, gateway.SeedPeers(), control.Peer())
+	must.SliceContains(t, gateway.SeedPeerAddresses(), control.PeerAddress())
 	must.Eq(t, control.Regions, gateway.Regions)
 }
 
