--- a/settings/check.go
+++ b/settings/check.go
@@ -1,5 +1,5 @@
-// This file defines the checks of a settings file: unknown keys by the types'
-// own tags, then the values.
+// This file checks a settings file: its keys against the yaml tags of the Go types, then
+// its values.
 
 package settings
 
@@ -18,18 +18,19 @@
 
 // checker collects the faults of one file.
 type checker struct {
-	name   string
+	file   string
 	root   ast.Node
 	faults []Fault
 }
 
-// Parse reads and checks settings from data; name stands in messages.
+// Parse reads and checks an association's settings from data. name is the file's name in
+// error messages.
 func Parse(name string, data []byte) (Settings, error) {
-	return parse(name, data, Settings.withDefaults, (*checker).values)
+	return parse(name, data, Settings.withDefaults, (*checker).checkSettings)
 }
 
-// parse reads one document into a type of settings and checks its keys and
-// values.
+// parse reads the only document in data into a settings type, fills in the defaults and
+// checks keys and values.
 func parse[T any](name string, data []byte, withDefaults func(T) T, check func(*checker, T)) (T, error) {
 	var s T
 	file, err := parser.ParseBytes(data, 0)
@@ -39,8 +40,8 @@
 	if len(file.Docs) != 1 || file.Docs[0].Body == nil {
 		return s, &FaultsError{[]Fault{{name, 1, "$", "must hold exactly one document"}}}
 	}
-	c := &checker{name: name, root: file.Docs[0].Body}
-	c.unknownKeys(c.root, reflect.TypeFor[T](), "$")
+	c := &checker{file: name, root: file.Docs[0].Body}
+	c.checkKeys(c.root, reflect.TypeFor[T](), "$")
 	if err := yaml.NodeToValue(c.root, &s); err != nil {
 		c.faults = append(c.faults, syntaxError(name, err).Faults...)
 		return s, c.result()
@@ -50,6 +51,7 @@
 	return s, c.result()
 }
 
+// result returns the faults in the order of their lines, or nil if there are none.
 func (c *checker) result() error {
 	if len(c.faults) == 0 {
 		return nil
@@ -58,50 +60,53 @@
 	return &FaultsError{c.faults}
 }
 
+// syntaxError returns an error of the YAML library as a fault with its line.
 func syntaxError(name string, err error) *FaultsError {
 	line, message := 1, err.Error()
-	var known yaml.Error
-	if errors.As(err, &known) {
-		message = known.GetMessage()
-		if known.GetToken() != nil {
-			line = known.GetToken().Position.Line
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) {
+		message = yamlErr.GetMessage()
+		if yamlErr.GetToken() != nil {
+			line = yamlErr.GetToken().Position.Line
 		}
 	}
 	return &FaultsError{[]Fault{{name, line, "$", message}}}
 }
 
-// unknownKeys walks the document beside the type that it is read into.
-func (c *checker) unknownKeys(node ast.Node, t reflect.Type, path string) {
+// checkKeys walks the document along with the type that it is decoded into, and reports
+// each key for which the type has no field.
+func (c *checker) checkKeys(node ast.Node, t reflect.Type, path string) {
 	switch n := node.(type) {
 	case *ast.SequenceNode:
 		if t.Kind() != reflect.Slice {
 			return
 		}
 		for i, value := range n.Values {
-			c.unknownKeys(value, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
+			c.checkKeys(value, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
 		}
 	case *ast.MappingNode:
 		if t.Kind() == reflect.Map {
-			return // any key may stand there
+			return // a map accepts any key
 		}
 		for _, value := range n.Values {
-			c.unknownKey(value, t, path)
+			c.checkKey(value, t, path)
 		}
 	}
 }
 
-func (c *checker) unknownKey(value *ast.MappingValueNode, t reflect.Type, path string) {
+func (c *checker) checkKey(value *ast.MappingValueNode, t reflect.Type, path string) {
 	key := value.Key.String()
-	at := path + "." + key
-	field, ok := fieldOf(t, key)
+	keyPath := path + "." + key
+	fieldT, ok := fieldType(t, key)
 	if !ok {
-		c.faults = append(c.faults, Fault{c.name, value.Key.GetToken().Position.Line, at, "unknown key"})
+		c.faults = append(c.faults, Fault{c.file, value.Key.GetToken().Position.Line, keyPath, "unknown key"})
 		return
 	}
-	c.unknownKeys(value.Value, field, at)
+	c.checkKeys(value.Value, fieldT, keyPath)
 }
 
-func fieldOf(t reflect.Type, key string) (reflect.Type, bool) {
+// fieldType returns the type of a struct's field by its yaml tag.
+func fieldType(t reflect.Type, key string) (reflect.Type, bool) {
 	if t.Kind() != reflect.Struct {
 		return nil, false
 	}
@@ -113,20 +118,21 @@
 	return nil, false
 }
 
-// fault adds a fault at a path, or at the nearest part of it that the file
-// holds.
-func (c *checker) fault(path, format string, args ...any) {
+// addFault adds a fault at a path. Its line is that of the path or, if the file doesn't
+// contain the path, of its nearest ancestor.
+func (c *checker) addFault(path, format string, args ...any) {
 	line := 1
-	for at := path; at != "$"; at = at[:strings.LastIndexAny(at, ".[")] {
-		if found, ok := c.line(at); ok {
-			line = found
+	for ancestor := path; ancestor != "$"; ancestor = ancestor[:strings.LastIndexAny(ancestor, ".[")] {
+		if ancestorLine, ok := c.lineOf(ancestor); ok {
+			line = ancestorLine
 			break
 		}
 	}
-	c.faults = append(c.faults, Fault{c.name, line, path, fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Fault{c.file, line, path, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) line(path string) (int, bool) {
+// lineOf returns the line of a path, and whether the file contains it.
+func (c *checker) lineOf(path string) (int, bool) {
 	p, err := yaml.PathString(path)
 	if err != nil {
 		return 0, false
@@ -141,54 +147,59 @@
 	return node.GetToken().Position.Line, true
 }
 
-func (c *checker) values(s Settings) {
+// checkSettings checks the values of a Settings.
+func (c *checker) checkSettings(s Settings) {
 	if s.Association == "" {
-		c.fault("$.association", "is missing")
+		c.addFault("$.association", "is missing")
 	}
 	if len(s.Hosts) == 0 {
-		c.fault("$.hosts", "is missing")
+		c.addFault("$.hosts", "is missing")
 	}
-	c.limits(s)
+	c.checkLimits(s)
 	names := map[string]int{}
 	addresses := map[string]string{}
 	regions := map[string]string{}
 	for i, h := range s.Hosts {
 		path := fmt.Sprintf("$.hosts[%d]", i)
 		if first, ok := names[h.Name]; ok {
-			c.fault(path+".name", "%q is already the name of hosts[%d]", h.Name, first)
+			c.addFault(path+".name", "%q is already the name of hosts[%d]", h.Name, first)
 		}
 		names[h.Name] = i
-		c.host(path, h, regions)
-		c.addresses(path, h, addresses)
+		c.checkHost(path, h, regions)
+		c.checkAddresses(path, h, addresses)
 	}
 	if voters := len(s.Voters()); voters > 0 && voters%2 == 0 {
-		c.fault("$.hosts", "an even number of voters, %d, stands no more losses than one fewer", voters)
+		c.addFault("$.hosts", "an even number of voters, %d, tolerates no more losses than one fewer", voters)
 	}
 }
 
-func (c *checker) host(path string, h Host, regions map[string]string) {
+// checkHost checks a host's values, without its listen addresses. regions maps the data
+// centres of earlier hosts to their regions.
+func (c *checker) checkHost(path string, h Host, regions map[string]string) {
 	if h.Name == "" {
-		c.fault(path+".name", "is missing")
+		c.addFault(path+".name", "is missing")
 	}
 	if h.Region == "" {
-		c.fault(path+".region", "is missing")
+		c.addFault(path+".region", "is missing")
 	}
 	if h.DataCentre == "" {
-		c.fault(path+".data_centre", "is missing")
+		c.addFault(path+".data_centre", "is missing")
 	}
-	if known, ok := regions[h.DataCentre]; ok && known != h.Region {
-		c.fault(path+".region", "data centre %q is in region %q above", h.DataCentre, known)
+	if region, ok := regions[h.DataCentre]; ok && region != h.Region {
+		c.addFault(path+".region", "data centre %q is in region %q above", h.DataCentre, region)
 	}
 	regions[h.DataCentre] = h.Region
 	if h.Voter && !h.Disk {
-		c.fault(path+".voter", "a voter needs a disk")
+		c.addFault(path+".voter", "a voter needs a disk")
 	}
 	if _, err := netip.ParseAddr(h.WideArea); h.WideArea != "" && err != nil {
-		c.fault(path+".wide_area", "must be an IP address, is %q", h.WideArea)
+		c.addFault(path+".wide_area", "must be an IP address, is %q", h.WideArea)
 	}
 }
 
-func (c *checker) addresses(path string, h Host, seen map[string]string) {
+// checkAddresses checks a host's addresses. seen maps the addresses of earlier hosts to
+// their paths.
+func (c *checker) checkAddresses(path string, h Host, seen map[string]string) {
 	fields := []struct{ key, value string }{
 		{"callers", h.Callers},
 		{"handover", h.Handover},
@@ -196,19 +207,19 @@
 		{"operators", h.Operators},
 	}
 	for _, f := range fields {
-		at := path + "." + f.key
+		keyPath := path + "." + f.key
 		if _, err := netip.ParseAddrPort(f.value); err != nil {
-			c.fault(at, "must be an IP address and a port, is %q", f.value)
+			c.addFault(keyPath, "must be an IP address and a port, is %q", f.value)
 			continue
 		}
 		if other, ok := seen[f.value]; ok {
-			c.fault(at, "%s is already used at %s", f.value, other)
+			c.addFault(keyPath, "%s is already used at %s", f.value, other)
 		}
-		seen[f.value] = at
+		seen[f.value] = keyPath
 	}
 }
 
-func (c *checker) limits(s Settings) {
+func (c *checker) checkLimits(s Settings) {
 	l, t := s.Limits, s.Control
 	positive := []struct {
 		path string
@@ -226,13 +237,13 @@
 	}
 	for _, p := range positive {
 		if !p.ok {
-			c.fault(p.path, "must be more than 0")
+			c.addFault(p.path, "must be more than 0")
 		}
 	}
 	if t.Election < 3*t.Heartbeat {
-		c.fault("$.control.election", "must be at least 3 heartbeats")
+		c.addFault("$.control.election", "must be at least 3 heartbeats")
 	}
 	if t.Lease < 2*t.Heartbeat {
-		c.fault("$.control.lease", "must be at least 2 heartbeats")
+		c.addFault("$.control.lease", "must be at least 2 heartbeats")
 	}
 }
--- a/settings/member.go
+++ b/settings/member.go
@@ -1,4 +1,4 @@
-// This file defines the settings of a host that finds the others by seeds.
+// This file defines the settings of a member: a host that finds the others by seeds.
 
 package settings
 
@@ -14,78 +14,82 @@
 	"github.com/linenscale/linenscale/roster"
 )
 
-// Member is the content of the settings file of one host that is not told which
-// other hosts there are. Durations are written as Go writes them.
+// Member is the content of the settings file of one gateway or control host, which
+// doesn't list the other hosts. Durations are in Go's notation.
 type Member struct {
-	// Deployment is the name of the whole system, the same on all its hosts: they
-	// reject what comes from hosts of another one.
+	// Deployment is the name of the whole system, the same on all its hosts. They reject
+	// connections and messages from hosts of another deployment.
 	Deployment string      `yaml:"deployment"`
 	Name       string      `yaml:"name"`
 	Role       roster.Role `yaml:"role"`
 	Region     string      `yaml:"region"`
 	DataCentre string      `yaml:"data_centre"`
-	// IP is the number by which other hosts reach this one.
+	// IP is the address by which other hosts reach this one.
 	IP string `yaml:"ip"`
-	// Bind is the number that it listens on and connects from, where that is
-	// another: behind a router that forwards. Empty for the same.
+	// Bind is the IP address that the host listens on and connects from, if it differs
+	// from IP, as behind a forwarding router. Empty if they are the same.
 	Bind string `yaml:"bind"`
-	// Ports are the first and last port that hosts may use among themselves.
-	// They are the same on all hosts.
+	// Ports holds the first and last port that hosts may use between themselves, the same
+	// on all hosts.
 	Ports  []int  `yaml:"ports"`
 	Listen Listen `yaml:"listen"`
-	// Seeds are operators' addresses of some control hosts. They need not be
-	// up, and may be out of date.
+	// Seeds holds the operators' addresses of some control hosts. Some of them may be
+	// down or out of date.
 	Seeds []string `yaml:"seeds"`
-	// FirstStart is true only when the whole system starts for the first time:
-	// the control hosts among the seeds then form the ledger.
+	// FirstStart is true only for the first start of the whole system, when the control
+	// hosts among the seeds form the ledger.
 	FirstStart bool `yaml:"first_start"`
-	// DataDir is the folder that outlives a restart; empty for a host without.
+	// DataDir is the data folder, which survives a restart; empty for a host without one.
+	// A control host needs one.
 	DataDir string `yaml:"data_dir"`
-	// Regions gives the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions map[string]string `yaml:"regions"`
-	// Losses is how many hosts with a data folder may be lost at one time.
+	// Losses is how many voting control hosts may be down at the same time.
 	Losses int `yaml:"losses"`
-	// Heartbeat is how often engines register.
+	// Heartbeat is the interval at which engines renew their registration.
 	Heartbeat time.Duration `yaml:"heartbeat"`
-	// StopTime is how long requests in flight may take after SIGTERM.
+	// StopTime is how long the process may take to stop after SIGTERM, with its requests
+	// in flight.
 	StopTime time.Duration `yaml:"stop_time"`
-	// MemoryMB is what the process may use, in 2^20 bytes; 0 for no limit.
+	// MemoryMB is the memory limit of the process, in units of 2^20 bytes; 0 for none.
 	MemoryMB int   `yaml:"memory_mb"`
 	Retries  Retry `yaml:"retries"`
-	// KeysRevokedWithin is how long after the acknowledgement of a catalog that takes a
-	// key away requests with it may still be served, on any host; 0 for no bound.
+	// KeysRevokedWithin bounds how long any host may still serve requests with a revoked
+	// key, counted from the acknowledgement of the catalog that removes the key; 0 for no
+	// bound.
 	KeysRevokedWithin time.Duration `yaml:"keys_revoked_within"`
 	Allowances        Allowances    `yaml:"allowances"`
 }
 
-// Allowances says how far client accounts' allowances may be exceeded while hosts don't
-// know of each other yet: within each window, all hosts together admit the rate times
-// the window and the burst, times one and the overage, and the slack.
+// Allowances bounds by how much client accounts may exceed their allowances before hosts
+// have received each other's reports. An allowance is an account's rate limit, with a
+// rate and a burst. Within each window, all hosts together admit at most
+// (rate * window + burst) * (1 + overage) + slack.
 type Allowances struct {
 	Window  time.Duration `yaml:"window"`
-	Overage float64       `yaml:"overage"` // a share
+	Overage float64       `yaml:"overage"` // a fraction: 0.1 is 10 %
 	Slack   float64       `yaml:"slack"`   // in the units of the allowances
 }
 
-// Listen holds the addresses for what a host serves, each an IP number and a
-// port; empty for what it doesn't serve.
+// Listen holds the addresses that a host listens on, each an IP address and a port. An
+// empty address disables the interface.
 type Listen struct {
 	Callers   string `yaml:"callers"`   // requests
-	Ready     string `yaml:"ready"`     // the platform's question whether to send callers here
+	Ready     string `yaml:"ready"`     // the platform's readiness checks
 	Operators string `yaml:"operators"` // operators and engines
-	Directory string `yaml:"directory"` // which gateways to use
-	Metrics   string `yaml:"metrics"`   // counters and histograms, as text
+	Directory string `yaml:"directory"` // lookups of the gateways to use
+	Metrics   string `yaml:"metrics"`   // the Prometheus scrape and the status pages
 }
 
-// Retry bounds the sends beyond the first of each request, of all hosts
-// together within each window.
+// Retry is the retry budget: it bounds the attempts after the first one of each request,
+// over all hosts together, within each window.
 type Retry struct {
-	Share  float64       `yaml:"share"` // of the requests
+	Share  float64       `yaml:"share"` // of the requests in the window, as a fraction
 	Extra  float64       `yaml:"extra"`
 	Window time.Duration `yaml:"window"`
 }
 
-// DefaultMember holds the values in force where a file is silent.
+// DefaultMember holds the values of settings that a member's file doesn't set.
 var DefaultMember = Member{
 	Losses:     1,
 	Heartbeat:  time.Second,
@@ -94,18 +98,20 @@
 	Allowances: Allowances{Window: 10 * time.Second, Overage: 0.1},
 }
 
-// ReadMember reads and checks the settings file of one host.
+// ReadMember reads and checks a member's settings file. The error is a *FaultsError if the
+// file can be read but its content is invalid.
 func ReadMember(path string) (Member, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Member{}, errors.Annotate(err, "settings")
+		return Member{}, errors.Annotate(err, "read settings")
 	}
 	return ParseMember(path, data)
 }
 
-// ParseMember reads and checks settings from data; name stands in messages.
+// ParseMember reads and checks a member's settings from data. name is the file's name in
+// error messages.
 func ParseMember(name string, data []byte) (Member, error) {
-	return parse(name, data, Member.withDefaults, (*checker).member)
+	return parse(name, data, Member.withDefaults, (*checker).checkMember)
 }
 
 func (m Member) withDefaults() Member {
@@ -120,18 +126,19 @@
 	return m
 }
 
-// Places within Ports.
+// Offsets of the ports in use from the first of Ports.
 const (
-	peerPort = iota
-	handoverPort
-	wantedPorts
+	peerPortOffset = iota
+	handoverPortOffset
+	minPorts
 )
 
-// leastRevoked is the shortest bound for keys that can be kept without refusing callers
-// in ordinary trouble: control hosts are asked each half second.
-const leastRevoked = 2 * time.Second
+// minKeysRevokedWithin is the shortest KeysRevokedWithin. Gateways poll the control hosts
+// each half second; with a shorter bound they would reject callers in ordinary failures.
+const minKeysRevokedWithin = 2 * time.Second
 
-// BindAddress gives the address to listen on for one that others know.
+// BindAddress returns the address to listen on for an address that others connect to:
+// its IP address is replaced by Bind, if that is set.
 func (m Member) BindAddress(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || m.Bind == "" {
@@ -140,74 +147,78 @@
 	return net.JoinHostPort(m.Bind, port)
 }
 
-// PeerAddress is the address of net/rpc between hosts.
-func (m Member) PeerAddress() string { return m.inner(m.IP, peerPort) }
+// PeerAddress returns this host's address for net/rpc and datagrams between hosts.
+func (m Member) PeerAddress() string { return m.portAddress(m.IP, peerPortOffset) }
 
-// HandoverAddress is a gateway's address for requests from other gateways.
-func (m Member) HandoverAddress() string { return m.inner(m.IP, handoverPort) }
+// HandoverAddress returns this gateway's address for requests from other gateways.
+func (m Member) HandoverAddress() string { return m.portAddress(m.IP, handoverPortOffset) }
 
-func (m Member) inner(ip string, place int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(m.Ports[0]+place))
+// portAddress returns an address at a port given by its offset in Ports.
+func (m Member) portAddress(ip string, offset int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(m.Ports[0]+offset))
 }
 
-// SeedPeerAddresses gives the seeds' addresses of net/rpc between hosts.
+// SeedPeerAddresses returns the seeds' addresses for net/rpc between hosts. It skips
+// malformed seeds.
 func (m Member) SeedPeerAddresses() []string {
 	out := make([]string, 0, len(m.Seeds))
 	for _, seed := range m.Seeds {
 		if address, err := netip.ParseAddrPort(seed); err == nil {
-			out = append(out, m.inner(address.Addr().String(), peerPort))
+			out = append(out, m.portAddress(address.Addr().String(), peerPortOffset))
 		}
 	}
 	return out
 }
 
-// VoterCount is how many control hosts vote, so that Losses of them may be lost.
+// VoterCount returns the number of voting control hosts: with that many, a quorum remains
+// when Losses of them are down.
 func (m Member) VoterCount() int { return 2*m.Losses + 1 }
 
-// member checks the values of a Member.
-func (c *checker) member(m Member) {
+// checkMember checks the values of a Member.
+func (c *checker) checkMember(m Member) {
 	for _, f := range []struct{ path, value string }{
 		{"$.name", m.Name},
 		{"$.region", m.Region},
 		{"$.data_centre", m.DataCentre},
 	} {
 		if f.value == "" {
-			c.fault(f.path, "is missing")
+			c.addFault(f.path, "is missing")
 		}
 	}
 	switch m.Role {
 	case roster.RoleGateway, roster.RoleControl:
 	default:
-		c.fault("$.role", "must be gateway or control, is %q", m.Role)
+		c.addFault("$.role", "must be gateway or control, is %q", m.Role)
 	}
 	if m.Role == roster.RoleControl && m.DataDir == "" {
-		c.fault("$.data_dir", "a control host needs one")
+		c.addFault("$.data_dir", "is missing, a control host needs a data folder")
 	}
 	if m.Regions[m.DataCentre] != m.Region {
-		c.fault("$.regions", "data centre %q is in region %q", m.DataCentre, m.Regions[m.DataCentre])
+		c.addFault("$.regions", "data centre %q is in region %q", m.DataCentre, m.Regions[m.DataCentre])
 	}
 	if _, err := netip.ParseAddr(m.IP); err != nil {
-		c.fault("$.ip", "must be an IP number, is %q", m.IP)
+		c.addFault("$.ip", "must be an IP address, is %q", m.IP)
 	}
 	if _, err := netip.ParseAddr(m.Bind); m.Bind != "" && err != nil {
-		c.fault("$.bind", "must be an IP number, is %q", m.Bind)
+		c.addFault("$.bind", "must be an IP address, is %q", m.Bind)
 	}
-	if m.KeysRevokedWithin != 0 && m.KeysRevokedWithin < leastRevoked {
-		c.fault("$.keys_revoked_within", "must be 0 for no bound, or %v and more, is %v", leastRevoked, m.KeysRevokedWithin)
+	if m.KeysRevokedWithin != 0 && m.KeysRevokedWithin < minKeysRevokedWithin {
+		c.addFault("$.keys_revoked_within", "must be 0 for no bound, or at least %v, is %v", minKeysRevokedWithin, m.KeysRevokedWithin)
 	}
 	if m.Allowances.Window < 0 || m.Allowances.Overage < 0 || m.Allowances.Slack < 0 {
-		c.fault("$.allowances", "must not be negative")
+		c.addFault("$.allowances", "must not be negative")
 	}
-	if len(m.Ports) != 2 || m.Ports[1]-m.Ports[0] < wantedPorts-1 {
-		c.fault("$.ports", "must be the first and last of at least %d ports", wantedPorts)
+	if len(m.Ports) != 2 || m.Ports[1]-m.Ports[0] < minPorts-1 {
+		c.addFault("$.ports", "must be the first and last of at least %d ports", minPorts)
 	}
-	c.memberAddresses(m)
+	c.checkMemberAddresses(m)
 }
 
-func (c *checker) memberAddresses(m Member) {
+// checkMemberAddresses checks a member's listen addresses and seeds.
+func (c *checker) checkMemberAddresses(m Member) {
 	for _, f := range []struct {
 		path, value string
-		wanted      bool
+		required    bool
 	}{
 		{"$.listen.callers", m.Listen.Callers, m.Role == roster.RoleGateway},
 		{"$.listen.ready", m.Listen.Ready, false},
@@ -215,16 +226,16 @@
 		{"$.listen.directory", m.Listen.Directory, false},
 		{"$.listen.metrics", m.Listen.Metrics, false},
 	} {
-		if f.value == "" && !f.wanted {
+		if f.value == "" && !f.required {
 			continue
 		}
 		if _, err := netip.ParseAddrPort(f.value); err != nil {
-			c.fault(f.path, "must be an IP number and a port, is %q", f.value)
+			c.addFault(f.path, "must be an IP address and a port, is %q", f.value)
 		}
 	}
 	for i, seed := range m.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			c.fault("$.seeds["+strconv.Itoa(i)+"]", "must be an IP number and a port, is %q", seed)
+			c.addFault("$.seeds["+strconv.Itoa(i)+"]", "must be an IP address and a port, is %q", seed)
 		}
 	}
 }
--- a/settings/objects.go
+++ b/settings/objects.go
@@ -1,11 +1,11 @@
-// This file defines the objects that a settings file declares: the hosts with
-// their data centres and regions.
+// This file converts the hosts of a settings file, with their data centres and regions,
+// to declared objects.
 
 package settings
 
 import "github.com/linenscale/linenscale/declare"
 
-// Object gives the declaration of a host.
+// Object returns the declaration of the host.
 func (h Host) Object() declare.Host {
 	return declare.Host{
 		Name: h.Name, DataCentre: h.DataCentre, Callers: h.Callers, Handover: h.Handover,
@@ -13,7 +13,8 @@
 	}
 }
 
-// Objects gives the regions, data centres and hosts of the settings.
+// Objects returns the declarations of the regions, data centres and hosts of the
+// settings, each once.
 func (s Settings) Objects() []declare.Object {
 	var out []declare.Object
 	seen := map[declare.Ref]bool{}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,11 @@
 // Package settings reads and checks the YAML settings of linenscaled.
 //
-// One file describes a whole association: every host with its addresses and
-// data centre. A process is told on its command line which of the hosts it
-// is. The file is checked as a whole, and every fault is named by its path and
-// line, so that one run shows all there is to mend.
+// There are two kinds of settings files. Settings describes a whole association: every
+// host with its addresses and data centre; the command line says which of the hosts a
+// process is. Member describes one host, which finds the others by seeds.
+//
+// A file is checked as a whole, and each fault is reported with its path and line, so
+// that one run shows everything to correct.
 package settings
 
 import (
@@ -15,17 +17,17 @@
 	"github.com/juju/errors"
 )
 
-// Settings is the content of a settings file. Durations are written as Go
-// writes them: "3s", "150ms".
+// Settings is the content of an association's settings file. Durations are in Go's
+// notation: "3s", "150ms".
 type Settings struct {
-	// Association is the name of the organisation. Hosts reject what comes from
-	// hosts of another one.
+	// Association is the name of the organisation. Hosts reject connections from hosts of
+	// another association.
 	Association string `yaml:"association"`
 	// Declarations is a folder, relative to the settings file, whose
 	// declarations form the first configuration of a new control log.
 	Declarations string `yaml:"declarations"`
-	// DataRoot is the folder, relative to the working directory, under which
-	// a host with a disk keeps its data in a folder of its own name.
+	// DataRoot is a folder, relative to the working directory. Each host with a disk
+	// stores its data in a subfolder that has the host's name.
 	DataRoot string `yaml:"data_root"`
 	// Platform is the base URL of the platform's host list; empty for none.
 	Platform string `yaml:"platform"`
@@ -36,45 +38,45 @@
 	dir string
 }
 
-// Host is one entry host. All addresses are an IP number and a port.
+// Host is one entry host. Each address is an IP address and a port.
 type Host struct {
 	Name       string `yaml:"name"`
 	Region     string `yaml:"region"`
 	DataCentre string `yaml:"data_centre"`
 	Callers    string `yaml:"callers"`   // callers' HTTP requests
 	Handover   string `yaml:"handover"`  // HTTP requests from other entry hosts
-	Control    string `yaml:"control"`   // net/rpc between linenscaled processes
+	Control    string `yaml:"control"`   // net/rpc between entry hosts
 	Operators  string `yaml:"operators"` // operators' HTTP and metrics
-	// WideArea is the IP number by which hosts of other regions reach this
-	// one; empty where it is the same as within the region.
+	// WideArea is the IP address by which hosts of other regions reach this host;
+	// empty if it is the same as within the region.
 	WideArea string `yaml:"wide_area"`
-	// Disk is true for a host whose data folder outlives a restart.
+	// Disk is true for a host whose data folder survives a restart.
 	Disk bool `yaml:"disk"`
-	// Voter is true for a host that votes in the control log when it is
-	// first formed. A voter needs a disk.
+	// Voter is true for a host that is one of the initial voters of a new control log.
+	// A voter needs a disk.
 	Voter bool `yaml:"voter"`
 }
 
-// Limits bounds what one process takes on. Sizes are in bytes.
+// Limits bounds the requests that one process accepts. Sizes are in bytes.
 type Limits struct {
 	HeaderBytes    int           `yaml:"header_bytes"`
 	BodyBytes      int64         `yaml:"body_bytes"` // of a model request; plain uploads are streamed
 	InFlight       int           `yaml:"in_flight"`
 	HeaderTime     time.Duration `yaml:"header_time"`      // to read a request's headers
 	RequestTime    time.Duration `yaml:"request_time"`     // longest deadline of any request
-	SlowCallerTime time.Duration `yaml:"slow_caller_time"` // longest wait for a caller to take bytes
+	SlowCallerTime time.Duration `yaml:"slow_caller_time"` // longest wait for a caller to read bytes
 	StopTime       time.Duration `yaml:"stop_time"`        // for requests in flight after SIGTERM
 }
 
-// Timing bounds the control log and its leases.
+// Timing sets the intervals and timeouts of the control log and its leases.
 type Timing struct {
 	Heartbeat time.Duration `yaml:"heartbeat"` // between messages of the control log's leader
-	Election  time.Duration `yaml:"election"`  // least time without a leader before an election
+	Election  time.Duration `yaml:"election"`  // shortest time without a leader before an election
 	Lease     time.Duration `yaml:"lease"`     // how long a host serves without a renewal
 	Decide    time.Duration `yaml:"decide"`    // longest wait for acknowledgements of a change
 }
 
-// Defaults of the settings, each in force where the file is silent.
+// Default values of settings that the file doesn't set.
 var (
 	DefaultLimits = Limits{
 		HeaderBytes:    32 << 10,
@@ -93,12 +95,12 @@
 	}
 )
 
-// Read reads and checks a settings file. The error is a *FaultsError where
-// the file could be read but something in it is wrong.
+// Read reads and checks an association's settings file. The error is a *FaultsError if
+// the file can be read but its content is invalid.
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Annotate(err, "settings")
+		return Settings{}, errors.Annotate(err, "read settings")
 	}
 	s, err := Parse(path, data)
 	if err != nil {
@@ -108,11 +110,11 @@
 	return s, nil
 }
 
-// DeclarationsDir gives the folder of declarations, resolved from the place of
+// DeclarationsDir returns the folder of declarations, resolved relative to the folder of
 // the settings file.
 func (s Settings) DeclarationsDir() string { return filepath.Join(s.dir, s.Declarations) }
 
-// DataDir gives the data folder of a host, or "" for a host without a disk.
+// DataDir returns the data folder of a host, or "" for a host without a disk.
 func (s Settings) DataDir(host Host) string {
 	if !host.Disk {
 		return ""
@@ -120,7 +122,7 @@
 	return filepath.Join(s.DataRoot, host.Name)
 }
 
-// Host gives the host of that name.
+// Host returns the host with a name. The error is errors.NotFound if there is none.
 func (s Settings) Host(name string) (Host, error) {
 	for _, h := range s.Hosts {
 		if h.Name == name {
@@ -130,7 +132,7 @@
 	return Host{}, errors.NotFoundf("host %q in the settings", name)
 }
 
-// Voters gives the hosts that form a new control log.
+// Voters returns the hosts that form a new control log.
 func (s Settings) Voters() []Host {
 	var voters []Host
 	for _, h := range s.Hosts {
@@ -141,7 +143,7 @@
 	return voters
 }
 
-// withDefaults fills in what the file leaves out.
+// withDefaults replaces zero values by the defaults.
 func (s Settings) withDefaults() Settings {
 	l := &s.Limits
 	setDefault(&l.HeaderBytes, DefaultLimits.HeaderBytes)
@@ -167,25 +169,25 @@
 	}
 }
 
-// Fault is one thing wrong in a settings file.
+// Fault is one invalid key or value in a settings file.
 type Fault struct {
 	File    string
-	Line    int // counts from 1
-	Path    string
+	Line    int    // counts from 1
+	Path    string // in YAML path notation: "$.hosts[0].name"
 	Message string
 }
 
-// String gives "file:line: path: message".
+// String returns "file:line: path: message".
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Message)
 }
 
-// FaultsError lists everything that is wrong with a settings file.
+// FaultsError lists all faults of a settings file.
 type FaultsError struct {
 	Faults []Fault
 }
 
-// Error gives one fault a line.
+// Error returns the faults, one on each line.
 func (e *FaultsError) Error() string {
 	text := ""
 	for i, f := range e.Faults {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -13,10 +13,10 @@
 	"github.com/linenscale/linenscale/settings"
 )
 
-// TestEveryFaultIsNamedInOneRun compares the faults of a file with its
-// comments, # want `text`: each must be found, and none besides; a fault that
-// belongs to a line must name it.
-func TestEveryFaultIsNamedInOneRun(t *testing.T) {
+// TestEveryFaultIsReportedInOneRun compares the faults of a file with its comments
+// # want `text`. Each wanted fault must be reported, and no others. A fault must have the
+// line of its comment, except those whose comment is on a line of its own.
+func TestEveryFaultIsReportedInOneRun(t *testing.T) {
 	parsers := map[string]func(name string, data []byte) error{
 		"faults.yaml": func(name string, data []byte) error {
 			_, err := settings.Parse(name, data)
@@ -31,13 +31,13 @@
 		t.Run(name, func(t *testing.T) {
 			data, err := os.ReadFile("testdata/" + name)
 			must.NoError(t, err)
-			allNamed(t, data, parse(name, data))
+			checkFaults(t, data, parse(name, data))
 		})
 	}
 }
 
-// allNamed compares an error with the comments of the file.
-func allNamed(t *testing.T, data []byte, err error) {
+// checkFaults compares an error with the want comments of the file.
+func checkFaults(t *testing.T, data []byte, err error) {
 	t.Helper()
 	var faults *settings.FaultsError
 	must.True(t, errors.As(err, &faults))
@@ -59,7 +59,7 @@
 	must.SliceLen(t, count, faults.Faults, must.Sprint(err))
 }
 
-func TestAMembersSettingsAreRead(t *testing.T) {
+func TestReadMember(t *testing.T) {
 	m, err := settings.ReadMember("testdata/member.yaml")
 	must.NoError(t, err)
 	must.Eq(t, "10.1.0.35:7660", m.PeerAddress())
@@ -73,7 +73,7 @@
 	must.Eq(t, "127.0.0.1:1", m.BindAddress("10.1.0.35:1"))
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	for path, hosts := range map[string]int{"../examples/cooperative/settings.yaml": 9, "../examples/association/settings.yaml": 8} {
 		s, err := settings.Read(path)
 		must.NoError(t, err)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestExamplesOfMembersAreSound(t *testing.T) {
+func TestExampleMemberSettingsAreValid(t *testing.T) {
 	control, err := settings.ReadMember("../examples/members/control.yaml")
 	must.NoError(t, err)
 	gateway, err := settings.ReadMember("../examples/members/gateway.yaml")
