--- a/settings/member.go
+++ b/settings/member.go
@@ -85,7 +85,7 @@
 // over all hosts together, within each window.
 type Retry struct {
 	Share  float64       `yaml:"share"` // of the requests in the window, as a fraction
-	Extra  float64       `yaml:"extra"`
+	Extra  float64       `yaml:"extra"` // attempts in each window beyond Share
 	Window time.Duration `yaml:"window"`
 }
 
