--- a/operator/client.go
+++ b/operator/client.go
@@ -18,36 +18,39 @@
 	"github.com/linenscale/linenscale/declare"
 )
 
-// Client asks entry hosts, one after the other until one answers. NewClient
-// makes one.
+// Client calls the operators' interface. Each call goes to the entry hosts one after the
+// other until one answers. NewClient creates one.
 type Client struct {
 	hosts []string // host:port
 	http  *http.Client
 }
 
-// NewClient makes a client of hosts, each an address of the operators' port.
+// NewClient returns a client of hosts, each the host:port of an operators' listener.
+// timeout bounds one HTTP request.
 func NewClient(hosts []string, timeout time.Duration) *Client {
 	return &Client{hosts: hosts, http: &http.Client{Timeout: timeout}}
 }
 
-// ErrNoAnswer says that no host gave an answer. A change may have been taken
-// all the same; it may be sent again with the same ID.
-var ErrNoAnswer = errors.New("no host gave an answer")
+// ErrNoAnswer is returned when no host answered. A change may have been accepted
+// nevertheless; it is safe to send it again with the same ID.
+var ErrNoAnswer = errors.New("no host answered")
 
-// sendAgain is how long a change is sent again, and pauseBetween the pause.
+// changeRetryTime and readRetryTime bound how long a change or a read is retried.
+// retryInterval is the pause between two attempts.
 const (
-	sendAgain    = 30 * time.Second
-	pauseBetween = 300 * time.Millisecond
+	changeRetryTime = 30 * time.Second
+	readRetryTime   = 10 * time.Second
+	retryInterval   = 300 * time.Millisecond
 )
 
-// Change sends a change until it is decided. It is sent again with the same ID
-// where an answer is lost, which the control log takes for the same change.
+// Change sends a change until it is decided. After a lost answer it is sent again with
+// the same ID, by which the control log recognises the same change.
 func (c *Client) Change(ctx context.Context, change declare.Change) (control.Outcome, error) {
 	data, err := json.Marshal(change)
 	if err != nil {
-		return control.Outcome{}, errors.Annotate(err, "change")
+		return control.Outcome{}, errors.Annotate(err, "encode change")
 	}
-	until := time.Now().Add(sendAgain)
+	until := time.Now().Add(changeRetryTime)
 	for {
 		var out control.Outcome
 		err = c.do(ctx, http.MethodPost, "/v1/changes", data, &out)
@@ -57,69 +60,71 @@
 		if ctx.Err() != nil || time.Now().After(until) {
 			return out, errors.Wrap(err, ErrNoAnswer)
 		}
-		time.Sleep(pauseBetween)
+		time.Sleep(retryInterval)
 	}
 }
 
-// Status asks for the status.
+// Status returns the state of the hosts and the control log, as the first host that
+// answers reports it. It doesn't retry.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	return out, c.do(ctx, http.MethodGet, "/v1/status", nil, &out)
 }
 
-// Config asks for the configuration in force.
+// Config returns the effective configuration.
 func (c *Client) Config(ctx context.Context) (declare.Config, error) {
 	var out declare.Config
-	return out, c.again(ctx, http.MethodGet, "/v1/config", nil, &out)
+	return out, c.doWithRetry(ctx, http.MethodGet, "/v1/config", nil, &out)
 }
 
-// History asks for the changes accepted after a revision.
+// History returns the changes accepted after a revision.
 func (c *Client) History(ctx context.Context, after uint64) ([]control.Record, error) {
 	var out []control.Record
-	return out, c.again(ctx, http.MethodGet, "/v1/history?after="+strconv.FormatUint(after, 10), nil, &out)
+	return out, c.doWithRetry(ctx, http.MethodGet, "/v1/history?after="+strconv.FormatUint(after, 10), nil, &out)
 }
 
-// Drain asks for what an engine has in flight.
+// Drain reports what an engine has in flight on the hosts of its region.
 func (c *Client) Drain(ctx context.Context, engine string) (agent.Drain, error) {
 	var out agent.Drain
 	return out, c.do(ctx, http.MethodGet, "/v1/drain/"+url.PathEscape(engine), nil, &out)
 }
 
-// Explain asks what would be chosen for a request.
+// Explain returns the regions and engines that are eligible for a request with the
+// properties in query.
 func (c *Client) Explain(ctx context.Context, query url.Values) (Explanation, error) {
 	var out Explanation
 	return out, c.do(ctx, http.MethodGet, "/v1/explain?"+query.Encode(), nil, &out)
 }
 
-// again is do, repeated while there is no leader to ask: after the loss of one
-// it takes a few seconds until the next leads.
-func (c *Client) again(ctx context.Context, method, path string, body []byte, into any) error {
-	until := time.Now().Add(readAgain)
+// doWithRetry repeats do until it succeeds, for at most readRetryTime: after the loss of
+// a leader, the election of the next one takes a few seconds.
+func (c *Client) doWithRetry(ctx context.Context, method, path string, body []byte, into any) error {
+	until := time.Now().Add(readRetryTime)
 	for {
 		err := c.do(ctx, method, path, body, into)
 		if err == nil || ctx.Err() != nil || time.Now().After(until) {
 			return err
 		}
-		time.Sleep(pauseBetween)
+		time.Sleep(retryInterval)
 	}
 }
 
-// readAgain is how long a read is asked for again.
-const readAgain = 10 * time.Second
-
-// do asks the hosts in turn. An answer in JSON counts, whatever its status.
+// do sends a request to the hosts in order until one answers. An answer in JSON counts,
+// with any HTTP status.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
-	var last error = errors.New("no host is named")
+	var lastErr error = errors.New("the client has no hosts")
 	for _, host := range c.hosts {
-		last = c.ask(ctx, method, "http://"+host+path, body, into)
-		if last == nil || ctx.Err() != nil {
-			return last
+		lastErr = c.doOne(ctx, method, "http://"+host+path, body, into)
+		if lastErr == nil || ctx.Err() != nil {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *Client) ask(ctx context.Context, method, address string, body []byte, into any) error {
+// doOne sends a request to one address and decodes the JSON answer into a value. An answer
+// of another type is an error, with its text.
+func (c *Client) doOne(ctx context.Context, method, address string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
 		return errors.Trace(err)
--- a/operator/server.go
+++ b/operator/server.go
@@ -1,9 +1,9 @@
-// Package operator is the operators' interface: HTTP with JSON, answered by any
-// entry host, and a client for it.
+// Package operator serves the operators' interface, HTTP with JSON on any entry host, and
+// provides a client for it.
 //
-// Whatever is asked of the configuration is answered from the control log as of
-// now, confirmed by a quorum. Status alone is also answered without a leader,
-// by what the host itself knows, for that is when it is needed most.
+// The configuration, history and outcomes of changes are linearizable reads of the control
+// log, confirmed by a quorum. Status also works without a leader, when operators need it
+// most; it then returns the host's own cached state.
 package operator
 
 import (
@@ -31,15 +31,15 @@
 	"github.com/linenscale/linenscale/voters"
 )
 
-// Bounds of the interface.
+// Limits of the interface.
 const (
-	changeWait = 15 * time.Second
-	stateWait  = 5 * time.Second
-	maxChange  = 64 << 20 // bytes
-	headerTime = 5 * time.Second
+	changeTimeout     = 15 * time.Second
+	stateTimeout      = 5 * time.Second
+	maxChangeBytes    = 64 << 20 // bytes
+	readHeaderTimeout = 5 * time.Second
 )
 
-// Server answers operators. NewServer makes one.
+// Server is the HTTP server of the operators' interface. NewServer creates one.
 type Server struct {
 	agent   *agent.Agent
 	fleet   *fleet.Fleet
@@ -47,23 +47,23 @@
 	log     *zap.Logger
 }
 
-// NewServer makes a server for one host.
+// NewServer returns a server for one host. metrics serves /metrics.
 func NewServer(a *agent.Agent, f *fleet.Fleet, metrics http.Handler, log *zap.Logger) *Server {
 	return &Server{a, f, metrics, log}
 }
 
 // Run serves a listener until ctx ends.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
-	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: headerTime}
+	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		return errors.Annotate(err, "operators")
+		return errors.Annotate(err, "serve operators")
 	}
 	return nil
 }
 
-// Handler gives the routes.
+// Handler returns the handler for all paths of the interface.
 func (s *Server) Handler() http.Handler {
 	r := httprouter.New()
 	r.GET("/v1/status", s.status)
@@ -79,9 +79,10 @@
 	return r
 }
 
-// Status is the answer to GET /v1/status.
+// Status is the answer to GET /v1/status. Without a leader, Reached is false and Hosts is
+// the cached state of the queried host.
 type Status struct {
-	Asked    agent.Standing      `json:"asked"` // the host that was asked
+	Asked    agent.Standing      `json:"asked"` // the host that answers
 	Reached  bool                `json:"leader_reached"`
 	Leader   string              `json:"leader,omitempty"`
 	Term     uint64              `json:"term,omitempty"`
@@ -93,7 +94,7 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	ctx, cancel := context.WithTimeout(r.Context(), stateWait)
+	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	status := Status{Asked: s.agent.Explain()}
 	status.Revision = status.Asked.Revision
@@ -120,7 +121,7 @@
 }
 
 func (s *Server) config(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	ctx, cancel := context.WithTimeout(r.Context(), stateWait)
+	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	state, err := s.agent.State(ctx, leader.StateArgs{})
 	if err != nil {
@@ -132,7 +133,7 @@
 
 func (s *Server) change(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var change declare.Change
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxChange)).Decode(&change); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxChangeBytes)).Decode(&change); err != nil {
 		reply(w, http.StatusBadRequest, control.Outcome{Status: control.StatusInvalid, Why: "the change can't be read: " + err.Error()})
 		return
 	}
@@ -140,19 +141,20 @@
 		reply(w, http.StatusBadRequest, control.Outcome{Status: control.StatusInvalid, Why: "a change needs an ID and something to put or delete"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeWait)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
-	got, err := s.agent.Propose(ctx, change, changeWait)
+	got, err := s.agent.Propose(ctx, change, changeTimeout)
 	if err != nil {
 		unavailable(w, err)
 		return
 	}
 	out := got.Outcome
 	s.log.Info("change", zap.String("change", change.ID), zap.String("author", change.Author), zap.String("status", string(out.Status)), zap.Uint64("revision", out.Revision))
-	reply(w, statusOf(out), out)
+	reply(w, httpStatus(out), out)
 }
 
-func statusOf(out control.Outcome) int {
+// httpStatus returns the HTTP status of the answer to a change.
+func httpStatus(out control.Outcome) int {
 	switch out.Status {
 	case control.StatusAccepted:
 		return http.StatusOK
@@ -168,7 +170,7 @@
 }
 
 func (s *Server) outcome(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	ctx, cancel := context.WithTimeout(r.Context(), stateWait)
+	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	state, err := s.agent.State(ctx, leader.StateArgs{ID: params.ByName("id")})
 	switch {
@@ -187,7 +189,7 @@
 		http.Error(w, "after must be a revision", http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), stateWait)
+	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	state, err := s.agent.State(ctx, leader.StateArgs{After: after})
 	if err != nil {
@@ -209,22 +211,23 @@
 // Explanation is the answer to GET /v1/explain.
 type Explanation struct {
 	Revision uint64            `json:"revision"`
-	Lease    string            `json:"lease"` // why nothing is served, or empty
-	Here     string            `json:"here"`  // why this region may not have it, or empty
+	Lease    string            `json:"lease"` // why the host serves nothing, or empty
+	Here     string            `json:"here"`  // why the request isn't permitted in this region, or empty
 	Regions  []ExplainedRegion `json:"regions"`
-	Engines  []route.Explained `json:"engines"` // of this region
+	Engines  []route.Explained `json:"engines"` // the engines of this region
 }
 
-// ExplainedRegion is one region's standing for a request.
+// ExplainedRegion is the state of a region, and whether the request is permitted there.
 type ExplainedRegion struct {
 	route.Digest
 	Permitted bool `json:"permitted"`
 }
 
-// explain tells what would be chosen for a request with these properties.
+// explain reports the regions and engines that are eligible for a request with the
+// properties in the query.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
-	asked := request.Request{
+	req := request.Request{
 		Service: q.Get("service"), Home: q.Get("home"), Account: q.Get("account"),
 		Class: request.Class(q.Get("class")), Model: q.Get("model"), Deadline: time.Now().Add(time.Minute),
 	}
@@ -237,16 +240,16 @@
 	}
 	out.Revision = config.Revision()
 	here := permit.Place{Region: s.agent.Host.Region, DataCentre: s.agent.Host.DataCentre}
-	if ok, why := guard.Region(asked, here); !ok {
+	if ok, why := guard.Region(req, here); !ok {
 		out.Here = why
 	}
-	for _, d := range s.agent.Regions(asked.Service) {
-		ok, _ := guard.Region(asked, permit.Place{Region: d.Region})
+	for _, d := range s.agent.Regions(req.Service) {
+		ok, _ := guard.Region(req, permit.Place{Region: d.Region})
 		out.Regions = append(out.Regions, ExplainedRegion{d, ok})
 	}
 	out.Engines = s.fleet.Explain(fleet.Ask{
-		Request:   asked,
-		Permitted: func(place permit.Place, labels declare.Labels) bool { return guard.Engine(asked, place, labels) },
+		Request:   req,
+		Permitted: func(place permit.Place, labels declare.Labels) bool { return guard.Engine(req, place, labels) },
 	})
 	reply(w, http.StatusOK, out)
 }
