--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -12,53 +12,53 @@
 
 // Bounds of a Bounded writer.
 const (
-	// flushEvery is how long a line may wait, and with flushBytes bounds what
-	// is written in a second to 1.25 MB.
-	flushEvery = 100 * time.Millisecond
-	flushBytes = 128 << 10
+	// flushInterval is how long a line may stay in the buffer. Together with
+	// maxBufferedBytes it bounds the output to 1.25 MB per second.
+	flushInterval    = 100 * time.Millisecond
+	maxBufferedBytes = 128 << 10
 )
 
-// Bounded takes log lines without ever waiting for whoever reads them. Lines
-// that don't fit until the next flush are dropped and counted. NewBounded makes
-// one; Run writes.
+// Bounded is a writer for log lines that never blocks on a slow reader of the log. It
+// buffers the lines; Run flushes them. Lines that don't fit into the buffer before the
+// next flush are dropped and counted. NewBounded creates one.
 type Bounded struct {
-	to io.Writer
+	out io.Writer
 
 	mu      sync.Mutex
-	waiting []byte
+	buffer  []byte
 	spare   []byte
 	dropped int
 }
 
 var _ zapcore.WriteSyncer = (*Bounded)(nil)
 
-// NewBounded makes a writer to to.
-func NewBounded(to io.Writer) *Bounded { return &Bounded{to: to} }
+// NewBounded returns a Bounded that flushes to out.
+func NewBounded(out io.Writer) *Bounded { return &Bounded{out: out} }
 
-// Write implements io.Writer; it takes one line and never fails.
+// Write implements io.Writer. line is one log line. It never fails.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting)+len(line) > flushBytes {
+	if len(b.buffer)+len(line) > maxBufferedBytes {
 		b.dropped++
 		return len(line), nil
 	}
-	b.waiting = append(b.waiting, line...)
+	b.buffer = append(b.buffer, line...)
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer: it writes what waits.
+// Sync implements zapcore.WriteSyncer: it flushes the buffer and reports dropped lines.
 func (b *Bounded) Sync() error {
 	b.mu.Lock()
-	out, dropped := b.waiting, b.dropped
-	b.waiting, b.spare, b.dropped = b.spare[:0], nil, 0
+	out, dropped := b.buffer, b.dropped
+	b.buffer, b.spare, b.dropped = b.spare[:0], nil, 0
 	b.mu.Unlock()
 	if dropped > 0 {
 		out = append(out, "level=warn msg=\"log lines dropped\" count="+strconv.Itoa(dropped)+"\n"...)
 	}
 	var err error
 	if len(out) > 0 {
-		_, err = b.to.Write(out)
+		_, err = b.out.Write(out)
 	}
 	b.mu.Lock()
 	b.spare = out
@@ -66,16 +66,16 @@
 	return err
 }
 
-// Run writes what waits at regular times until ctx ends, and once more then.
+// Run flushes the buffer at regular intervals until ctx ends, and then once more.
 func (b *Bounded) Run(ctx context.Context) error {
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return b.Sync()
 		case <-ticker.C:
-			_ = b.Sync() // whoever read the log has gone: there is no one to tell
+			_ = b.Sync() // the log itself failed, so the error can't be logged
 		}
 	}
 }
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -15,7 +15,7 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-func TestALogThatIsFullDropsAndCounts(t *testing.T) {
+func TestFullLogBufferDropsAndCountsLines(t *testing.T) {
 	var out bytes.Buffer
 	b := telemetry.NewBounded(&out)
 	log, err := telemetry.NewLogger(b, "info")
@@ -27,12 +27,12 @@
 	must.StrContains(t, out.String(), `msg="log lines dropped" count=`)
 	must.Less(t, 200<<10, out.Len())
 	out.Reset()
-	log.Info("room again")
+	log.Info("after the flush")
 	must.NoError(t, b.Sync())
-	must.StrContains(t, out.String(), "room again")
+	must.StrContains(t, out.String(), "after the flush")
 }
 
-func TestNothingWaitsForWhoeverReadsTheLog(t *testing.T) {
+func TestLoggingDoesNotBlockOnASlowReader(t *testing.T) {
 	stuck := make(chan struct{})
 	b := telemetry.NewBounded(writer(func(p []byte) (int, error) {
 		<-stuck
@@ -50,7 +50,7 @@
 			must.NoError(t, err)
 		}
 	})
-	logging.Wait() // while the reader takes nothing
+	logging.Wait() // while the writer is blocked
 	close(stuck)
 	cancel()
 	group.Wait()
@@ -60,7 +60,7 @@
 
 func (w writer) Write(p []byte) (int, error) { return w(p) }
 
-func TestErrorsAreLoggedWithoutTheirStack(t *testing.T) {
+func TestCauseOmitsTheStack(t *testing.T) {
 	var out bytes.Buffer
 	log, err := telemetry.NewLogger(&out, "info")
 	must.NoError(t, err)
--- a/telemetry/http.go
+++ b/telemetry/http.go
@@ -6,13 +6,13 @@
 	"go.uber.org/zap"
 )
 
-// HTTPErrors gives net/http a place for what it can tell nobody else: handlers that
-// crashed, connections that can't be accepted. Each is a warning, so that it isn't lost
-// among decisions.
-func HTTPErrors(to *zap.Logger) *log.Logger {
-	named := to.Named("http")
+// HTTPErrors returns a logger for net/http's own errors, such as handlers that panic and
+// connections that can't be accepted. It logs each as a warning, so that it stands out
+// among the lines of routing decisions.
+func HTTPErrors(logger *zap.Logger) *log.Logger {
+	named := logger.Named("http")
 	std, err := zap.NewStdLogAt(named, zap.WarnLevel)
-	if err != nil { // only for a level that zap doesn't know
+	if err != nil { // happens only for an unknown level
 		return zap.NewStdLog(named)
 	}
 	return std
--- a/telemetry/http_test.go
+++ b/telemetry/http_test.go
@@ -12,8 +12,9 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// TestCrashedHandlersAreWarnings lets a handler crash: the line is a warning.
-func TestCrashedHandlersAreWarnings(t *testing.T) {
+// TestHandlerPanicsAreLoggedAsWarnings guards against panics of handlers that are logged
+// below the warning level.
+func TestHandlerPanicsAreLoggedAsWarnings(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("lost") }))
 	server.Config.ErrorLog = telemetry.HTTPErrors(zap.New(core))
--- a/telemetry/labels.go
+++ b/telemetry/labels.go
@@ -2,28 +2,29 @@
 
 import "sync"
 
-// mostLabels bounds the client accounts, and the engines that name limits, that have counters
-// of their own: each takes some 400 bytes for each outcome, and hosts are small.
-const mostLabels = 256
+// maxLabels bounds the client accounts, and the engines, that have counters of their own.
+// Each takes some 400 bytes per outcome, and hosts have little memory.
+const maxLabels = 256
 
-// otherLabel stands for those beyond the bound.
+// otherLabel is the label of all names beyond the bound.
 const otherLabel = "other"
 
-// labels bounds the values of a label. The zero value has seen none. It is safe for
-// concurrent use.
-type labels struct {
+// labelSet bounds the number of values of a metric's label. The zero value is empty. It is
+// safe for concurrent use.
+type labelSet struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// of gives the label for a name: the name itself, for the first ones that come.
-func (l *labels) of(name string) string {
+// label returns the label for a name: the name itself for the first maxLabels names,
+// otherLabel for all others.
+func (l *labelSet) label(name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.names[name] {
 		return name
 	}
-	if len(l.names) >= mostLabels {
+	if len(l.names) >= maxLabels {
 		return otherLabel
 	}
 	if l.names == nil {
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -1,7 +1,8 @@
-// Package telemetry makes the logger and the metrics of a process.
+// Package telemetry provides the logger and the metrics of a process.
 //
-// Logs are one line of key=value pairs for each event (logfmt). Metrics are
-// OpenTelemetry instruments, read by a Prometheus scrape.
+// The log has one line of key=value pairs (logfmt) for each event. Metrics are
+// OpenTelemetry instruments, exposed to a Prometheus scrape. Both are bounded: Bounded drops
+// log lines instead of blocking, and accounts and engines share a counter beyond a limit.
 package telemetry
 
 import (
@@ -13,8 +14,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger makes a logger that writes logfmt lines to w. level is one of
-// debug, info, warn and error.
+// NewLogger returns a logger that writes logfmt lines to w. level is the lowest level that
+// is logged: debug, info, warn or error.
 func NewLogger(w io.Writer, level string) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -28,8 +29,8 @@
 	return zap.New(core), nil
 }
 
-// Cause gives the field of an error, without the stack that juju/errors would
-// add to each line. A nil error gives no field.
+// Cause returns the log field of an error, without the stack trace that juju/errors would
+// add to each line. For a nil error it adds no field.
 func Cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -14,34 +14,35 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics are the instruments of one process. New makes them.
+// Metrics holds the instruments of one process. NewMetrics creates it. It is safe for
+// concurrent use.
 type Metrics struct {
 	handler  http.Handler
 	provider *sdk.MeterProvider
 
-	requests metric.Int64Counter
-	attempts metric.Int64Counter
-	duration metric.Float64Histogram
-	queued   metric.Float64Histogram
-	inFlight metric.Int64UpDownCounter
-	changes  metric.Int64Counter
-	revision metric.Int64Gauge
-	wrong    metric.Float64Histogram
-	accounts metric.Int64Counter
-	crashes  metric.Int64Counter
-	crashed  metric.Int64Counter
-	limited  metric.Int64Counter
-	pushback metric.Int64Counter
-	named    labels // accounts that have counters of their own
-	engines  labels // engines that have
+	requests        metric.Int64Counter
+	attempts        metric.Int64Counter
+	firstByte       metric.Float64Histogram
+	queueTime       metric.Float64Histogram
+	inFlight        metric.Int64UpDownCounter
+	changes         metric.Int64Counter
+	revision        metric.Int64Gauge
+	predictionError metric.Float64Histogram
+	accountRequests metric.Int64Counter
+	engineCrashes   metric.Int64Counter
+	crashedRequests metric.Int64Counter
+	limitEvents     metric.Int64Counter
+	pushbackEvents  metric.Int64Counter
+	accountLabels   labelSet // the accounts that have counters of their own
+	engineLabels    labelSet // the engines that have counters of their own
 }
 
-// NewMetrics makes the instruments and a scrape handler of their own registry.
+// NewMetrics creates the instruments, and a scrape handler with a registry of its own.
 func NewMetrics() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprometheus.New(otelprometheus.WithRegisterer(registry))
 	if err != nil {
-		return nil, errors.Annotate(err, "metrics exporter")
+		return nil, errors.Annotate(err, "create metrics exporter")
 	}
 	provider := sdk.NewMeterProvider(sdk.WithReader(exporter))
 	meter := provider.Meter("linenscale")
@@ -49,40 +50,41 @@
 	var errs [13]error
 	m.requests, errs[0] = meter.Int64Counter("linenscale_requests", metric.WithDescription("requests that have ended, by service and outcome"))
 	m.attempts, errs[1] = meter.Int64Counter("linenscale_attempts", metric.WithDescription("attempts sent to engines and entry hosts, by service and outcome"))
-	m.duration, errs[2] = meter.Float64Histogram("linenscale_first_byte_seconds", metric.WithDescription("time to the first byte of an answer"), metric.WithUnit("s"))
-	m.queued, errs[3] = meter.Float64Histogram("linenscale_queue_seconds", metric.WithDescription("time spent waiting for a slot"), metric.WithUnit("s"))
+	m.firstByte, errs[2] = meter.Float64Histogram("linenscale_first_byte_seconds", metric.WithDescription("time to the first byte of an answer"), metric.WithUnit("s"))
+	m.queueTime, errs[3] = meter.Float64Histogram("linenscale_queue_seconds", metric.WithDescription("time spent waiting for a slot"), metric.WithUnit("s"))
 	m.inFlight, errs[4] = meter.Int64UpDownCounter("linenscale_in_flight", metric.WithDescription("requests that have not ended"))
 	m.changes, errs[5] = meter.Int64Counter("linenscale_changes", metric.WithDescription("changes decided, by outcome"))
-	m.revision, errs[6] = meter.Int64Gauge("linenscale_revision", metric.WithDescription("revision of the configuration in force on this host"))
-	m.wrong, errs[7] = meter.Float64Histogram("linenscale_predicted_error_seconds", metric.WithDescription("seen less expected time to the first byte of an engine's answer"), metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(predictedBuckets...))
-	m.accounts, errs[8] = meter.Int64Counter("linenscale_account_requests", metric.WithDescription("requests that have ended, by client account and outcome"))
-	m.crashes, errs[9] = meter.Int64Counter("linenscale_engine_crashes", metric.WithDescription("engines that ended while this host had requests on them"))
-	m.crashed, errs[10] = meter.Int64Counter("linenscale_crashed_requests", metric.WithDescription("requests of this host that were on engines that ended"))
-	m.limited, errs[11] = meter.Int64Counter("linenscale_limited_engines", metric.WithDescription("what came of the limits that engines name, by engine and event"))
-	m.pushback, errs[12] = meter.Int64Counter("linenscale_pushback", metric.WithDescription("what came of engines that ask for rest or leave, by engine and event"))
+	m.revision, errs[6] = meter.Int64Gauge("linenscale_revision", metric.WithDescription("revision of the effective configuration on this host"))
+	m.predictionError, errs[7] = meter.Float64Histogram("linenscale_predicted_error_seconds", metric.WithDescription("actual minus predicted time to the first byte of an engine's answer"), metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(predictionErrorBuckets...))
+	m.accountRequests, errs[8] = meter.Int64Counter("linenscale_account_requests", metric.WithDescription("requests that have ended, by client account and outcome"))
+	m.engineCrashes, errs[9] = meter.Int64Counter("linenscale_engine_crashes", metric.WithDescription("engines that crashed with requests of this host in flight"))
+	m.crashedRequests, errs[10] = meter.Int64Counter("linenscale_crashed_requests", metric.WithDescription("requests of this host that were in flight on engines that crashed"))
+	m.limitEvents, errs[11] = meter.Int64Counter("linenscale_limited_engines", metric.WithDescription("events of engines that announce rate limits, by engine and event"))
+	m.pushbackEvents, errs[12] = meter.Int64Counter("linenscale_pushback", metric.WithDescription("events of engines that ask for backoff or announce draining, by engine and event"))
 	for _, err := range errs {
 		if err != nil {
-			return nil, errors.Annotate(err, "metrics")
+			return nil, errors.Annotate(err, "create metrics")
 		}
 	}
 	return m, nil
 }
 
-// predictedBuckets are the bounds of the errors of expectations, in seconds.
-var predictedBuckets = []float64{-1, -0.3, -0.1, -0.03, 0, 0.03, 0.1, 0.3, 1, 3}
+// predictionErrorBuckets holds the bucket bounds of prediction errors, in seconds.
+var predictionErrorBuckets = []float64{-1, -0.3, -0.1, -0.03, 0, 0.03, 0.1, 0.3, 1, 3}
 
-// Predicted notes by how much an engine's answer began later than expected.
+// Predicted records the error of a predicted time to the first byte of an engine's answer:
+// later is the actual less the predicted time, negative for an early answer.
 func (m *Metrics) Predicted(service string, later time.Duration) {
-	m.wrong.Record(context.Background(), later.Seconds(), metric.WithAttributes(attribute.String("service", service)))
+	m.predictionError.Record(context.Background(), later.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 }
 
-// Handler serves the scrape.
+// Handler returns the handler of the Prometheus scrape.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close flushes and ends the instruments.
+// Close flushes and shuts down the instruments.
 func (m *Metrics) Close(ctx context.Context) error { return m.provider.Shutdown(ctx) }
 
-// Begin counts a request in and gives the function that counts it out.
+// Begin adds a request to those in flight, and returns the function that removes it.
 func (m *Metrics) Begin(service string) func() {
 	attrs := metric.WithAttributes(attribute.String("service", service))
 	m.inFlight.Add(context.Background(), 1, attrs)
@@ -96,7 +98,7 @@
 
 // Account counts a request of a client account that has ended.
 func (m *Metrics) Account(account, outcome string) {
-	m.accounts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("account", m.named.of(account)), attribute.String("outcome", outcome)))
+	m.accountRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("account", m.accountLabels.label(account)), attribute.String("outcome", outcome)))
 }
 
 // Attempt counts an attempt that has ended.
@@ -104,27 +106,28 @@
 	m.attempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("outcome", outcome)))
 }
 
-// First notes the time to the first byte and the part of it spent queueing.
+// First records the time to the first byte of an answer, and how much of it the request
+// waited for a slot.
 func (m *Metrics) First(service string, total, queued time.Duration) {
 	attrs := metric.WithAttributes(attribute.String("service", service))
-	m.duration.Record(context.Background(), total.Seconds(), attrs)
-	m.queued.Record(context.Background(), queued.Seconds(), attrs)
+	m.firstByte.Record(context.Background(), total.Seconds(), attrs)
+	m.queueTime.Record(context.Background(), queued.Seconds(), attrs)
 }
 
-// EngineCrash counts an engine that ended, and the requests of this host on it.
+// EngineCrash counts an engine that crashed, and this host's requests in flight on it.
 func (m *Metrics) EngineCrash(requests int) {
-	m.crashes.Add(context.Background(), 1)
-	m.crashed.Add(context.Background(), int64(requests))
+	m.engineCrashes.Add(context.Background(), 1)
+	m.crashedRequests.Add(context.Background(), int64(requests))
 }
 
-// Limited counts an event of an engine that names a limit.
+// Limited counts an event of an engine that announces a rate limit.
 func (m *Metrics) Limited(engine, event string) {
-	m.limited.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engines.of(engine)), attribute.String("event", event)))
+	m.limitEvents.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engineLabels.label(engine)), attribute.String("event", event)))
 }
 
-// Pushback counts an event of an engine that asks for rest or leaves.
+// Pushback counts an event of an engine that asks for backoff or announces draining.
 func (m *Metrics) Pushback(engine, event string) {
-	m.pushback.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engines.of(engine)), attribute.String("event", event)))
+	m.pushbackEvents.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engineLabels.label(engine)), attribute.String("event", event)))
 }
 
 // Change counts a decided change.
@@ -132,7 +135,7 @@
 	m.changes.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Revision notes the revision in force on this host.
+// Revision records the revision of the effective configuration on this host.
 func (m *Metrics) Revision(revision int64) {
 	m.revision.Record(context.Background(), revision)
 }
--- a/telemetry/metrics_test.go
+++ b/telemetry/metrics_test.go
@@ -12,8 +12,9 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// TestAccountsHaveBoundedLabels counts requests of a thousand accounts: some have counters
-// of their own, the others one together, and nothing is lost.
+// TestAccountsHaveBoundedLabels guards against a counter for each of any number of
+// accounts, which would exhaust memory: accounts beyond the bound share one counter, and
+// every request is counted.
 func TestAccountsHaveBoundedLabels(t *testing.T) {
 	m, err := telemetry.NewMetrics()
 	must.NoError(t, err)
