--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,9 +1,8 @@
 // Package trace follows a request through the logs of many processes.
 //
-// Every line that touches a request has its ID. Beside those, the lines count
-// that tell what a process believed of the engines and hosts that the request
-// met: an engine that was avoided, a host that fell silent, a state that was
-// taken. Follow puts both in order of time.
+// Follow selects the lines with the request's ID, and those about the state of the engines
+// and hosts that were involved: for example that an engine was excluded, that a host was
+// unresponsive, or that a configuration became effective. It sorts both by time.
 package trace
 
 import (
@@ -18,7 +17,8 @@
 	"github.com/juju/errors"
 )
 
-// Line is one line of a log.
+// Line is one parsed line of a log. Host is the host that logged it, Text the whole line
+// without a log collector's prefix.
 type Line struct {
 	Time   time.Time
 	Host   string
@@ -26,20 +26,20 @@
 	Text   string
 }
 
-// begin is how every line of a process begins; what a collector of logs has put
-// before it is passed over.
-const begin = "time="
+// linePrefix starts every log line of a process. Text before it, which a log collector
+// added, is skipped.
+const linePrefix = "time="
 
-// maxLine bounds a line, in bytes.
+// maxLine bounds the length of a line, in bytes.
 const maxLine = 1 << 20
 
-// Read reads the lines of a log. What is no line of a process is passed over.
-func Read(from io.Reader) ([]Line, error) {
+// Read reads the lines of a log. It skips lines that no process of the system wrote.
+func Read(r io.Reader) ([]Line, error) {
 	var out []Line
-	lines := bufio.NewScanner(from)
+	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
 	for lines.Scan() {
-		at := bytes.Index(lines.Bytes(), []byte(begin))
+		at := bytes.Index(lines.Bytes(), []byte(linePrefix))
 		if at < 0 {
 			continue
 		}
@@ -47,7 +47,7 @@
 			out = append(out, line)
 		}
 	}
-	return out, errors.Annotate(lines.Err(), "read a log")
+	return out, errors.Annotate(lines.Err(), "read log")
 }
 
 func parse(text string) (Line, bool) {
@@ -57,8 +57,8 @@
 		return line, false
 	}
 	for decoder.ScanKeyval() {
-		// The last of two equal keys is that of the line; earlier ones are
-		// the process's.
+		// Of two equal keys, the first is a field of the process's logger and the last
+		// a field of the line, so the first "host" is the process's own.
 		line.Fields[string(decoder.Key())] = string(decoder.Value())
 		if string(decoder.Key()) == "host" && line.Host == "" {
 			line.Host = string(decoder.Value())
@@ -69,48 +69,48 @@
 	return line, decoder.Err() == nil && err == nil
 }
 
-// before is how long before a request what processes believed still counts.
-const before = 5 * time.Second
+// contextWindow is how long before a request Follow includes lines without its ID.
+const contextWindow = 5 * time.Second
 
-// Follow gives the lines of a request, and those that tell what was believed of
-// the engines and hosts that it met, in order of time. Times of different hosts
-// are compared as they stand: they may differ by what the hosts' clocks do.
+// Follow returns the lines of a request, and those about the engines and hosts involved
+// from contextWindow before it to its end, sorted by time. It returns nil for an unknown
+// request. Times of different hosts are compared without correction for clock skew.
 func Follow(lines []Line, id string) []Line {
-	var own []Line
-	met := make(map[string]bool)
+	var result []Line
+	involved := make(map[string]bool)
 	for _, l := range lines {
 		if l.Fields["request"] != id {
 			continue
 		}
-		own = append(own, l)
+		result = append(result, l)
 		for _, key := range []string{"engine", "gateway", "address"} {
 			if name := l.Fields[key]; name != "" {
-				met[name] = true
+				involved[name] = true
 			}
 		}
-		met[l.Host] = true
+		involved[l.Host] = true
 	}
-	if len(own) == 0 {
+	if len(result) == 0 {
 		return nil
 	}
-	sortByTime(own)
-	from, to := own[0].Time.Add(-before), own[len(own)-1].Time
+	sortByTime(result)
+	from, to := result[0].Time.Add(-contextWindow), result[len(result)-1].Time
 	for _, l := range lines {
-		if _, ofRequest := l.Fields["request"]; !ofRequest && !l.Time.Before(from) && !l.Time.After(to) && concerns(l, met) {
-			own = append(own, l)
+		if _, ofRequest := l.Fields["request"]; !ofRequest && !l.Time.Before(from) && !l.Time.After(to) && concerns(l, involved) {
+			result = append(result, l)
 		}
 	}
-	sortByTime(own)
-	return own
+	sortByTime(result)
+	return result
 }
 
-// concerns tells whether a line tells of an engine or host that was met.
-func concerns(l Line, met map[string]bool) bool {
-	if met[l.Fields["engine"]] || (met[l.Fields["address"]] && l.Fields["address"] != "") {
+// concerns reports whether a line is about an involved engine or host.
+func concerns(l Line, involved map[string]bool) bool {
+	if involved[l.Fields["engine"]] || (involved[l.Fields["address"]] && l.Fields["address"] != "") {
 		return true
 	}
-	// What a process that was met believes of the system as a whole.
-	return met[l.Host] && l.Fields["engine"] == "" && l.Fields["level"] != "debug"
+	// A line of an involved host about the system as a whole, not about one engine.
+	return involved[l.Host] && l.Fields["engine"] == "" && l.Fields["level"] != "debug"
 }
 
 func sortByTime(lines []Line) {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -20,7 +20,9 @@
 	return lines
 }
 
-func TestARequestIsFollowedWithWhatWasBelieved(t *testing.T) {
+// TestFollowIncludesTheStateOfInvolvedEnginesAndHosts guards against a trace that lacks the
+// reasons for a decision, or that contains lines about engines that weren't involved.
+func TestFollowIncludesTheStateOfInvolvedEnginesAndHosts(t *testing.T) {
 	lines := read(t)
 	must.SliceLen(t, 9, lines)
 	var got []string
