--- a/operator/client.go
+++ b/operator/client.go
@@ -35,11 +35,10 @@
 // nevertheless; it is safe to send it again with the same ID.
 var ErrNoAnswer = errors.New("no host answered")
 
-// changeRetryTime and readRetryTime bound how long a change or a read is retried.
-// retryInterval is the pause between two attempts.
+// changeRetryTime bounds how long a change is retried, and retryInterval is the pause
+// between two attempts.
 const (
 	changeRetryTime = 30 * time.Second
-	readRetryTime   = 10 * time.Second
 	retryInterval   = 300 * time.Millisecond
 )
 
@@ -109,6 +108,9 @@
 	}
 }
 
+// readRetryTime bounds how long a read is retried.
+const readRetryTime = 10 * time.Second
+
 // do sends a request to the hosts in order until one answers. An answer in JSON counts,
 // with any HTTP status.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
