--- a/settings/member.go
+++ b/settings/member.go
@@ -52,8 +52,8 @@
 	// in flight.
 	StopTime time.Duration `yaml:"stop_time"`
 	// MemoryMB is the memory limit of the process, in units of 2^20 bytes; 0 for none.
-	MemoryMB int         `yaml:"memory_mb"`
-	Retries  RetryBudget `yaml:"retries"`
+	MemoryMB int   `yaml:"memory_mb"`
+	Retries  Retry `yaml:"retries"`
 	// KeysRevokedWithin bounds how long any host may still serve requests with a revoked
 	// key, counted from the acknowledgement of the catalog that removes the key; 0 for no
 	// bound.
@@ -81,9 +81,9 @@
 	Metrics   string `yaml:"metrics"`   // the Prometheus scrape and the status pages
 }
 
-// RetryBudget is the retry budget: it bounds the attempts after the first one of each request,
+// Retry is the retry budget: it bounds the attempts after the first one of each request,
 // over all hosts together, within each window.
-type RetryBudget struct {
+type Retry struct {
 	Share  float64       `yaml:"share"` // of the requests in the window, as a fraction
 	Extra  float64       `yaml:"extra"` // attempts in each window beyond Share
 	Window time.Duration `yaml:"window"`
@@ -94,7 +94,7 @@
 	Losses:     1,
 	Heartbeat:  time.Second,
 	StopTime:   7 * time.Second,
-	Retries:    RetryBudget{Share: 0.1, Extra: 10, Window: 10 * time.Second},
+	Retries:    Retry{Share: 0.1, Extra: 10, Window: 10 * time.Second},
 	Allowances: Allowances{Window: 10 * time.Second, Overage: 0.1},
 }
 
--- a/soak/world.go
+++ b/soak/world.go
@@ -166,7 +166,7 @@
 	h.settings = settings.Member{
 		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.known[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: known, Bind: listens,
 		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, Losses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
-		StopTime: 5 * time.Second, Retries: settings.RetryBudget{Share: 0.2, Extra: 60, Window: 10 * time.Second},
+		StopTime: 5 * time.Second, Retries: settings.Retry{Share: 0.2, Extra: 60, Window: 10 * time.Second},
 		KeysRevokedWithin: keyBound, Allowances: bounds,
 		Listen: settings.Listen{Metrics: address(known, metricsPort)},
 	}
