--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -161,7 +161,7 @@
 	}
 	initial, err := declare.LoadConfig(d.settings.DeclarationsDir(), d.settings.Objects()...)
 	if err != nil {
-		return errors.Annotate(err, "load declarations")
+		return errors.Annotate(err, "declarations")
 	}
 	d.leader, err = leader.New(leader.Options{
 		ID: d.replicaID, Timing: d.settings.Control, Folder: folder, Send: d.sendFunc(d.controlSender),
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -93,7 +93,7 @@
 		id = raft.ID(b.host.Name + initialIdentitySuffix)
 	}
 	if err := writeIdentity(b.folder, id); err != nil {
-		return raft.None, errors.Annotate(err, "write identity")
+		return raft.None, errors.Annotate(err, "identity")
 	}
 	b.log.Info("created replica identity", zap.String("log", b.logName), zap.String("identity", string(id)))
 	return b.ensureInitialMembership(id)
@@ -135,7 +135,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return raft.None, nil
 	}
-	return raft.ID(strings.TrimSpace(string(data))), errors.Annotate(err, "read identity")
+	return raft.ID(strings.TrimSpace(string(data))), errors.Annotate(err, "identity")
 }
 
 // newIdentity returns a random identity of a host, which is in no membership yet.
--- a/daemon/member_test.go
+++ b/daemon/member_test.go
@@ -247,21 +247,21 @@
 
 	t.Log("an engine that announces a rate limit gets less load and is listed, until it withdraws the limit")
 	portal["ikeja"].SetLimit("1")
-	d.eventually("served by another engine", func() bool {
+	d.eventually("spared", func() bool {
 		result := d.send("ikeja", "/p/1", false)
 		return result.Status == http.StatusOK && result.Engine != portal["ikeja"].ID
 	})
 	limits := "http://" + d.hosts["front-ikeja"].settings.Listen.Metrics + daemon.LimitsPath
 	must.StrContains(t, httpGet(t, limits), portal["ikeja"].ID)
 	portal["ikeja"].SetLimit("")
-	d.eventually("limit withdrawn", func() bool {
+	d.eventually("lifted", func() bool {
 		d.send("ikeja", "/p/1", false)
 		return !strings.Contains(httpGet(t, limits), portal["ikeja"].ID)
 	})
 
 	t.Log("a draining engine gets no request once its drain is acknowledged")
 	portal["ikeja"].SetDraining()
-	d.eventually("drain acknowledged", func() bool { return !portal["ikeja"].DrainAcked().IsZero() })
+	d.eventually("acknowledged", func() bool { return !portal["ikeja"].DrainAcked().IsZero() })
 	for range 10 {
 		must.NotEq(t, portal["ikeja"].ID, d.send("ikeja", "/p/1", false).Engine)
 	}
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -92,7 +92,7 @@
 			id = raft.ID(peer + initialIdentitySuffix)
 		}
 		if err := writeIdentity(folder, id); err != nil {
-			return raft.None, errors.Annotate(err, "write identity")
+			return raft.None, errors.Annotate(err, "identity")
 		}
 		m.log.Info("created replica identity", zap.String("identity", string(id)))
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -47,7 +47,7 @@
 func (c *Client) Change(ctx context.Context, change declare.Change) (control.Outcome, error) {
 	data, err := json.Marshal(change)
 	if err != nil {
-		return control.Outcome{}, errors.Annotate(err, "encode change")
+		return control.Outcome{}, errors.Annotate(err, "change")
 	}
 	until := time.Now().Add(changeRetryTime)
 	for {
--- a/operator/server.go
+++ b/operator/server.go
@@ -58,7 +58,7 @@
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		return errors.Annotate(err, "serve operators")
+		return errors.Annotate(err, "operators")
 	}
 	return nil
 }
--- a/settings/member.go
+++ b/settings/member.go
@@ -103,7 +103,7 @@
 func ReadMember(path string) (Member, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Member{}, errors.Annotate(err, "read settings")
+		return Member{}, errors.Annotate(err, "settings")
 	}
 	return ParseMember(path, data)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -100,7 +100,7 @@
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Annotate(err, "read settings")
+		return Settings{}, errors.Annotate(err, "settings")
 	}
 	s, err := Parse(path, data)
 	if err != nil {
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -63,7 +63,7 @@
 	m.pushbackEvents, errs[12] = meter.Int64Counter("linenscale_pushback", metric.WithDescription("events of engines that ask for backoff or announce draining, by engine and event"))
 	for _, err := range errs {
 		if err != nil {
-			return nil, errors.Annotate(err, "create metrics")
+			return nil, errors.Annotate(err, "metrics")
 		}
 	}
 	return m, nil
