--- a/daemon/cut_test.go
+++ b/daemon/cut_test.go
@@ -93,10 +93,10 @@
 	return declare.Envelope{Object: declare.Selector{Name: "all", Service: "portal", Allow: allow}}
 }
 
-// TestPartitionedRegionKeepsServingAndChangesWaitForIt partitions region b. Region b must
+// TestPartitionedRegionKeepsServingAndNoChangeBypassesIt partitions region b. Region b must
 // serve its members for longer than any lease. A change that withdraws its permission
 // must be rejected during the partition, and be effective on all hosts once accepted.
-func TestPartitionedRegionKeepsServingAndChangesWaitForIt(t *testing.T) {
+func TestPartitionedRegionKeepsServingAndNoChangeBypassesIt(t *testing.T) {
 	portals := map[string]*standin.Plain{"a": standin.NewPlain("pa", 0), "b": standin.NewPlain("pb", 0)}
 	addresses := map[string]string{}
 	for region, portal := range portals {
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -53,8 +53,8 @@
 	tcpUserTimeout = 1200 * time.Millisecond
 	// engineIdleTimeout is how long an idle connection to an engine stays open.
 	engineIdleTimeout = 2 * time.Second
-	// peerIdleTimeout is how long an idle connection to another gateway stays open: half
-	// as long as that gateway keeps it open.
+	// peerIdleTimeout is how long an idle connection to a gateway of another region stays
+	// open: half as long as that gateway keeps it open.
 	peerIdleTimeout = 30 * time.Second
 )
 
