--- a/load/load.go
+++ b/load/load.go
@@ -63,8 +63,8 @@
 	events                          atomic.Int64
 }
 
-// longest is the greatest time that the histograms hold, in microseconds.
-const longest = int64(10 * time.Minute / time.Microsecond)
+// maxRecorded is the greatest time that the histograms hold, in microseconds.
+const maxRecorded = int64(10 * time.Minute / time.Microsecond)
 
 // Run sends the load to one target.
 func Run(ctx context.Context, name string, opts Options) (Result, error) {
@@ -72,8 +72,8 @@
 		MaxIdleConnsPerHost: opts.Parallel, MaxConnsPerHost: opts.Parallel, DisableCompression: true,
 	}}
 	defer client.CloseIdleConnections()
-	rec := &recorder{first: hdrhistogram.New(1, longest, 3), total: hdrhistogram.New(1, longest, 3)}
-	body := opts.body()
+	rec := &recorder{first: hdrhistogram.New(1, maxRecorded, 3), total: hdrhistogram.New(1, maxRecorded, 3)}
+	body := opts.requestBody()
 	began := time.Now()
 	interval := time.Duration(float64(time.Second) / opts.Rate)
 	group := pool.New().WithMaxGoroutines(opts.Parallel)
@@ -84,18 +84,18 @@
 		}
 		time.Sleep(time.Until(due))
 		rec.sent.Add(1)
-		group.Go(func() { rec.send(ctx, client, opts, body, due) })
+		group.Go(func() { rec.sendRequest(ctx, client, opts, body, due) })
 	}
 	group.Wait()
 	return rec.result(name, time.Since(began)), errors.Trace(ctx.Err())
 }
 
-func (o Options) body() []byte {
+func (o Options) requestBody() []byte {
 	prompt := strings.Repeat("x", o.Prompt)
 	return fmt.Appendf(nil, `{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, o.Model, o.Stream, o.Tokens, prompt)
 }
 
-func (r *recorder) send(ctx context.Context, client *http.Client, opts Options, body []byte, due time.Time) {
+func (r *recorder) sendRequest(ctx context.Context, client *http.Client, opts Options, body []byte, due time.Time) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, opts.URL, bytes.NewReader(body))
 	if err != nil {
 		r.failed.Add(1)
@@ -113,11 +113,11 @@
 		r.refused.Add(1)
 		return
 	}
-	r.read(resp, opts, due)
+	r.readAnswer(resp, opts, due)
 }
 
-// read reads an answer and notes its times from when it was due.
-func (r *recorder) read(resp *http.Response, opts Options, due time.Time) {
+// readAnswer reads an answer and notes its times from when it was due.
+func (r *recorder) readAnswer(resp *http.Response, opts Options, due time.Time) {
 	chunk := make([]byte, 4<<10)
 	var first time.Duration
 	var tail []byte
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,59 +10,59 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// kind is a kind of request that callers send, and what was promised for it.
-type kind struct {
-	name     string
-	service  string
-	model    bool
-	once     bool // runs at most once
-	attempts int  // engines that it may reach
-	region   string
+// requestKind is a kind of request that callers send, and what was promised for it.
+type requestKind struct {
+	name        string
+	service     string
+	model       bool
+	atMostOnce  bool // runs at most once
+	maxAttempts int  // engines that it may reach
+	region      string
 }
 
 // kinds are those of the declaration.
-var kinds = []kind{
-	{name: "safe", service: "portal", attempts: 2},
-	{name: "unsafe", service: "portal", once: true, attempts: 1},
-	{name: "bound", service: "portal", attempts: 2, region: "region0"},
-	{name: "chat", service: "model", model: true, once: true, attempts: 1},
-	{name: "review", service: "model", model: true, attempts: 2},
+var kinds = []requestKind{
+	{name: "safe", service: "portal", maxAttempts: 2},
+	{name: "unsafe", service: "portal", atMostOnce: true, maxAttempts: 1},
+	{name: "bound", service: "portal", maxAttempts: 2, region: "region0"},
+	{name: "chat", service: "model", model: true, atMostOnce: true, maxAttempts: 1},
+	{name: "review", service: "model", model: true, maxAttempts: 2},
 }
 
-func kindOf(path string) (kind, bool) {
+func kindOfPath(path string) (requestKind, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	for _, k := range kinds {
 		if k.name == name {
 			return k, true
 		}
 	}
-	return kind{}, false
+	return requestKind{}, false
 }
 
 // Checker holds the promises against what callers, engines and operators saw. It
 // is safe for concurrent use.
 type Checker struct {
-	mu         sync.Mutex
-	engines    []*Engine
-	promised   map[string]string   // what was refused as not run, by request, with where
-	accepted   int64               // highest version
-	acceptedAt map[int64]time.Time // by version
-	shown      map[string]shown    // by request
-	calm       time.Time           // since when nothing has been done to anybody; zero while something is
-	problems   []string
-	Answers    map[string]int // by kind and status
-	Checks     int
-	SmallRan   int // requests of the account that may ask for little
-	PoisonRan  int // runs of the request that crashes engines
-	NeedyMost  int // requests within limitWindow at the engine that names a limit, while calm
-	needy      *Engine
-	Rests      int                    // that engines asked for
-	disturbed  map[string][]time.Time // by IP number: when a host's process was started or got a signal
+	mu            sync.Mutex
+	engines       []*Engine
+	notRun        map[string]string   // what was refused as not run, by request, with where
+	newest        int64               // highest version
+	acceptedAt    map[int64]time.Time // by version
+	keyUses       map[string]keyUse   // by request
+	calmSince     time.Time           // since when nothing has been done to anybody; zero while something is
+	problems      []string
+	Answers       map[string]int // by kind and status
+	Checks        int
+	SmallRan      int // requests of the account that may ask for little
+	PoisonRan     int // runs of the request that crashes engines
+	NeedyMost     int // requests within limitWindow at the engine that names a limit, while calm
+	limitedEngine *Engine
+	Rests         int                    // that engines asked for
+	disturbances  map[string][]time.Time // by IP number: when a host's process was started or got a signal
 }
 
 // NewChecker makes a checker that has seen nothing.
 func NewChecker() *Checker {
-	return &Checker{promised: make(map[string]string), acceptedAt: make(map[int64]time.Time), shown: make(map[string]shown), Answers: make(map[string]int), disturbed: make(map[string][]time.Time)}
+	return &Checker{notRun: make(map[string]string), acceptedAt: make(map[int64]time.Time), keyUses: make(map[string]keyUse), Answers: make(map[string]int), disturbances: make(map[string][]time.Time)}
 }
 
 // AddEngine adds an engine whose arrivals are checked.
@@ -76,7 +76,7 @@
 func (c *Checker) Accepted(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.accepted = max(c.accepted, version)
+	c.newest = max(c.newest, version)
 	c.acceptedAt[version] = time.Now()
 }
 
@@ -84,16 +84,16 @@
 func (c *Checker) Newest() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.accepted
+	return c.newest
 }
 
 // SetCalm notes that from now on nothing is done to anybody, or ends that.
 func (c *Checker) SetCalm(calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calm = time.Time{}
+	c.calmSince = time.Time{}
 	if calm {
-		c.calm = time.Now()
+		c.calmSince = time.Now()
 	}
 }
 
@@ -112,12 +112,12 @@
 }
 
 // Answer checks one answer as its caller saw it.
-func (c *Checker) Answer(k kind, gateway string, r platformtest.Result) {
+func (c *Checker) Answer(k requestKind, gateway string, r platformtest.Result) {
 	c.mu.Lock()
 	c.Checks++
 	c.Answers[fmt.Sprintf("%s %d", k.name, r.Status)]++
 	if r.Promised() {
-		c.promised[r.ID] = gateway
+		c.notRun[r.ID] = gateway
 	}
 	c.mu.Unlock()
 	if r.Status != http.StatusOK {
@@ -125,7 +125,7 @@
 	}
 	want := platformtest.Answer(r.Engine, r.ID)
 	if k.model {
-		want = wholeStream
+		want = completeStream
 	}
 	switch {
 	case r.Engine == "":
@@ -137,8 +137,8 @@
 	}
 }
 
-// wholeStream is what every engine streams.
-var wholeStream = func() string {
+// completeStream is what every engine streams.
+var completeStream = func() string {
 	all := ""
 	for n := 1; n <= 5; n++ {
 		all += platformtest.Event(n)
@@ -164,21 +164,21 @@
 // Engines checks what has arrived at the engines so far.
 func (c *Checker) Engines() {
 	c.mu.Lock()
-	engines, calm := append([]*Engine(nil), c.engines...), c.calm
-	promised := make(map[string]string, len(c.promised))
-	for id, where := range c.promised {
+	engines, calm := append([]*Engine(nil), c.engines...), c.calmSince
+	promised := make(map[string]string, len(c.notRun))
+	for id, where := range c.notRun {
 		promised[id] = where
 	}
 	c.mu.Unlock()
-	c.accounts(engines)
-	c.poisoned(engines)
-	c.limited()
-	c.pushedBack(engines)
+	c.checkAccounts(engines)
+	c.checkPoison(engines)
+	c.checkEngineLimit()
+	c.checkPushback(engines)
 	ran, reached := make(map[string]int), make(map[string]int)
 	for _, e := range engines {
 		acked := e.DrainAcked()
 		for _, a := range e.Arrivals() {
-			k, known := kindOf(a.Path)
+			k, known := kindOfPath(a.Path)
 			if !known {
 				continue // a question which version is in force
 			}
@@ -186,19 +186,19 @@
 			if a.Ran {
 				ran[a.Request]++
 			}
-			c.arrival(e, k, a, promised, calm, acked)
-			if k.once && ran[a.Request] > 1 {
+			c.checkArrival(e, k, a, promised, calm, acked)
+			if k.atMostOnce && ran[a.Request] > 1 {
 				c.Problem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
 			}
-			if reached[a.Request] > k.attempts {
-				c.Problem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.attempts)
+			if reached[a.Request] > k.maxAttempts {
+				c.Problem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.maxAttempts)
 			}
 		}
 	}
 }
 
-// arrival checks one arrival by itself.
-func (c *Checker) arrival(e *Engine, k kind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
+// checkArrival checks one arrival by itself.
+func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
 	if where, refused := promised[a.Request]; refused && a.Ran {
 		c.Problem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
 	}
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -10,31 +10,31 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// wipePause is the least time between two losses of data folders: a second one
+// minWipeInterval is the least time between two losses of data folders: a second one
 // may come once the first host has had time to vote again.
-const wipePause = 10 * time.Second
+const minWipeInterval = 10 * time.Second
 
-// harm is one thing that is done, and how often it is drawn.
-type harm struct {
+// fault is one thing that is done, and how often it is drawn.
+type fault struct {
 	name   string
 	weight int
-	do     func(w *World, r *rand.Rand) string // what it was done to; "" if it can't be done now
+	inject func(w *World, r *rand.Rand) string // what it was done to; "" if it can't be done now
 }
 
-// harms are all that can be done.
-var harms = []harm{
+// faults are all that can be done.
+var faults = []fault{
 	{"kill gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGKILL) }},
 	{"stop gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGTERM) }},
-	{"kill control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controls()), r, syscall.SIGKILL) }},
-	{"stop control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controls()), r, syscall.SIGTERM) }},
+	{"kill control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controlHosts()), r, syscall.SIGKILL) }},
+	{"stop control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controlHosts()), r, syscall.SIGTERM) }},
 	{"kill all control", 1, func(w *World, r *rand.Rand) string {
-		for _, h := range w.controls() {
+		for _, h := range w.controlHosts() {
 			w.restart(h, r, syscall.SIGKILL)
 		}
 		return "all"
 	}},
-	{"lose data folder", 2, loseFolder},
-	{"pause", 4, func(w *World, r *rand.Rand) string { return w.pauseFor(pick(r, w.Hosts), span(r, 300, 3000)) }},
+	{"lose data folder", 2, wipeDataDir},
+	{"pause", 4, func(w *World, r *rand.Rand) string { return w.pauseFor(pick(r, w.Hosts), randomDuration(r, 300, 3000)) }},
 	{"reload", 1, func(w *World, _ *rand.Rand) string {
 		for _, h := range w.Hosts {
 			w.signal(h, syscall.SIGHUP)
@@ -43,7 +43,7 @@
 	}},
 	{"cut off", 4, func(w *World, r *rand.Rand) string {
 		h := pick(r, w.Hosts)
-		w.cut(span(r, 500, 4000), r.IntN(3) > 0, r.IntN(3) > 0, []*Host{h})
+		w.partition(randomDuration(r, 500, 4000), r.IntN(3) > 0, r.IntN(3) > 0, []*Host{h})
 		return h.Name
 	}},
 	{"cut region off", 2, func(w *World, r *rand.Rand) string {
@@ -54,13 +54,13 @@
 				inside = append(inside, h)
 			}
 		}
-		w.cut(span(r, 500, 4000), true, r.IntN(3) > 0, inside)
+		w.partition(randomDuration(r, 500, 4000), true, r.IntN(3) > 0, inside)
 		return region
 	}},
 	{"delay", 3, func(w *World, r *rand.Rand) string {
-		h, delay := pick(r, w.Hosts), span(r, 20, 250)
-		w.each([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{Delay: delay}) })
-		w.after(span(r, 1000, 4000), func() { w.each([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{}) }) })
+		h, delay := pick(r, w.Hosts), randomDuration(r, 20, 250)
+		w.eachLink([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{Delay: delay}) })
+		w.schedule(randomDuration(r, 1000, 4000), func() { w.eachLink([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{}) }) })
 		return h.Name
 	}},
 	{"reset", 3, func(w *World, r *rand.Rand) string {
@@ -83,28 +83,28 @@
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
 
-// span draws a time between two numbers of milliseconds.
-func span(r *rand.Rand, least, most int) time.Duration {
+// randomDuration draws a time between two numbers of milliseconds.
+func randomDuration(r *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
 }
 
-// draw draws one harm by weight.
-func draw(r *rand.Rand) harm {
+// drawFault draws one harm by weight.
+func drawFault(r *rand.Rand) fault {
 	total := 0
-	for _, h := range harms {
+	for _, h := range faults {
 		total += h.weight
 	}
 	at := r.IntN(total)
-	for _, h := range harms {
+	for _, h := range faults {
 		if at -= h.weight; at < 0 {
 			return h
 		}
 	}
-	return harms[0]
+	return faults[0]
 }
 
-// after does something later, unless the world ends first.
-func (w *World) after(wait time.Duration, do func()) {
+// schedule does something later, unless the world ends first.
+func (w *World) schedule(wait time.Duration, do func()) {
 	w.group.Go(func() {
 		select {
 		case <-w.ctx.Done():
@@ -118,13 +118,13 @@
 func (w *World) restart(h *Host, r *rand.Rand, s syscall.Signal) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.busy || !h.up() {
+	if h.restarting || !h.running() {
 		return ""
 	}
-	h.busy = true
+	h.restarting = true
 	w.signal(h, syscall.SIGCONT)
 	w.signal(h, s)
-	exited, pause := h.exited, span(r, 100, 1500)
+	exited, pause := h.exited, randomDuration(r, 100, 1500)
 	w.group.Go(func() {
 		select {
 		case <-exited:
@@ -133,16 +133,16 @@
 			w.kill(h)
 		}
 		time.Sleep(pause)
-		w.startAgain(h)
+		w.startExited(h)
 	})
 	return h.Name
 }
 
-// startAgain starts a host's process that has ended.
-func (w *World) startAgain(h *Host) {
+// startExited starts a host's process that has ended.
+func (w *World) startExited(h *Host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h.busy = false
+	h.restarting = false
 	if w.ctx.Err() != nil {
 		return
 	}
@@ -151,26 +151,26 @@
 	}
 }
 
-// loseFolder kills a control host and takes its data folder, if no other host's
+// wipeDataDir kills a control host and takes its data folder, if no other host's
 // loss is still being repaired.
-func loseFolder(w *World, r *rand.Rand) string {
-	h := pick(r, w.controls())
+func wipeDataDir(w *World, r *rand.Rand) string {
+	h := pick(r, w.controlHosts())
 	w.mu.Lock()
-	allWell := time.Since(w.wiped) > wipePause
-	for _, c := range w.controls() {
-		allWell = allWell && !c.busy && c.up() && !c.paused
+	allWell := time.Since(w.lastWipe) > minWipeInterval
+	for _, c := range w.controlHosts() {
+		allWell = allWell && !c.restarting && c.running() && !c.paused
 	}
 	if !allWell {
 		w.mu.Unlock()
 		return ""
 	}
-	w.wiped = time.Now()
+	w.lastWipe = time.Now()
 	w.mu.Unlock()
 	w.kill(h)
 	if err := os.RemoveAll(filepath.Join(w.Dir, h.Name)); err != nil {
 		w.Check.Problem("data folder of %s: %v", h.Name, err)
 	}
-	w.startAgain(h)
+	w.startExited(h)
 	return h.Name
 }
 
@@ -178,12 +178,12 @@
 func (w *World) pauseFor(h *Host, wait time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.busy || h.paused || !h.up() {
+	if h.restarting || h.paused || !h.running() {
 		return ""
 	}
 	h.paused = true
 	w.signal(h, syscall.SIGSTOP)
-	w.after(wait, func() {
+	w.schedule(wait, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		h.paused = false
@@ -192,11 +192,11 @@
 	return h.Name
 }
 
-// cut cuts hosts off from all others that are not among them, in the chosen
+// partition cuts hosts off from all others that are not among them, in the chosen
 // directions, and joins them later.
-func (w *World) cut(wait time.Duration, in, out bool, inside []*Host) {
+func (w *World) partition(wait time.Duration, in, out bool, inside []*Host) {
 	set := func(lost bool) {
-		w.each(inside, func(from, to string) {
+		w.eachLink(inside, func(from, to string) {
 			incoming := containsHost(inside, to)
 			if (incoming && in) || (!incoming && out) {
 				w.Net.Set(from, to, Harm{Lost: lost})
@@ -204,7 +204,7 @@
 		})
 	}
 	set(true)
-	w.after(wait, func() { set(false) })
+	w.schedule(wait, func() { set(false) })
 }
 
 func containsHost(hosts []*Host, name string) bool {
@@ -216,8 +216,8 @@
 	return false
 }
 
-// each calls do with both directions between hosts and all others.
-func (w *World) each(inside []*Host, do func(from, to string)) {
+// eachLink calls do with both directions between hosts and all others.
+func (w *World) eachLink(inside []*Host, do func(from, to string)) {
 	for _, h := range inside {
 		for _, o := range w.Hosts {
 			if !containsHost(inside, o.Name) {
@@ -242,6 +242,6 @@
 		return e.ID
 	}
 	e.SetDraining()
-	w.after(drain, e.stop)
+	w.schedule(drain, e.stop)
 	return e.ID
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// poison is the body of the one request that crashes each engine that runs it.
-	poison = "query of death"
-	// poisonPause is between two repeats of it: together they crash an engine each half
+	// poisonBody is the body of the one request that crashes each engine that runs it.
+	poisonBody = "query of death"
+	// poisonInterval is between two repeats of it: together they crash an engine each half
 	// second if nobody keeps them off.
-	poisonPause = 500 * time.Millisecond
-	// crashBack is after how long another engine stands in the place of one that crashed.
-	crashBack = 2 * time.Second
-	// crashesKnown is how long after the third crash it must be known everywhere, and
-	// mostAfter how often it may still reach engines then.
-	crashesKnown = 6 * time.Second
-	mostAfter    = 3
+	poisonInterval = 500 * time.Millisecond
+	// crashReplaceDelay is after how long another engine stands in the place of one that crashed.
+	crashReplaceDelay = 2 * time.Second
+	// quarantineBound is how long after the third crash it must be known everywhere, and
+	// maxAfterQuarantine how often it may still reach engines then.
+	quarantineBound    = 6 * time.Second
+	maxAfterQuarantine = 3
 )
 
 // sendPoison sends the request that crashes engines to one gateway after the other.
@@ -30,9 +30,9 @@
 	for ctx.Err() == nil {
 		h := pick(r, w.gateways(""))
 		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{
-			Host: "soak", Path: "/chat/1", Model: true, Body: poison, Header: platformtest.Showing(memberKey),
+			Host: "soak", Path: "/chat/1", Model: true, Body: poisonBody, Header: platformtest.Showing(memberKey),
 		}) // how it ends is seen at the engines
-		pause(ctx, poisonPause)
+		pause(ctx, poisonInterval)
 	}
 }
 
@@ -44,7 +44,7 @@
 	case <-e.Crashed():
 	}
 	w.removeEngine(e)
-	pause(w.ctx, crashBack)
+	pause(w.ctx, crashReplaceDelay)
 	if w.ctx.Err() != nil {
 		return
 	}
@@ -53,15 +53,15 @@
 	}
 }
 
-// poisoned checks how often the request that crashes engines reached any after it must have
+// checkPoison checks how often the request that crashes engines reached any after it must have
 // been known.
-func (c *Checker) poisoned(engines []*Engine) {
+func (c *Checker) checkPoison(engines []*Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ran, arrived []time.Time
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
-			if a.Body != poison {
+			if a.Body != poisonBody {
 				continue
 			}
 			arrived = append(arrived, a.At)
@@ -77,11 +77,11 @@
 	slices.SortFunc(ran, time.Time.Compare)
 	after := 0
 	for _, at := range arrived {
-		if at.After(ran[2].Add(crashesKnown)) {
+		if at.After(ran[2].Add(quarantineBound)) {
 			after++
 		}
 	}
-	if after > mostAfter {
-		c.problems = append(c.problems, fmt.Sprintf("a request under which three engines had crashed reached engines %d times later than %v after that", after, crashesKnown))
+	if after > maxAfterQuarantine {
+		c.problems = append(c.problems, fmt.Sprintf("a request under which three engines had crashed reached engines %d times later than %v after that", after, quarantineBound))
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -23,15 +23,15 @@
 // Network forwards what is sent to hosts' known addresses to where they listen,
 // and does harm on the way. NewNetwork makes one.
 type Network struct {
-	ctx   context.Context // ends all forwarding
-	group *conc.WaitGroup // takes new goroutines from those that it runs, also while it is waited for
-	ways  *width.Ways     // between regions
+	ctx       context.Context // ends all forwarding
+	group     *conc.WaitGroup // takes new goroutines from those that it runs, also while it is waited for
+	bandwidth *width.Ways     // between regions
 
-	mu    sync.Mutex
-	sites map[string]string // regions of hosts
-	hosts map[string]string // names by the IP number that a host connects from
-	harm  map[[2]string]Harm
-	open  map[net.Conn][2]string
+	mu      sync.Mutex
+	regions map[string]string // regions of hosts
+	hosts   map[string]string // names by the IP number that a host connects from
+	faults  map[[2]string]Harm
+	conns   map[net.Conn][2]string
 }
 
 // outside is the name of everybody who is no host: callers, operators, engines.
@@ -40,25 +40,25 @@
 // NewNetwork makes a network without hosts, and with that width between regions; its forwarding
 // ends with ctx.
 func NewNetwork(ctx context.Context, group *conc.WaitGroup, ways *width.Ways) *Network {
-	return &Network{ctx: ctx, group: group, ways: ways, sites: make(map[string]string), hosts: make(map[string]string), harm: make(map[[2]string]Harm), open: make(map[net.Conn][2]string)}
+	return &Network{ctx: ctx, group: group, bandwidth: ways, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]Harm), conns: make(map[net.Conn][2]string)}
 }
 
 // AddHost names the host of a region that connects from an IP number.
 func (n *Network) AddHost(name, region, ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hosts[ip], n.sites[name] = name, region
+	n.hosts[ip], n.regions[name] = name, region
 }
 
 // regionsOf gives the regions of two hosts. Whoever is no host stands beside the other one.
 func (n *Network) regionsOf(from, to string) (a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	a, known := n.sites[from]
+	a, known := n.regions[from]
 	if !known {
-		a = n.sites[to]
+		a = n.regions[to]
 	}
-	if b, known = n.sites[to]; !known {
+	if b, known = n.regions[to]; !known {
 		b = a
 	}
 	return a, b
@@ -69,41 +69,41 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h == (Harm{}) {
-		delete(n.harm, [2]string{from, to})
+		delete(n.faults, [2]string{from, to})
 		return
 	}
-	n.harm[[2]string{from, to}] = h
+	n.faults[[2]string{from, to}] = h
 }
 
 // Heal ends all harm.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.harm)
+	clear(n.faults)
 }
 
 // Reset resets every open connection of a host.
 func (n *Network) Reset(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for conn, ends := range n.open {
+	for conn, ends := range n.conns {
 		if ends[0] == host || ends[1] == host {
 			if tcp, ok := conn.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0) // a reset, and no orderly end
 			}
 			conn.Close()
-			delete(n.open, conn)
+			delete(n.conns, conn)
 		}
 	}
 }
 
-func (n *Network) between(from, to string) Harm {
+func (n *Network) faultBetween(from, to string) Harm {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.harm[[2]string{from, to}]
+	return n.faults[[2]string{from, to}]
 }
 
-func (n *Network) nameOf(address net.Addr) string {
+func (n *Network) hostName(address net.Addr) string {
 	ip, _, err := net.SplitHostPort(address.String())
 	if err != nil {
 		return outside
@@ -132,16 +132,16 @@
 			if err != nil {
 				return
 			}
-			n.group.Go(func() { n.connect(conn, n.nameOf(conn.RemoteAddr()), host, listens) })
+			n.group.Go(func() { n.forwardConn(conn, n.hostName(conn.RemoteAddr()), host, listens) })
 		}
 	})
 	return nil
 }
 
-// connect forwards one connection.
-func (n *Network) connect(in net.Conn, from, to, listens string) {
+// forwardConn forwards one connection.
+func (n *Network) forwardConn(in net.Conn, from, to, listens string) {
 	defer in.Close()
-	if !n.wait(func() Harm { return n.both(from, to) }) {
+	if !n.waitFault(func() Harm { return n.dialFault(from, to) }) {
 		return
 	}
 	dialer := net.Dialer{Timeout: time.Second}
@@ -153,24 +153,24 @@
 		return
 	}
 	defer out.Close()
-	n.keep(in, from, to)
-	n.keep(out, from, to)
-	defer n.drop(in, out)
+	n.track(in, from, to)
+	n.track(out, from, to)
+	defer n.untrack(in, out)
 	group := pool.New()
-	group.Go(func() { n.copy(out, in, from, to) })
-	group.Go(func() { n.copy(in, out, to, from) })
+	group.Go(func() { n.copyBytes(out, in, from, to) })
+	group.Go(func() { n.copyBytes(in, out, to, from) })
 	group.Wait()
 }
 
-// both gives the harm to a connection that is being opened, which needs both
+// dialFault gives the harm to a connection that is being opened, which needs both
 // ways.
-func (n *Network) both(from, to string) Harm {
-	a, b := n.between(from, to), n.between(to, from)
+func (n *Network) dialFault(from, to string) Harm {
+	a, b := n.faultBetween(from, to), n.faultBetween(to, from)
 	return Harm{Delay: a.Delay + b.Delay, Lost: a.Lost || b.Lost}
 }
 
-// wait waits for as long as bytes are held up; false if all forwarding ended.
-func (n *Network) wait(harm func() Harm) bool {
+// waitFault waits for as long as bytes are held up; false if all forwarding ended.
+func (n *Network) waitFault(harm func() Harm) bool {
 	if delay := harm().Delay; delay > 0 {
 		time.Sleep(delay)
 	}
@@ -178,23 +178,23 @@
 		select {
 		case <-n.ctx.Done():
 			return false
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return n.ctx.Err() == nil
 }
 
-// lookEvery is how often a cut way is looked at.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is how often a cut way is looked at.
+const pollInterval = 20 * time.Millisecond
 
-// copy passes bytes on, one way. TCP keeps what a cut holds up.
-func (n *Network) copy(out, in net.Conn, from, to string) {
+// copyBytes passes bytes on, one way. TCP keeps what a cut holds up.
+func (n *Network) copyBytes(out, in net.Conn, from, to string) {
 	buffer := make([]byte, 16<<10)
 	a, b := n.regionsOf(from, to)
 	for {
 		count, err := in.Read(buffer)
 		if count > 0 {
-			if !n.wait(func() Harm { return n.between(from, to) }) || n.ways.Pass(n.ctx, a, b, count) != nil {
+			if !n.waitFault(func() Harm { return n.faultBetween(from, to) }) || n.bandwidth.Pass(n.ctx, a, b, count) != nil {
 				return
 			}
 			if _, err := out.Write(buffer[:count]); err != nil {
@@ -218,17 +218,17 @@
 	}
 }
 
-func (n *Network) keep(conn net.Conn, from, to string) {
+func (n *Network) track(conn net.Conn, from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.open[conn] = [2]string{from, to}
+	n.conns[conn] = [2]string{from, to}
 }
 
-func (n *Network) drop(conns ...net.Conn) {
+func (n *Network) untrack(conns ...net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, conn := range conns {
-		delete(n.open, conn)
+		delete(n.conns, conn)
 	}
 }
 
@@ -257,9 +257,9 @@
 			if err != nil {
 				return
 			}
-			name := n.nameOf(from)
+			name := n.hostName(from)
 			a, b := n.regionsOf(name, host)
-			if !n.between(name, host).Lost && n.ways.Takes(a, b, count) {
+			if !n.faultBetween(name, host).Lost && n.bandwidth.Takes(a, b, count) {
 				_, _ = conn.WriteToUDP(buffer[:count], to) // as good as lost
 			}
 		}
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// restAsked is the rest that engines ask for, and restHeard after which they want it to be
+	// backoffTime is the rest that engines ask for, and backoffGrace after which they want it to be
 	// kept: what is on its way may come before.
-	restAsked = 2 * time.Second
-	restHeard = 500 * time.Millisecond
-	// restMost is how many requests a host may send an engine within a rest.
-	restMost = 2
+	backoffTime  = 2 * time.Second
+	backoffGrace = 500 * time.Millisecond
+	// maxDuringBackoff is how many requests a host may send an engine within a rest.
+	maxDuringBackoff = 2
 )
 
-// pushBack has one engine after the other refuse all and ask for rest for some seconds, or say in
+// injectPushback has one engine after the other refuse all and ask for rest for some seconds, or say in
 // its answers, and nowhere else, that it leaves.
-func (w *World) pushBack(ctx context.Context, r *rand.Rand) {
+func (w *World) injectPushback(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
-		pause(ctx, span(r, 500, 2500))
+		pause(ctx, randomDuration(r, 500, 2500))
 		e := pick(r, w.liveEngines())
 		if r.IntN(3) == 0 {
-			w.leaveByAnswer(e)
+			w.drainByAnswer(e)
 			continue
 		}
-		e.SetRest(fmt.Sprint(restAsked.Seconds()))
-		w.after(span(r, 200, 5000), func() { e.SetRest("") })
+		e.SetRest(fmt.Sprint(backoffTime.Seconds()))
+		w.schedule(randomDuration(r, 200, 5000), func() { e.SetRest("") })
 	}
 }
 
-// leaveByAnswer ends an engine after it has said so in its answers, and starts another in its
+// drainByAnswer ends an engine after it has said so in its answers, and starts another in its
 // place.
-func (w *World) leaveByAnswer(e *Engine) {
+func (w *World) drainByAnswer(e *Engine) {
 	w.removeEngine(e)
 	if _, err := w.addEngine(e.Service, int(e.Region[len(e.Region)-1]-'0')); err != nil {
 		w.Check.Problem("engine: %v", err)
 	}
 	e.SetLeaving()
-	w.after(drainTime+2*time.Second, e.stop)
+	w.schedule(drainTime+2*time.Second, e.stop)
 }
 
 // Disturbed notes that a host's process is started, stopped, paused or woken now.
 func (c *Checker) Disturbed(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.disturbed[ip] = append(c.disturbed[ip], time.Now())
+	c.disturbances[ip] = append(c.disturbances[ip], time.Now())
 }
 
-// excused tells whether a host was disturbed between two times: its process then may not have
+// disturbedBetween tells whether a host was disturbed between two times: its process then may not have
 // heard, or no longer know, what an engine said.
-func (c *Checker) excused(ip string, from, to time.Time) bool {
+func (c *Checker) disturbedBetween(ip string, from, to time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, at := range c.disturbed[ip] {
+	for _, at := range c.disturbances[ip] {
 		if !at.Before(from) && at.Before(to) {
 			return true
 		}
@@ -64,40 +64,40 @@
 	return false
 }
 
-// pushedBack checks what arrived at engines that had asked for rest, or said that they leave, from
+// checkPushback checks what arrived at engines that had asked for rest, or said that they leave, from
 // the hosts that they had said it to.
-func (c *Checker) pushedBack(engines []*Engine) {
+func (c *Checker) checkPushback(engines []*Engine) {
 	for _, e := range engines {
 		arrivals := e.Arrivals()
 		for i, a := range arrivals {
 			if a.Rest != "" {
 				c.Rests++
-				c.rested(e, a, arrivals[i:])
+				c.checkBackoff(e, a, arrivals[i:])
 			}
 			if a.Leaving {
-				c.left(e, a, arrivals[i:])
+				c.checkDraining(e, a, arrivals[i:])
 			}
 		}
 	}
 }
 
-// rested checks the rest that one answer asked for.
-func (c *Checker) rested(e *Engine, asked platformtest.Arrival, later []platformtest.Arrival) {
-	end, n := asked.At.Add(restAsked), 0
+// checkBackoff checks the rest that one answer asked for.
+func (c *Checker) checkBackoff(e *Engine, asked platformtest.Arrival, later []platformtest.Arrival) {
+	end, n := asked.At.Add(backoffTime), 0
 	for _, a := range later {
-		if a.From == asked.From && a.At.After(asked.At.Add(restHeard)) && a.At.Before(end) {
+		if a.From == asked.From && a.At.After(asked.At.Add(backoffGrace)) && a.At.Before(end) {
 			n++
 		}
 	}
-	if n > restMost && !c.excused(asked.From, asked.At, end) {
-		c.Problem("engine %s had asked %s for %v of rest, and got %d requests from it in that time", e.ID, asked.From, restAsked, n)
+	if n > maxDuringBackoff && !c.disturbedBetween(asked.From, asked.At, end) {
+		c.Problem("engine %s had asked %s for %v of rest, and got %d requests from it in that time", e.ID, asked.From, backoffTime, n)
 	}
 }
 
-// left checks what comes after one answer that said that its engine leaves.
-func (c *Checker) left(e *Engine, said platformtest.Arrival, later []platformtest.Arrival) {
+// checkDraining checks what comes after one answer that said that its engine leaves.
+func (c *Checker) checkDraining(e *Engine, said platformtest.Arrival, later []platformtest.Arrival) {
 	for _, a := range later {
-		if a.From == said.From && a.At.After(said.At.Add(drainTime)) && !c.excused(said.From, said.At, a.At) {
+		if a.From == said.From && a.At.After(said.At.Add(drainTime)) && !c.disturbedBetween(said.From, said.At, a.At) {
 			c.Problem("engine %s had told %s that it leaves, and got request %s from it %v later", e.ID, said.From, a.Request, a.At.Sub(said.At))
 			return
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -48,22 +48,22 @@
 
 // Timing of a run.
 const (
-	// startPatience is how long a world may take until it serves, and
-	// healPatience until it does again after all harm has ended.
-	startPatience = 30 * time.Second
-	healPatience  = 40 * time.Second
+	// startTimeout is how long a world may take until it serves, and
+	// recoveryTimeout until it does again after all harm has ended.
+	startTimeout    = 30 * time.Second
+	recoveryTimeout = 40 * time.Second
 	// callPause is the wait of each caller between two requests.
 	callPause = 40 * time.Millisecond
-	// changeEvery and readEvery are the pauses of the operator.
-	changeEvery = 700 * time.Millisecond
-	readEvery   = 250 * time.Millisecond
+	// changeInterval and readInterval are the pauses of the operator.
+	changeInterval = 700 * time.Millisecond
+	readInterval   = 250 * time.Millisecond
 )
 
-// Versions rise by uneven steps, at most mostStep; the last one by lastStep, which
+// Versions rise by uneven steps, at most maxVersionStep; the last one by finalVersionStep, which
 // is more than all that may be undecided.
 const (
-	mostStep = 3
-	lastStep = 100
+	maxVersionStep   = 3
+	finalVersionStep = 100
 )
 
 // Run does harm for so long, ends it, and waits until everything is served
@@ -82,7 +82,7 @@
 		return Report{}, errors.Trace(err)
 	}
 	report := Report{Seed: opts.Seed, Harms: make(map[string]int)}
-	if !w.put(1, startPatience) || !w.allServed(startPatience) {
+	if !w.putVersion(1, startTimeout) || !w.waitServed(startTimeout) {
 		return report, errors.New("the world didn't begin to serve; see its logs in " + opts.Dir)
 	}
 	busy, stop := context.WithCancel(ctx)
@@ -90,54 +90,54 @@
 	work := pool.New()
 	changing, stopChanging := context.WithCancel(busy)
 	defer stopChanging()
-	w.traffic(busy, changing, work)
+	w.startTraffic(busy, changing, work)
 	for until := time.Now().Add(harming); time.Now().Before(until) && ctx.Err() == nil; {
-		h := draw(w.random)
-		if done := h.do(w, w.random); done != "" {
+		h := drawFault(w.random)
+		if done := h.inject(w, w.random); done != "" {
 			report.Harms[h.name]++
 			w.Times.Note("fault injected", "kind=%q on=%q", h.name, done)
 		}
-		time.Sleep(span(w.random, 50, 900))
+		time.Sleep(randomDuration(w.random, 50, 900))
 	}
 	stopChanging()
-	w.mend()
+	w.endFaults()
 	// A version that got no clear answer may be in force or not. The last one is
 	// above all of them, and must be accepted now that everybody is well.
-	if !w.put(w.Check.Newest()+lastStep, healPatience) {
-		w.Check.Problem("no version is accepted %v after all harm ended", healPatience)
+	if !w.putVersion(w.Check.Newest()+finalVersionStep, recoveryTimeout) {
+		w.Check.Problem("no version is accepted %v after all harm ended", recoveryTimeout)
 	}
-	if !w.allServed(healPatience) {
-		w.Check.Problem("not everything is served %v after all harm ended: %s", healPatience, w.unserved())
+	if !w.waitServed(recoveryTimeout) {
+		w.Check.Problem("not everything is served %v after all harm ended: %s", recoveryTimeout, w.firstUnserved())
 	}
-	w.calmDrain()
+	w.drainWhileCalm()
 	stop()
 	work.Wait()
-	w.readsEverywhere()
+	w.readAllControlHosts()
 	w.Check.Engines()
 	report.SmallRan, report.Crashed, report.Needy, report.Rests = w.Check.SmallRan, w.Check.PoisonRan, w.Check.NeedyMost, w.Check.Rests
 	report.Answers, report.Checks, report.Version, report.Problems = w.Check.Answers, w.Check.Checks, w.Check.Newest(), w.Check.Problems()
 	return report, nil
 }
 
-// traffic starts callers at every gateway, and an operator who makes changes
+// startTraffic starts callers at every gateway, and an operator who makes changes
 // until changing ends.
-func (w *World) traffic(ctx, changing context.Context, work *pool.Pool) {
+func (w *World) startTraffic(ctx, changing context.Context, work *pool.Pool) {
 	for i, h := range w.gateways("") {
 		for j, k := range kinds {
-			work.Go(func() { w.call(ctx, h, k, rand.New(rand.NewPCG(w.Seed, uint64(i*100+j)))) })
+			work.Go(func() { w.sendRequests(ctx, h, k, rand.New(rand.NewPCG(w.Seed, uint64(i*100+j)))) })
 		}
-		work.Go(func() { w.showKeys(ctx, h, rand.New(rand.NewPCG(w.Seed, uint64(i*100+50)))) })
-		work.Go(func() { w.askTooMuch(ctx, h) })
+		work.Go(func() { w.callWithRotatingKeys(ctx, h, rand.New(rand.NewPCG(w.Seed, uint64(i*100+50)))) })
+		work.Go(func() { w.exceedAllowance(ctx, h) })
 	}
 	work.Go(func() { w.sendPoison(ctx, rand.New(rand.NewPCG(w.Seed, 17))) })
-	work.Go(func() { w.pushBack(changing, rand.New(rand.NewPCG(w.Seed, 23))) })
-	work.Go(func() { w.operate(changing) })
-	work.Go(func() { w.read(ctx) })
+	work.Go(func() { w.injectPushback(changing, rand.New(rand.NewPCG(w.Seed, 23))) })
+	work.Go(func() { w.runOperator(changing) })
+	work.Go(func() { w.readDeclarations(ctx) })
 }
 
-// call sends requests of one kind to one gateway. Connections are kept until the
+// sendRequests sends requests of one kind to one gateway. Connections are kept until the
 // other side ends them.
-func (w *World) call(ctx context.Context, h *Host, k kind, r *rand.Rand) {
+func (w *World) sendRequests(ctx context.Context, h *Host, k requestKind, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
 		request := platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model, Parts: fmt.Sprintf("a:400,b%d:600,c:50", r.IntN(5)), Deadline: 3 * time.Second}
@@ -149,53 +149,53 @@
 	}
 }
 
-// operate declares newer versions, and evacuates a data centre now and then.
-func (w *World) operate(ctx context.Context) {
+// runOperator declares newer versions, and evacuates a data centre now and then.
+func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 5))
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for ctx.Err() == nil {
-		w.put(w.Check.Newest()+1+r.Int64N(mostStep), 2*time.Second)
+		w.putVersion(w.Check.Newest()+1+r.Int64N(maxVersionStep), 2*time.Second)
 		if r.IntN(6) == 0 {
-			control, dataCentre := pick(r, w.controls()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
+			control, dataCentre := pick(r, w.controlHosts()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
 			for _, on := range []bool{true, false} {
 				_, _ = o.Evacuate(ctx, control, dataCentre, on) // it is ended for all in the end
-				time.Sleep(readEvery)
+				time.Sleep(readInterval)
 			}
 		}
-		pause(ctx, changeEvery)
+		pause(ctx, changeInterval)
 	}
 }
 
-// read reads the declaration at one control host after the other.
-func (w *World) read(ctx context.Context) {
+// readDeclarations reads the declaration at one control host after the other.
+func (w *World) readDeclarations(ctx context.Context) {
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
-		c, newest := w.controls()[i%len(w.controls())], w.Check.Newest()
+		c, newest := w.controlHosts()[i%len(w.controlHosts())], w.Check.Newest()
 		got, status, err := o.Read(ctx, c.settings.Listen.Operators)
 		w.Times.Note("read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err == nil && status == http.StatusOK {
 			w.Check.Read(c.Name, newest, got.ConfigVersion)
 		}
-		time.Sleep(readEvery)
+		time.Sleep(readInterval)
 	}
 }
 
-// mend ends all harm: ways are joined, processes run, engines answer rightly and
+// endFaults ends all harm: ways are joined, processes run, engines answer rightly and
 // no data centre is evacuated.
-func (w *World) mend() {
+func (w *World) endFaults() {
 	w.Net.Heal()
 	for _, e := range w.liveEngines() {
 		e.SetFaults(platformtest.NewFaultPlan(platformtest.FaultNone, 0))
 		e.SetRest("")
 	}
-	for until := time.Now().Add(healPatience); time.Now().Before(until) && !w.allUp(); {
-		time.Sleep(lookEvery)
+	for until := time.Now().Add(recoveryTimeout); time.Now().Before(until) && !w.allRunning(); {
+		time.Sleep(pollInterval)
 	}
 	w.Net.Heal() // what was undone meanwhile has undone itself
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for dataCentre := range w.regions {
-		for until := time.Now().Add(healPatience); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-			if status, err := o.Evacuate(w.ctx, w.controls()[0].settings.Listen.Operators, dataCentre, false); err == nil && status == http.StatusOK {
+		for until := time.Now().Add(recoveryTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+			if status, err := o.Evacuate(w.ctx, w.controlHosts()[0].settings.Listen.Operators, dataCentre, false); err == nil && status == http.StatusOK {
 				break
 			}
 		}
@@ -204,33 +204,33 @@
 	w.Times.Note("calm", "")
 }
 
-func (w *World) allUp() bool {
+func (w *World) allRunning() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, h := range w.Hosts {
-		if h.busy || h.paused || !h.up() {
+		if h.restarting || h.paused || !h.running() {
 			return false
 		}
 	}
 	return true
 }
 
-// allServed waits until every gateway serves every kind, under the newest
+// waitServed waits until every gateway serves every kind, under the newest
 // version.
-func (w *World) allServed(patience time.Duration) bool {
+func (w *World) waitServed(patience time.Duration) bool {
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if w.unserved() == "" {
+		if w.firstUnserved() == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// unserved names the first gateway and kind that is not served; "" for none.
-func (w *World) unserved() string {
+// firstUnserved names the first gateway and kind that is not served; "" for none.
+func (w *World) firstUnserved() string {
 	var caller platformtest.Caller
 	defer caller.Client.CloseIdleConnections()
-	newest := kind{name: fmt.Sprintf("v%d", w.Check.Newest())}
+	newest := requestKind{name: fmt.Sprintf("v%d", w.Check.Newest())}
 	for _, h := range w.gateways("") {
 		for _, k := range append(slices.Clone(kinds), newest) {
 			result, err := caller.Do(w.ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model})
@@ -242,9 +242,9 @@
 	return ""
 }
 
-// calmDrain lets engines drain while nothing else happens: they get nothing any
+// drainWhileCalm lets engines drain while nothing else happens: they get nothing any
 // more, which Engines checks.
-func (w *World) calmDrain() {
+func (w *World) drainWhileCalm() {
 	time.Sleep(drainTime + time.Second)
 	for _, e := range w.liveEngines()[:2] {
 		e.SetDraining()
@@ -253,10 +253,10 @@
 	time.Sleep(drainTime + 2*time.Second)
 }
 
-// readsEverywhere reads the newest version at every control host.
-func (w *World) readsEverywhere() {
+// readAllControlHosts reads the newest version at every control host.
+func (w *World) readAllControlHosts() {
 	o := platformtest.Operator{Client: http.Client{Timeout: 2 * time.Second}}
-	for _, c := range w.controls() {
+	for _, c := range w.controlHosts() {
 		got, status, err := o.Read(w.ctx, c.settings.Listen.Operators)
 		w.Times.Note("last read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err != nil || status != http.StatusOK {
--- a/soak/world.go
+++ b/soak/world.go
@@ -59,33 +59,33 @@
 	Region  string
 	Control bool
 
-	settings settings.Member
-	listens  string // IP number
-	process  *exec.Cmd
-	log      *os.File
-	exited   chan struct{}
-	paused   bool
-	busy     bool // it is being ended, and will be started again
+	settings   settings.Member
+	listenIP   string // IP number
+	process    *exec.Cmd
+	log        *os.File
+	exited     chan struct{}
+	paused     bool
+	restarting bool // it is being ended, and will be started again
 }
 
 // World is one deployment and what happened to it. New makes one.
 type World struct {
 	Options
-	Net     *Network
-	Hosts   []*Host
-	Check   *Checker
-	Times   *Timeline
-	random  *rand.Rand
-	regions map[string]string   // by data centre
-	known   []*loopback.Network // by region: where hosts are reached
-	listens []*loopback.Network // and where they listen, behind the proxy
-	seeds   []string
-	ctx     context.Context
-	group   *conc.WaitGroup
+	Net        *Network
+	Hosts      []*Host
+	Check      *Checker
+	Times      *Timeline
+	random     *rand.Rand
+	regions    map[string]string   // by data centre
+	publicNets []*loopback.Network // by region: where hosts are reached
+	listenNets []*loopback.Network // and where they listen, behind the proxy
+	seeds      []string
+	ctx        context.Context
+	group      *conc.WaitGroup
 
-	mu      sync.Mutex
-	engines []*Engine
-	wiped   time.Time // when a data folder was last lost
+	mu       sync.Mutex
+	engines  []*Engine
+	lastWipe time.Time // when a data folder was last lost
 }
 
 // Engine is one engine with the place where it stands.
@@ -110,15 +110,15 @@
 	}
 	for r := range opts.Regions {
 		w.regions[fmt.Sprintf("dc%d", r)] = fmt.Sprintf("region%d", r)
-		known, err := w.claim()
+		known, err := w.claimNetwork()
 		if err != nil {
 			return nil, err
 		}
-		listens, err := w.claim()
+		listens, err := w.claimNetwork()
 		if err != nil {
 			return nil, err
 		}
-		w.known, w.listens = append(w.known, known), append(w.listens, listens)
+		w.publicNets, w.listenNets = append(w.publicNets, known), append(w.listenNets, listens)
 		w.seeds = append(w.seeds, address(known.IP(1), operatorsPort))
 	}
 	for r := range opts.Regions {
@@ -142,11 +142,11 @@
 			}
 		}
 	}
-	return w, w.addNeedy()
+	return w, w.addLimitedEngine()
 }
 
-// claim claims a loopback network until the world's context ends.
-func (w *World) claim() (*loopback.Network, error) {
+// claimNetwork claims a loopback network until the world's context ends.
+func (w *World) claimNetwork() (*loopback.Network, error) {
 	network, err := loopback.Claim()
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -161,13 +161,13 @@
 // addHost makes a host's settings and the ways to it. The first of each region is
 // its control host.
 func (w *World) addHost(region, number int) error {
-	known, listens := w.known[region].IP(number+1), w.listens[region].IP(number+1)
-	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), Control: number == 0, listens: listens}
+	known, listens := w.publicNets[region].IP(number+1), w.listenNets[region].IP(number+1)
+	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), Control: number == 0, listenIP: listens}
 	h.settings = settings.Member{
-		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.known[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: known, Bind: listens,
+		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.publicNets[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: known, Bind: listens,
 		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, Losses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
 		StopTime: 5 * time.Second, Retries: settings.Retry{Share: 0.2, Extra: 60, Window: 10 * time.Second},
-		KeysRevokedWithin: keyBound, Allowances: bounds,
+		KeysRevokedWithin: keyRevocationBound, Allowances: allowanceBounds,
 		Listen: settings.Listen{Metrics: address(known, metricsPort)},
 	}
 	ports := []int{peerPort, peerPort + 1, callersPort, readyPort}
@@ -214,7 +214,7 @@
 		return errors.Trace(err)
 	}
 	h.paused = false
-	w.Check.Disturbed(h.listens)
+	w.Check.Disturbed(h.listenIP)
 	h.settings.FirstStart = false
 	exited, process := make(chan struct{}), h.process
 	h.exited = exited
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// up tells whether a host's process runs.
-func (h *Host) up() bool {
+// running tells whether a host's process runs.
+func (h *Host) running() bool {
 	select {
 	case <-h.exited:
 		return false
@@ -237,8 +237,8 @@
 
 // signal sends a signal to a host's process, by its ID.
 func (w *World) signal(h *Host, s syscall.Signal) {
-	w.Check.Disturbed(h.listens)
-	if h.up() {
+	w.Check.Disturbed(h.listenIP)
+	if h.running() {
 		_ = h.process.Process.Signal(s) // it may end just now
 	}
 }
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithCancel(w.ctx)
 	group := pool.New()
 	e, err := platformtest.StartEngine(ctx, group, "127.0.0.1:0", platformtest.EngineOptions{
-		Service: service, DataCentre: fmt.Sprintf("dc%d", region), Heartbeat: heartbeat, Pause: 15 * time.Millisecond, CrashOn: poison,
+		Service: service, DataCentre: fmt.Sprintf("dc%d", region), Heartbeat: heartbeat, Pause: 15 * time.Millisecond, CrashOn: poisonBody,
 	})
 	if err != nil {
 		cancel()
@@ -307,7 +307,7 @@
 	return out
 }
 
-func (w *World) controls() []*Host {
+func (w *World) controlHosts() []*Host {
 	var out []*Host
 	for _, h := range w.Hosts {
 		if h.Control {
@@ -341,14 +341,14 @@
 	})
 }
 
-// put puts a version until a control host accepts it, or time is up.
-func (w *World) put(version int64, patience time.Duration) bool {
+// putVersion puts a version until a control host accepts it, or time is up.
+func (w *World) putVersion(version int64, patience time.Duration) bool {
 	body, err := declaration(version)
 	if err != nil {
 		return false
 	}
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
-	controls := w.controls()
+	controls := w.controlHosts()
 	for until := time.Now().Add(patience); time.Now().Before(until); {
 		c := controls[rand.IntN(len(controls))]
 		status, err := o.Put(w.ctx, c.settings.Listen.Operators, body)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -59,21 +59,21 @@
 	router *httprouter.Router
 	slots  chan struct{}
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	waiting int
-	running int
-	fault   Fault
-	faults  int // how many more requests the fault hits; negative for all
-	loads   []loadSample
-	cache   *blockcache.Cache
-	events  []uint64 // blocks evicted since the last poll
-	streams map[string]*stream
-	stats   EngineStats
-	orders  orders
-	limit   string // that its answers name; "" for none
-	rest    string // that it asks for as it refuses all; "" while it takes requests
-	leaving bool   // its answers say so
+	mu          sync.Mutex
+	random      *rand.Rand
+	waiting     int
+	running     int
+	fault       Fault
+	faultsLeft  int // how many more requests the fault hits; negative for all
+	loadHistory []loadSample
+	cache       *blockcache.Cache
+	events      []uint64 // blocks evicted since the last poll
+	streams     map[string]*stream
+	stats       EngineStats
+	orders      orders
+	limit       string // that its answers name; "" for none
+	backoff     string // that it asks for as it refuses all; "" while it takes requests
+	draining    bool   // its answers say so
 }
 
 // EngineStats counts what an engine has done.
@@ -102,14 +102,14 @@
 		streams: make(map[string]*stream),
 	}
 	r := httprouter.New()
-	r.POST("/v1/chat/completions", e.complete)
-	r.POST("/v1/completions", e.complete)
-	r.GET("/engine/streams/:id", e.resume)
-	r.GET("/engine/load", e.load)
-	r.GET("/engine/events", e.cacheEvents)
-	r.GET("/engine/stats", e.statistics)
-	r.POST("/engine/fault", e.setFault)
-	r.POST("/engine/order", e.order)
+	r.POST("/v1/chat/completions", e.handleCompletion)
+	r.POST("/v1/completions", e.handleCompletion)
+	r.GET("/engine/streams/:id", e.handleResume)
+	r.GET("/engine/load", e.handleLoad)
+	r.GET("/engine/events", e.handleCacheEvents)
+	r.GET("/engine/stats", e.handleStats)
+	r.POST("/engine/fault", e.handleFault)
+	r.POST("/engine/order", e.handleOrder)
 	e.router = r
 	return e
 }
@@ -139,7 +139,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	limit, leaving := e.limit, e.leaving
+	limit, leaving := e.limit, e.draining
 	e.mu.Unlock()
 	if limit != "" {
 		w.Header().Set(relay.HeaderLimit, limit)
@@ -161,14 +161,14 @@
 func (e *Engine) SetRest(rest string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rest = rest
+	e.backoff = rest
 }
 
 // SetLeaving makes answers say, or no longer say, that the engine leaves.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = leaving
+	e.draining = leaving
 }
 
 // Stats gives what the engine has done so far.
@@ -182,17 +182,17 @@
 func (e *Engine) SetFault(fault Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault, e.faults = fault, n
+	e.fault, e.faultsLeft = fault, n
 }
 
-func (e *Engine) takeFault() Fault {
+func (e *Engine) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults == 0 {
+	if e.faultsLeft == 0 {
 		return FaultNone
 	}
-	if e.faults > 0 {
-		e.faults--
+	if e.faultsLeft > 0 {
+		e.faultsLeft--
 	}
 	return e.fault
 }
@@ -205,20 +205,20 @@
 	Prompt    json.RawMessage `json:"prompt"`
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	w.Header().Set(relay.HeaderAttempt, r.Header.Get(relay.HeaderAttempt))
-	fault := e.takeFault()
-	if rest := e.asksForRest(); rest != "" {
-		e.refuse(w, rest)
+	fault := e.nextFault()
+	if rest := e.backoffAsked(); rest != "" {
+		e.reject(w, rest)
 		return
 	}
-	if fault == FaultRefuse || !e.enter() {
-		e.refuse(w, fullRest)
+	if fault == FaultRefuse || !e.enqueue() {
+		e.reject(w, queueFullBackoff)
 		return
 	}
 	var req completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		e.leave()
+		e.dequeue()
 		http.Error(w, `{"error":{"message":"bad request"}}`, http.StatusBadRequest)
 		return
 	}
@@ -226,19 +226,19 @@
 	select {
 	case e.slots <- struct{}{}:
 	case <-r.Context().Done():
-		e.leave()
+		e.dequeue()
 		return
 	}
-	e.started()
-	defer e.ended(r.Context())
+	e.markStarted()
+	defer e.markEnded(r.Context())
 	if !sleep(r.Context(), e.prefill(req)) {
 		return
 	}
 	e.answer(w, r, req, fault)
 }
 
-// enter takes a place in the queue.
-func (e *Engine) enter() bool {
+// enqueue takes a place in the queue.
+func (e *Engine) enqueue() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.waiting >= e.opts.Queue {
@@ -246,27 +246,27 @@
 		return false
 	}
 	e.waiting++
-	e.sample()
+	e.recordLoad()
 	return true
 }
 
-func (e *Engine) leave() {
+func (e *Engine) dequeue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting--
-	e.sample()
+	e.recordLoad()
 }
 
-func (e *Engine) started() {
+func (e *Engine) markStarted() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting--
 	e.running++
 	e.stats.Started++
-	e.sample()
+	e.recordLoad()
 }
 
-func (e *Engine) ended(ctx context.Context) {
+func (e *Engine) markEnded(ctx context.Context) {
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -276,7 +276,7 @@
 	} else {
 		e.stats.Finished++
 	}
-	e.sample()
+	e.recordLoad()
 }
 
 // prefill gives the time to the first token and updates the cache.
@@ -303,20 +303,20 @@
 	return e.opts.FirstToken + time.Duration(coldBytes)*e.opts.PrefillByte
 }
 
-// fullRest is what an engine asks for whose queue is full, in seconds.
-const fullRest = "1"
+// queueFullBackoff is what an engine asks for whose queue is full, in seconds.
+const queueFullBackoff = "1"
 
-// asksForRest gives the rest that it asks for, counting the request that it refuses.
-func (e *Engine) asksForRest() string {
+// backoffAsked gives the rest that it asks for, counting the request that it refuses.
+func (e *Engine) backoffAsked() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rest != "" {
+	if e.backoff != "" {
 		e.stats.Refused++
 	}
-	return e.rest
+	return e.backoff
 }
 
-func (e *Engine) refuse(w http.ResponseWriter, rest string) {
+func (e *Engine) reject(w http.ResponseWriter, rest string) {
 	w.Header().Set(relay.HeaderNotRun, "true")
 	w.Header().Set("Retry-After", rest)
 	w.WriteHeader(http.StatusTooManyRequests)
@@ -331,7 +331,7 @@
 	case FaultCrossed:
 		w.Header().Set(relay.HeaderAttempt, "another-attempt")
 	case FaultLate:
-		if !sleep(r.Context(), lateTime) {
+		if !sleep(r.Context(), lateDelay) {
 			return
 		}
 	}
@@ -346,8 +346,8 @@
 	e.answerWhole(w, r, req, tokens, fault)
 }
 
-// lateTime is how late FaultLate answers.
-const lateTime = 3 * time.Second
+// lateDelay is how late FaultLate answers.
+const lateDelay = 3 * time.Second
 
 func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, req completionRequest, tokens int, fault Fault) {
 	if !sleep(r.Context(), time.Duration(tokens)*e.opts.TokenTime) {
@@ -374,31 +374,31 @@
 	_, _ = w.Write(body)
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	e.mu.Lock()
 	sample := loadSample{at: time.Now(), running: e.running, waiting: e.waiting}
 	if e.opts.ReportLag > 0 {
-		sample = e.lagging(sample.at.Add(-e.opts.ReportLag))
+		sample = e.loadAt(sample.at.Add(-e.opts.ReportLag))
 	}
 	e.mu.Unlock()
 	writeJSON(w, map[string]any{"running": sample.running, "waiting": sample.waiting, "at": sample.at})
 }
 
-// sample remembers the load, for reports that lag. The lock is held.
-func (e *Engine) sample() {
+// recordLoad remembers the load, for reports that lag. The lock is held.
+func (e *Engine) recordLoad() {
 	if e.opts.ReportLag == 0 {
 		return
 	}
 	now := time.Now()
-	e.loads = append(e.loads, loadSample{now, e.running, e.waiting})
-	for len(e.loads) > 1 && now.Sub(e.loads[1].at) > e.opts.ReportLag {
-		e.loads = e.loads[1:]
+	e.loadHistory = append(e.loadHistory, loadSample{now, e.running, e.waiting})
+	for len(e.loadHistory) > 1 && now.Sub(e.loadHistory[1].at) > e.opts.ReportLag {
+		e.loadHistory = e.loadHistory[1:]
 	}
 }
 
-func (e *Engine) lagging(at time.Time) loadSample {
+func (e *Engine) loadAt(at time.Time) loadSample {
 	found := loadSample{at: at}
-	for _, sample := range e.loads {
+	for _, sample := range e.loadHistory {
 		if sample.at.After(at) {
 			break
 		}
@@ -407,7 +407,7 @@
 	return found
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	e.mu.Lock()
 	events := e.events
 	e.events = nil
@@ -415,11 +415,11 @@
 	writeJSON(w, map[string]any{"evicted": events})
 }
 
-func (e *Engine) statistics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleStats(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	writeJSON(w, e.Stats())
 }
 
-func (e *Engine) setFault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleFault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	n, err := strconv.Atoi(r.URL.Query().Get("n"))
 	if err != nil {
 		http.Error(w, "n must be a number", http.StatusBadRequest)
--- a/standin/order.go
+++ b/standin/order.go
@@ -21,12 +21,12 @@
 }
 
 type orders struct {
-	newest uint64
-	loaded Order
-	count  int
+	newestFence uint64
+	last        Order
+	count       int
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var order Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -34,12 +34,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if order.Fence < e.orders.newest {
+	if order.Fence < e.orders.newestFence {
 		http.Error(w, "old fence", http.StatusConflict)
 		return
 	}
-	e.orders.newest = order.Fence
-	e.orders.loaded = order
+	e.orders.newestFence = order.Fence
+	e.orders.last = order
 	e.orders.count++
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -48,5 +48,5 @@
 func (e *Engine) Loaded() (Order, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.orders.loaded, e.orders.count
+	return e.orders.last, e.orders.count
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -16,12 +16,12 @@
 type Plain struct {
 	name string
 
-	mu     sync.Mutex
-	ran    map[string]int
-	bytes  int64
-	fault  Fault
-	faults int
-	wait   time.Duration
+	mu          sync.Mutex
+	runs        map[string]int
+	bytes       int64
+	fault       Fault
+	faultsLeft  int
+	serviceTime time.Duration
 }
 
 // HeaderOrder names what a call does, for counting.
@@ -29,14 +29,14 @@
 
 // NewPlain makes a service that takes wait for each call.
 func NewPlain(name string, wait time.Duration) *Plain {
-	return &Plain{name: name, ran: make(map[string]int), wait: wait}
+	return &Plain{name: name, runs: make(map[string]int), serviceTime: wait}
 }
 
 // Ran gives how often the call has run.
 func (p *Plain) Ran(order string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ran[order]
+	return p.runs[order]
 }
 
 // Bytes gives the number of body bytes taken in.
@@ -50,19 +50,19 @@
 func (p *Plain) SetFault(fault Fault, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fault, p.faults = fault, n
+	p.fault, p.faultsLeft = fault, n
 }
 
-func (p *Plain) take(order string) (int, Fault) {
+func (p *Plain) recordRun(order string) (int, Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ran[order]++
+	p.runs[order]++
 	fault := FaultNone
-	if p.faults != 0 {
+	if p.faultsLeft != 0 {
 		fault = p.fault
-		p.faults--
+		p.faultsLeft--
 	}
-	return p.ran[order], fault
+	return p.runs[order], fault
 }
 
 // ServeHTTP implements http.Handler.
@@ -82,8 +82,8 @@
 	if order == "" {
 		order = r.URL.Path
 	}
-	count, fault := p.take(order)
-	if !sleep(r.Context(), p.wait) {
+	count, fault := p.recordRun(order)
+	if !sleep(r.Context(), p.serviceTime) {
 		return
 	}
 	answer := p.name + " ran " + order + " " + strconv.Itoa(count) + " times, " + strconv.FormatInt(n, 10) + " bytes, hash " + strconv.FormatUint(hash.Sum64(), 16) + "\n"
@@ -122,7 +122,7 @@
 		p.answerTwice(w, answer)
 		return
 	case FaultLate:
-		if !sleep(r.Context(), lateTime) {
+		if !sleep(r.Context(), lateDelay) {
 			return
 		}
 	}
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -24,8 +24,8 @@
 	made    time.Time
 }
 
-// streamLife is how long a broken stream can be resumed.
-const streamLife = 30 * time.Second
+// streamTTL is how long a broken stream can be resumed.
+const streamTTL = 30 * time.Second
 
 func newStream(engine, model, attempt string, tokens int) *stream {
 	s := &stream{attempt: attempt, made: time.Now()}
@@ -45,20 +45,20 @@
 	return s
 }
 
-func (e *Engine) keep(s *stream) string {
+func (e *Engine) storeStream(s *stream) string {
 	id := uuid.NewString()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streams[id] = s
 	for old, other := range e.streams {
-		if time.Since(other.made) > streamLife {
+		if time.Since(other.made) > streamTTL {
 			delete(e.streams, old)
 		}
 	}
 	return id
 }
 
-func (e *Engine) forget(id string) {
+func (e *Engine) forgetStream(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.streams, id)
@@ -66,7 +66,7 @@
 
 func (e *Engine) answerStream(w http.ResponseWriter, r *http.Request, req completionRequest, tokens int, fault Fault) {
 	s := newStream(e.opts.Name, req.Model, r.Header.Get(relay.HeaderAttempt), tokens)
-	id := e.keep(s)
+	id := e.storeStream(s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(relay.HeaderStream, id)
 	half := len(s.events) / 2
@@ -74,7 +74,7 @@
 		if i > 0 && !sleep(r.Context(), e.opts.TokenTime) {
 			return
 		}
-		if i == half && e.breaks(w, r, id, fault, event) {
+		if i == half && e.injectStreamFault(w, r, id, fault, event) {
 			return
 		}
 		if fault == FaultGarbage && i == half {
@@ -85,7 +85,7 @@
 		}
 		_ = http.NewResponseController(w).Flush()
 	}
-	e.forget(id)
+	e.forgetStream(id)
 	if fault == FaultTwice {
 		for _, event := range s.events {
 			_, _ = w.Write(event)
@@ -93,21 +93,21 @@
 	}
 }
 
-// breaks carries out a fault in the middle of a stream; true if it ends there.
-func (e *Engine) breaks(w http.ResponseWriter, r *http.Request, id string, fault Fault, event []byte) bool {
+// injectStreamFault carries out a fault in the middle of a stream; true if it ends there.
+func (e *Engine) injectStreamFault(w http.ResponseWriter, r *http.Request, id string, fault Fault, event []byte) bool {
 	switch fault {
 	case FaultCut, FaultDie, FaultShortLen:
 		if fault != FaultCut {
-			e.forget(id)
+			e.forgetStream(id)
 		}
 		_, _ = w.Write(event[:len(event)/2]) // in the middle of an event
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	case FaultEnd:
-		e.forget(id)
+		e.forgetStream(id)
 		return true
 	case FaultStall:
-		e.forget(id)
+		e.forgetStream(id)
 		<-r.Context().Done()
 		return true
 	default:
@@ -115,8 +115,8 @@
 	}
 }
 
-// resume sends the rest of a stream from a byte offset.
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+// handleResume sends the rest of a stream from a byte offset.
+func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	e.mu.Lock()
 	s, ok := e.streams[params.ByName("id")]
@@ -143,5 +143,5 @@
 			return
 		}
 	}
-	e.forget(params.ByName("id"))
+	e.forgetStream(params.ByName("id"))
 }
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -28,18 +28,18 @@
 
 // WAN passes connections on between regions. NewWAN makes one.
 type WAN struct {
-	delay    time.Duration
-	ways     *width.Ways
-	links    []Link
-	regionOf func(ip string) string // of a connection's source
+	delay     time.Duration
+	bandwidth *width.Ways
+	links     []Link
+	regionOf  func(ip string) string // of a connection's source
 
-	mu  sync.Mutex
-	cut map[string]bool
+	mu          sync.Mutex
+	partitioned map[string]bool
 }
 
 // NewWAN makes a network with a one-way delay, and a width for all that goes between two regions.
 func NewWAN(delay time.Duration, ways *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
-	return &WAN{delay: delay, ways: ways, links: links, regionOf: regionOf, cut: make(map[string]bool)}
+	return &WAN{delay: delay, bandwidth: ways, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
 // Cut cuts a region off from the others, or joins it again. While it is cut
@@ -48,13 +48,13 @@
 func (n *WAN) Cut(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[region] = cut
+	n.partitioned[region] = cut
 }
 
-func (n *WAN) isCut(a, b string) bool {
+func (n *WAN) isPartitioned(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a != b && (n.cut[a] || n.cut[b])
+	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
 // Run listens on every link until ctx ends.
@@ -83,16 +83,16 @@
 		if err != nil {
 			return
 		}
-		conns.Go(func() { n.pass(ctx, conn, link) })
+		conns.Go(func() { n.forward(ctx, conn, link) })
 	}
 }
 
-// pass carries one connection, each direction with its delay.
-func (n *WAN) pass(ctx context.Context, conn net.Conn, link Link) {
+// forward carries one connection, each direction with its delay.
+func (n *WAN) forward(ctx context.Context, conn net.Conn, link Link) {
 	defer conn.Close()
 	ip, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	from := n.regionOf(ip)
-	if !n.hold(ctx, from, link.Region) {
+	if !n.waitPartition(ctx, from, link.Region) {
 		return
 	}
 	target, err := net.DialTimeout("tcp", link.Target, time.Second)
@@ -106,21 +106,21 @@
 	})
 	defer stop()
 	both := pool.New()
-	both.Go(func() { n.carry(ctx, conn, target, from, link.Region) })
-	both.Go(func() { n.carry(ctx, target, conn, from, link.Region) })
+	both.Go(func() { n.copyDelayed(ctx, conn, target, from, link.Region) })
+	both.Go(func() { n.copyDelayed(ctx, target, conn, from, link.Region) })
 	both.Wait()
 }
 
-type parcel struct {
+type chunk struct {
 	data []byte
-	at   time.Time
+	due  time.Time
 }
 
-// carryQueue bounds the parcels on their way in one direction.
-const carryQueue = 1024
+// maxQueuedChunks bounds the parcels on their way in one direction.
+const maxQueuedChunks = 1024
 
-func (n *WAN) carry(ctx context.Context, from, to net.Conn, a, b string) {
-	parcels := make(chan parcel, carryQueue)
+func (n *WAN) copyDelayed(ctx context.Context, from, to net.Conn, a, b string) {
+	parcels := make(chan chunk, maxQueuedChunks)
 	both := pool.New()
 	both.Go(func() {
 		defer close(parcels)
@@ -128,10 +128,10 @@
 			data := make([]byte, 16<<10)
 			got, err := from.Read(data)
 			if got > 0 {
-				if n.ways.Pass(ctx, a, b, got) != nil {
+				if n.bandwidth.Pass(ctx, a, b, got) != nil {
 					return
 				}
-				parcels <- parcel{data[:got], time.Now().Add(n.delay)}
+				parcels <- chunk{data[:got], time.Now().Add(n.delay)}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
@@ -142,8 +142,8 @@
 		}
 	})
 	for p := range parcels {
-		time.Sleep(time.Until(p.at))
-		if !n.hold(ctx, a, b) {
+		time.Sleep(time.Until(p.due))
+		if !n.waitPartition(ctx, a, b) {
 			break
 		}
 		if _, err := to.Write(p.data); err != nil {
@@ -159,13 +159,13 @@
 	both.Wait()
 }
 
-// holdStep is how often a held connection looks whether the cut is over.
-const holdStep = 5 * time.Millisecond
+// partitionPollInterval is how often a held connection looks whether the cut is over.
+const partitionPollInterval = 5 * time.Millisecond
 
-// hold waits while the regions are cut off from each other.
-func (n *WAN) hold(ctx context.Context, a, b string) bool {
-	for n.isCut(a, b) {
-		if !sleep(ctx, holdStep) {
+// waitPartition waits while the regions are cut off from each other.
+func (n *WAN) waitPartition(ctx context.Context, a, b string) bool {
+	for n.isPartitioned(a, b) {
+		if !sleep(ctx, partitionPollInterval) {
 			return false
 		}
 	}
