--- a/cmd/linenscale-soak/main.go
+++ b/cmd/linenscale-soak/main.go
@@ -43,7 +43,7 @@
 	defer stop()
 	broken := 0
 	for i := range uint64(seeds) {
-		if !run(ctx, soak.Options{Program: program, Seed: seed + i, Regions: regions, Gateways: gateways, Engines: engines, Width: mbits * megabit}, dir, harming) {
+		if !run(ctx, soak.Options{Program: program, Seed: seed + i, Regions: regions, Gateways: gateways, Engines: engines, Bandwidth: mbits * megabit}, dir, harming) {
 			broken++
 		}
 	}
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -48,12 +48,12 @@
 func (w *World) callWithRotatingKeys(ctx context.Context, h *Host, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
-		version := max(1, w.Check.Newest()-r.Int64N(maxKeyAge))
+		version := max(1, w.Checker.NewestVersion()-r.Int64N(maxKeyAge))
 		began := time.Now()
 		result, err := caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.Showing(rotatingKey(version)), Deadline: 3 * time.Second})
-		w.Check.Shown(result.ID, keyUse{began, version})
+		w.Checker.RecordKeyUse(result.ID, keyUse{began, version})
 		if err == nil && result.Status == 200 {
-			w.Check.Answer(kinds[0], h.Name, result)
+			w.Checker.CheckAnswer(kinds[0], h.Name, result)
 		}
 		pause(ctx, callPause)
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-// Shown notes a request whose key is taken away by the next version.
-func (c *Checker) Shown(request string, s keyUse) {
+// RecordKeyUse notes a request whose key is taken away by the next version.
+func (c *Checker) RecordKeyUse(request string, s keyUse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keyUses[request] = s
@@ -120,7 +120,7 @@
 	if fullest := maxInWindow(small, allowanceBounds.Window); float64(fullest) > most {
 		c.problems = append(c.problems, fmt.Sprintf("%d requests of account %s ran within %v, and %.0f are the most", fullest, smallName, allowanceBounds.Window, most))
 	}
-	c.SmallRan = len(small)
+	c.SmallAccountRuns = len(small)
 }
 
 // maxInWindow gives the most times within any window.
--- a/soak/check.go
+++ b/soak/check.go
@@ -42,22 +42,22 @@
 // Checker holds the promises against what callers, engines and operators saw. It
 // is safe for concurrent use.
 type Checker struct {
-	mu            sync.Mutex
-	engines       []*Engine
-	notRun        map[string]string   // what was refused as not run, by request, with where
-	newest        int64               // highest version
-	acceptedAt    map[int64]time.Time // by version
-	keyUses       map[string]keyUse   // by request
-	calmSince     time.Time           // since when nothing has been done to anybody; zero while something is
-	problems      []string
-	Answers       map[string]int // by kind and status
-	Checks        int
-	SmallRan      int // requests of the account that may ask for little
-	PoisonRan     int // runs of the request that crashes engines
-	NeedyMost     int // requests within limitWindow at the engine that names a limit, while calm
-	limitedEngine *Engine
-	Rests         int                    // that engines asked for
-	disturbances  map[string][]time.Time // by IP number: when a host's process was started or got a signal
+	mu                sync.Mutex
+	engines           []*Engine
+	notRun            map[string]string   // what was refused as not run, by request, with where
+	newest            int64               // highest version
+	acceptedAt        map[int64]time.Time // by version
+	keyUses           map[string]keyUse   // by request
+	calmSince         time.Time           // since when nothing has been done to anybody; zero while something is
+	problems          []string
+	Answers           map[string]int // by kind and status
+	Checks            int
+	SmallAccountRuns  int // requests of the account that may ask for little
+	PoisonRuns        int // runs of the request that crashes engines
+	LimitedEnginePeak int // requests within limitWindow at the engine that names a limit, while calm
+	limitedEngine     *Engine
+	Backoffs          int                    // that engines asked for
+	disturbances      map[string][]time.Time // by IP number: when a host's process was started or got a signal
 }
 
 // NewChecker makes a checker that has seen nothing.
@@ -72,16 +72,16 @@
 	c.engines = append(c.engines, e)
 }
 
-// Accepted notes that a version was accepted.
-func (c *Checker) Accepted(version int64) {
+// VersionAccepted notes that a version was accepted.
+func (c *Checker) VersionAccepted(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.newest = max(c.newest, version)
 	c.acceptedAt[version] = time.Now()
 }
 
-// Newest gives the highest version that was accepted.
-func (c *Checker) Newest() int64 {
+// NewestVersion gives the highest version that was accepted.
+func (c *Checker) NewestVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
@@ -97,8 +97,8 @@
 	}
 }
 
-// Problem notes a broken promise.
-func (c *Checker) Problem(format string, args ...any) {
+// AddProblem notes a broken promise.
+func (c *Checker) AddProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.problems = append(c.problems, fmt.Sprintf(format, args...))
@@ -111,8 +111,8 @@
 	return append([]string(nil), c.problems...)
 }
 
-// Answer checks one answer as its caller saw it.
-func (c *Checker) Answer(k requestKind, gateway string, r platformtest.Result) {
+// CheckAnswer checks one answer as its caller saw it.
+func (c *Checker) CheckAnswer(k requestKind, gateway string, r platformtest.Result) {
 	c.mu.Lock()
 	c.Checks++
 	c.Answers[fmt.Sprintf("%s %d", k.name, r.Status)]++
@@ -129,11 +129,11 @@
 	}
 	switch {
 	case r.Engine == "":
-		c.Problem("request %s (%s) at %s: a success that no engine signed", r.ID, k.name, gateway)
+		c.AddProblem("request %s (%s) at %s: a success that no engine signed", r.ID, k.name, gateway)
 	case r.Whole && r.Body != want:
-		c.Problem("request %s (%s) at %s: the answer ends as whole, but isn't its engine's: %q", r.ID, k.name, gateway, r.Body)
+		c.AddProblem("request %s (%s) at %s: the answer ends as whole, but isn't its engine's: %q", r.ID, k.name, gateway, r.Body)
 	case !strings.HasPrefix(want, r.Body):
-		c.Problem("request %s (%s) at %s: the answer has other bytes than its engine's: %q", r.ID, k.name, gateway, r.Body)
+		c.AddProblem("request %s (%s) at %s: the answer has other bytes than its engine's: %q", r.ID, k.name, gateway, r.Body)
 	}
 }
 
@@ -146,14 +146,14 @@
 	return all
 }()
 
-// Read checks a read of the declaration that began when version was the newest
+// CheckRead checks a read of the declaration that began when version was the newest
 // that had been accepted.
-func (c *Checker) Read(control string, newest, got int64) {
+func (c *Checker) CheckRead(control string, newest, got int64) {
 	c.mu.Lock()
 	c.Checks++
 	c.mu.Unlock()
 	if got < newest {
-		c.Problem("%s shows version %d, after %d was accepted", control, got, newest)
+		c.AddProblem("%s shows version %d, after %d was accepted", control, got, newest)
 	}
 }
 
@@ -161,8 +161,8 @@
 // still get requests.
 const drainTime = 4 * time.Second
 
-// Engines checks what has arrived at the engines so far.
-func (c *Checker) Engines() {
+// CheckEngines checks what has arrived at the engines so far.
+func (c *Checker) CheckEngines() {
 	c.mu.Lock()
 	engines, calm := append([]*Engine(nil), c.engines...), c.calmSince
 	promised := make(map[string]string, len(c.notRun))
@@ -188,10 +188,10 @@
 			}
 			c.checkArrival(e, k, a, promised, calm, acked)
 			if k.atMostOnce && ran[a.Request] > 1 {
-				c.Problem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
+				c.AddProblem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
 			}
 			if reached[a.Request] > k.maxAttempts {
-				c.Problem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.maxAttempts)
+				c.AddProblem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.maxAttempts)
 			}
 		}
 	}
@@ -200,15 +200,15 @@
 // checkArrival checks one arrival by itself.
 func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
 	if where, refused := promised[a.Request]; refused && a.Ran {
-		c.Problem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
+		c.AddProblem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
 	}
 	if k.service != e.Service {
-		c.Problem("request %s (%s) reached %s of service %s", a.Request, k.name, e.ID, e.Service)
+		c.AddProblem("request %s (%s) reached %s of service %s", a.Request, k.name, e.ID, e.Service)
 	}
 	if k.region != "" && k.region != e.Region {
-		c.Problem("request %s (%s) reached %s in %s, and is bound to %s", a.Request, k.name, e.ID, e.Region, k.region)
+		c.AddProblem("request %s (%s) reached %s in %s, and is bound to %s", a.Request, k.name, e.ID, e.Region, k.region)
 	}
 	if !acked.IsZero() && !calm.IsZero() && acked.After(calm.Add(drainTime)) && a.At.After(acked.Add(drainTime)) {
-		c.Problem("request %s (%s) reached %s %v after it was acknowledged that it drains", a.Request, k.name, e.ID, a.At.Sub(acked))
+		c.AddProblem("request %s (%s) reached %s %v after it was acknowledged that it drains", a.Request, k.name, e.ID, a.At.Sub(acked))
 	}
 }
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -59,8 +59,8 @@
 	}},
 	{"delay", 3, func(w *World, r *rand.Rand) string {
 		h, delay := pick(r, w.Hosts), randomDuration(r, 20, 250)
-		w.eachLink([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{Delay: delay}) })
-		w.schedule(randomDuration(r, 1000, 4000), func() { w.eachLink([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{}) }) })
+		w.eachLink([]*Host{h}, func(from, to string) { w.Net.SetFault(from, to, LinkFault{Delay: delay}) })
+		w.schedule(randomDuration(r, 1000, 4000), func() { w.eachLink([]*Host{h}, func(from, to string) { w.Net.SetFault(from, to, LinkFault{}) }) })
 		return h.Name
 	}},
 	{"reset", 3, func(w *World, r *rand.Rand) string {
@@ -129,7 +129,7 @@
 		select {
 		case <-exited:
 		case <-time.After(h.settings.StopTime + 3*time.Second):
-			w.Check.Problem("%s still runs %v after it was told to stop", h.Name, h.settings.StopTime+3*time.Second)
+			w.Checker.AddProblem("%s still runs %v after it was told to stop", h.Name, h.settings.StopTime+3*time.Second)
 			w.kill(h)
 		}
 		time.Sleep(pause)
@@ -147,7 +147,7 @@
 		return
 	}
 	if err := w.start(h); err != nil {
-		w.Check.Problem("%s can't be started: %v", h.Name, err)
+		w.Checker.AddProblem("%s can't be started: %v", h.Name, err)
 	}
 }
 
@@ -168,7 +168,7 @@
 	w.mu.Unlock()
 	w.kill(h)
 	if err := os.RemoveAll(filepath.Join(w.Dir, h.Name)); err != nil {
-		w.Check.Problem("data folder of %s: %v", h.Name, err)
+		w.Checker.AddProblem("data folder of %s: %v", h.Name, err)
 	}
 	w.startExited(h)
 	return h.Name
@@ -199,7 +199,7 @@
 		w.eachLink(inside, func(from, to string) {
 			incoming := containsHost(inside, to)
 			if (incoming && in) || (!incoming && out) {
-				w.Net.Set(from, to, Harm{Lost: lost})
+				w.Net.SetFault(from, to, LinkFault{Blocked: lost})
 			}
 		})
 	}
@@ -235,7 +235,7 @@
 	w.removeEngine(e)
 	region := int(e.Region[len(e.Region)-1] - '0')
 	if _, err := w.addEngine(e.Service, region); err != nil {
-		w.Check.Problem("engine: %v", err)
+		w.Checker.AddProblem("engine: %v", err)
 	}
 	if drain == 0 {
 		e.stop()
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -30,7 +30,7 @@
 	}
 	e.SetLimit(fmt.Sprint(engineLimit))
 	w.removeEngine(e) // it is left well
-	w.Check.limitedEngine = e
+	w.Checker.limitedEngine = e
 	return nil
 }
 
@@ -52,9 +52,9 @@
 		}
 	}
 	most := int(limitFactor*engineLimit*limitWindow.Seconds() + limitSlack)
-	c.NeedyMost = maxInWindow(times, limitWindow)
-	wasted := c.NeedyMost < minAtLimit && maxInWindow(others, limitWindow) >= highDemand
-	if c.NeedyMost > most || wasted {
-		c.problems = append(c.problems, fmt.Sprintf("an engine that takes %g requests a second got %d within %v, and %d are the most, %d the least", engineLimit, c.NeedyMost, limitWindow, most, minAtLimit))
+	c.LimitedEnginePeak = maxInWindow(times, limitWindow)
+	wasted := c.LimitedEnginePeak < minAtLimit && maxInWindow(others, limitWindow) >= highDemand
+	if c.LimitedEnginePeak > most || wasted {
+		c.problems = append(c.problems, fmt.Sprintf("an engine that takes %g requests a second got %d within %v, and %d are the most, %d the least", engineLimit, c.LimitedEnginePeak, limitWindow, most, minAtLimit))
 	}
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if _, err := w.addEngine(e.Service, region); err != nil {
-		w.Check.Problem("engine: %v", err)
+		w.Checker.AddProblem("engine: %v", err)
 	}
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	c.PoisonRan = len(ran)
+	c.PoisonRuns = len(ran)
 	if len(ran) < 3 {
 		return
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -14,10 +14,10 @@
 	"github.com/linenscale/linenscale/internal/width"
 )
 
-// Harm is what is done to the way between two hosts, or to one.
-type Harm struct {
-	Delay time.Duration
-	Lost  bool // nothing arrives, and nobody is told
+// LinkFault is what is done to the way between two hosts, or to one.
+type LinkFault struct {
+	Delay   time.Duration
+	Blocked bool // nothing arrives, and nobody is told
 }
 
 // Network forwards what is sent to hosts' known addresses to where they listen,
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	regions map[string]string // regions of hosts
 	hosts   map[string]string // names by the IP number that a host connects from
-	faults  map[[2]string]Harm
+	faults  map[[2]string]LinkFault
 	conns   map[net.Conn][2]string
 }
 
@@ -40,7 +40,7 @@
 // NewNetwork makes a network without hosts, and with that width between regions; its forwarding
 // ends with ctx.
 func NewNetwork(ctx context.Context, group *conc.WaitGroup, ways *width.Ways) *Network {
-	return &Network{ctx: ctx, group: group, bandwidth: ways, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]Harm), conns: make(map[net.Conn][2]string)}
+	return &Network{ctx: ctx, group: group, bandwidth: ways, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]LinkFault), conns: make(map[net.Conn][2]string)}
 }
 
 // AddHost names the host of a region that connects from an IP number.
@@ -64,11 +64,11 @@
 	return a, b
 }
 
-// Set does harm to what goes from one host to another. The zero Harm ends it.
-func (n *Network) Set(from, to string, h Harm) {
+// SetFault does harm to what goes from one host to another. The zero LinkFault ends it.
+func (n *Network) SetFault(from, to string, h LinkFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if h == (Harm{}) {
+	if h == (LinkFault{}) {
 		delete(n.faults, [2]string{from, to})
 		return
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (n *Network) faultBetween(from, to string) Harm {
+func (n *Network) faultBetween(from, to string) LinkFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults[[2]string{from, to}]
@@ -141,7 +141,7 @@
 // forwardConn forwards one connection.
 func (n *Network) forwardConn(in net.Conn, from, to, listens string) {
 	defer in.Close()
-	if !n.waitFault(func() Harm { return n.dialFault(from, to) }) {
+	if !n.waitFault(func() LinkFault { return n.dialFault(from, to) }) {
 		return
 	}
 	dialer := net.Dialer{Timeout: time.Second}
@@ -164,17 +164,17 @@
 
 // dialFault gives the harm to a connection that is being opened, which needs both
 // ways.
-func (n *Network) dialFault(from, to string) Harm {
+func (n *Network) dialFault(from, to string) LinkFault {
 	a, b := n.faultBetween(from, to), n.faultBetween(to, from)
-	return Harm{Delay: a.Delay + b.Delay, Lost: a.Lost || b.Lost}
+	return LinkFault{Delay: a.Delay + b.Delay, Blocked: a.Blocked || b.Blocked}
 }
 
 // waitFault waits for as long as bytes are held up; false if all forwarding ended.
-func (n *Network) waitFault(harm func() Harm) bool {
+func (n *Network) waitFault(harm func() LinkFault) bool {
 	if delay := harm().Delay; delay > 0 {
 		time.Sleep(delay)
 	}
-	for harm().Lost {
+	for harm().Blocked {
 		select {
 		case <-n.ctx.Done():
 			return false
@@ -194,7 +194,7 @@
 	for {
 		count, err := in.Read(buffer)
 		if count > 0 {
-			if !n.waitFault(func() Harm { return n.faultBetween(from, to) }) || n.bandwidth.Pass(n.ctx, a, b, count) != nil {
+			if !n.waitFault(func() LinkFault { return n.faultBetween(from, to) }) || n.bandwidth.Pass(n.ctx, a, b, count) != nil {
 				return
 			}
 			if _, err := out.Write(buffer[:count]); err != nil {
@@ -259,7 +259,7 @@
 			}
 			name := n.hostName(from)
 			a, b := n.regionsOf(name, host)
-			if !n.faultBetween(name, host).Lost && n.bandwidth.Takes(a, b, count) {
+			if !n.faultBetween(name, host).Blocked && n.bandwidth.Takes(a, b, count) {
 				_, _ = conn.WriteToUDP(buffer[:count], to) // as good as lost
 			}
 		}
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -38,14 +38,14 @@
 func (w *World) drainByAnswer(e *Engine) {
 	w.removeEngine(e)
 	if _, err := w.addEngine(e.Service, int(e.Region[len(e.Region)-1]-'0')); err != nil {
-		w.Check.Problem("engine: %v", err)
+		w.Checker.AddProblem("engine: %v", err)
 	}
 	e.SetLeaving()
 	w.schedule(drainTime+2*time.Second, e.stop)
 }
 
-// Disturbed notes that a host's process is started, stopped, paused or woken now.
-func (c *Checker) Disturbed(ip string) {
+// RecordDisturbance notes that a host's process is started, stopped, paused or woken now.
+func (c *Checker) RecordDisturbance(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disturbances[ip] = append(c.disturbances[ip], time.Now())
@@ -71,7 +71,7 @@
 		arrivals := e.Arrivals()
 		for i, a := range arrivals {
 			if a.Rest != "" {
-				c.Rests++
+				c.Backoffs++
 				c.checkBackoff(e, a, arrivals[i:])
 			}
 			if a.Leaving {
@@ -90,7 +90,7 @@
 		}
 	}
 	if n > maxDuringBackoff && !c.disturbedBetween(asked.From, asked.At, end) {
-		c.Problem("engine %s had asked %s for %v of rest, and got %d requests from it in that time", e.ID, asked.From, backoffTime, n)
+		c.AddProblem("engine %s had asked %s for %v of rest, and got %d requests from it in that time", e.ID, asked.From, backoffTime, n)
 	}
 }
 
@@ -98,7 +98,7 @@
 func (c *Checker) checkDraining(e *Engine, said platformtest.Arrival, later []platformtest.Arrival) {
 	for _, a := range later {
 		if a.From == said.From && a.At.After(said.At.Add(drainTime)) && !c.disturbedBetween(said.From, said.At, a.At) {
-			c.Problem("engine %s had told %s that it leaves, and got request %s from it %v later", e.ID, said.From, a.Request, a.At.Sub(said.At))
+			c.AddProblem("engine %s had told %s that it leaves, and got request %s from it %v later", e.ID, said.From, a.Request, a.At.Sub(said.At))
 			return
 		}
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -19,23 +19,23 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Seed     uint64
-	Harms    map[string]int
-	Answers  map[string]int // by kind and status
-	Checks   int
-	Version  int64 // the newest that was accepted
-	SmallRan int   // requests that ran of the account that may ask for little
-	Crashed  int   // engines that the request crashed which crashes all
-	Needy    int   // requests within four seconds at the engine that names a limit
-	Rests    int   // that engines asked for
-	Problems []string
+	Seed              uint64
+	Faults            map[string]int
+	Answers           map[string]int // by kind and status
+	Checks            int
+	Version           int64 // the newest that was accepted
+	SmallAccountRuns  int   // requests that ran of the account that may ask for little
+	CrashedEngines    int   // engines that the request crashed which crashes all
+	LimitedEnginePeak int   // requests within four seconds at the engine that names a limit
+	Backoffs          int   // that engines asked for
+	Problems          []string
 }
 
 // String gives the report as text.
 func (r Report) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "seed %d: %d checks, version %d, %d requests of the small account, %d engines crashed by a request, %d at the engine that takes few, %d rests asked for, %d problems\n", r.Seed, r.Checks, r.Version, r.SmallRan, r.Crashed, r.Needy, r.Rests, len(r.Problems))
-	for _, counts := range []map[string]int{r.Harms, r.Answers} {
+	fmt.Fprintf(&out, "seed %d: %d checks, version %d, %d requests of the small account, %d engines crashed by a request, %d at the engine that takes few, %d rests asked for, %d problems\n", r.Seed, r.Checks, r.Version, r.SmallAccountRuns, r.CrashedEngines, r.LimitedEnginePeak, r.Backoffs, len(r.Problems))
+	for _, counts := range []map[string]int{r.Faults, r.Answers} {
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
 			fmt.Fprintf(&out, "  %-22s %d\n", name, counts[name])
 		}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return Report{}, errors.Trace(err)
 	}
-	report := Report{Seed: opts.Seed, Harms: make(map[string]int)}
+	report := Report{Seed: opts.Seed, Faults: make(map[string]int)}
 	if !w.putVersion(1, startTimeout) || !w.waitServed(startTimeout) {
 		return report, errors.New("the world didn't begin to serve; see its logs in " + opts.Dir)
 	}
@@ -94,8 +94,8 @@
 	for until := time.Now().Add(harming); time.Now().Before(until) && ctx.Err() == nil; {
 		h := drawFault(w.random)
 		if done := h.inject(w, w.random); done != "" {
-			report.Harms[h.name]++
-			w.Times.Note("fault injected", "kind=%q on=%q", h.name, done)
+			report.Faults[h.name]++
+			w.Timeline.Record("fault injected", "kind=%q on=%q", h.name, done)
 		}
 		time.Sleep(randomDuration(w.random, 50, 900))
 	}
@@ -103,19 +103,19 @@
 	w.endFaults()
 	// A version that got no clear answer may be in force or not. The last one is
 	// above all of them, and must be accepted now that everybody is well.
-	if !w.putVersion(w.Check.Newest()+finalVersionStep, recoveryTimeout) {
-		w.Check.Problem("no version is accepted %v after all harm ended", recoveryTimeout)
+	if !w.putVersion(w.Checker.NewestVersion()+finalVersionStep, recoveryTimeout) {
+		w.Checker.AddProblem("no version is accepted %v after all harm ended", recoveryTimeout)
 	}
 	if !w.waitServed(recoveryTimeout) {
-		w.Check.Problem("not everything is served %v after all harm ended: %s", recoveryTimeout, w.firstUnserved())
+		w.Checker.AddProblem("not everything is served %v after all harm ended: %s", recoveryTimeout, w.firstUnserved())
 	}
 	w.drainWhileCalm()
 	stop()
 	work.Wait()
 	w.readAllControlHosts()
-	w.Check.Engines()
-	report.SmallRan, report.Crashed, report.Needy, report.Rests = w.Check.SmallRan, w.Check.PoisonRan, w.Check.NeedyMost, w.Check.Rests
-	report.Answers, report.Checks, report.Version, report.Problems = w.Check.Answers, w.Check.Checks, w.Check.Newest(), w.Check.Problems()
+	w.Checker.CheckEngines()
+	report.SmallAccountRuns, report.CrashedEngines, report.LimitedEnginePeak, report.Backoffs = w.Checker.SmallAccountRuns, w.Checker.PoisonRuns, w.Checker.LimitedEnginePeak, w.Checker.Backoffs
+	report.Answers, report.Checks, report.Version, report.Problems = w.Checker.Answers, w.Checker.Checks, w.Checker.NewestVersion(), w.Checker.Problems()
 	return report, nil
 }
 
@@ -143,7 +143,7 @@
 		request := platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model, Parts: fmt.Sprintf("a:400,b%d:600,c:50", r.IntN(5)), Deadline: 3 * time.Second}
 		result, err := caller.Do(ctx, h.settings.Listen.Callers, request)
 		if err == nil {
-			w.Check.Answer(k, h.Name, result)
+			w.Checker.CheckAnswer(k, h.Name, result)
 		}
 		pause(ctx, callPause)
 	}
@@ -154,7 +154,7 @@
 	r := rand.New(rand.NewPCG(w.Seed, 5))
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for ctx.Err() == nil {
-		w.putVersion(w.Check.Newest()+1+r.Int64N(maxVersionStep), 2*time.Second)
+		w.putVersion(w.Checker.NewestVersion()+1+r.Int64N(maxVersionStep), 2*time.Second)
 		if r.IntN(6) == 0 {
 			control, dataCentre := pick(r, w.controlHosts()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
 			for _, on := range []bool{true, false} {
@@ -170,11 +170,11 @@
 func (w *World) readDeclarations(ctx context.Context) {
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
-		c, newest := w.controlHosts()[i%len(w.controlHosts())], w.Check.Newest()
+		c, newest := w.controlHosts()[i%len(w.controlHosts())], w.Checker.NewestVersion()
 		got, status, err := o.Read(ctx, c.settings.Listen.Operators)
-		w.Times.Note("read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
+		w.Timeline.Record("read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err == nil && status == http.StatusOK {
-			w.Check.Read(c.Name, newest, got.ConfigVersion)
+			w.Checker.CheckRead(c.Name, newest, got.ConfigVersion)
 		}
 		time.Sleep(readInterval)
 	}
@@ -200,8 +200,8 @@
 			}
 		}
 	}
-	w.Check.SetCalm(true)
-	w.Times.Note("calm", "")
+	w.Checker.SetCalm(true)
+	w.Timeline.Record("calm", "")
 }
 
 func (w *World) allRunning() bool {
@@ -230,7 +230,7 @@
 func (w *World) firstUnserved() string {
 	var caller platformtest.Caller
 	defer caller.Client.CloseIdleConnections()
-	newest := requestKind{name: fmt.Sprintf("v%d", w.Check.Newest())}
+	newest := requestKind{name: fmt.Sprintf("v%d", w.Checker.NewestVersion())}
 	for _, h := range w.gateways("") {
 		for _, k := range append(slices.Clone(kinds), newest) {
 			result, err := caller.Do(w.ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model})
@@ -243,7 +243,7 @@
 }
 
 // drainWhileCalm lets engines drain while nothing else happens: they get nothing any
-// more, which Engines checks.
+// more, which CheckEngines checks.
 func (w *World) drainWhileCalm() {
 	time.Sleep(drainTime + time.Second)
 	for _, e := range w.liveEngines()[:2] {
@@ -258,11 +258,11 @@
 	o := platformtest.Operator{Client: http.Client{Timeout: 2 * time.Second}}
 	for _, c := range w.controlHosts() {
 		got, status, err := o.Read(w.ctx, c.settings.Listen.Operators)
-		w.Times.Note("last read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
+		w.Timeline.Record("last read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err != nil || status != http.StatusOK {
-			w.Check.Problem("%s shows no declaration in the end: status %d, %v", c.Name, status, err)
+			w.Checker.AddProblem("%s shows no declaration in the end: status %d, %v", c.Name, status, err)
 			continue
 		}
-		w.Check.Read(c.Name, w.Check.Newest(), got.ConfigVersion)
+		w.Checker.CheckRead(c.Name, w.Checker.NewestVersion(), got.ConfigVersion)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -63,7 +63,7 @@
 
 func run(t *testing.T, opts soak.Options, harming time.Duration) {
 	t.Helper()
-	opts.Program, opts.Dir, opts.Regions, opts.Width = build(t), logs(t), 3, width.Usual
+	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = build(t), logs(t), 3, width.Usual
 	report, err := soak.Run(context.Background(), opts, harming)
 	must.NoError(t, err)
 	t.Log(report)
--- a/soak/timeline.go
+++ b/soak/timeline.go
@@ -30,8 +30,8 @@
 	return &Timeline{file: file}, nil
 }
 
-// Note writes one line, whose fields are given as key=value.
-func (l *Timeline) Note(event, format string, args ...any) {
+// Record writes one line, whose fields are given as key=value.
+func (l *Timeline) Record(event, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fmt.Fprintf(l.file, "ts=%s msg=%q %s\n", time.Now().UTC().Format(time.RFC3339Nano), event, fmt.Sprintf(format, args...))
--- a/soak/world.go
+++ b/soak/world.go
@@ -30,13 +30,13 @@
 
 // Options shapes a World.
 type Options struct {
-	Program  string // path of linenscaled
-	Dir      string // for settings, data and logs
-	Seed     uint64
-	Regions  int
-	Gateways int     // in each region
-	Engines  int     // of each service, in each region
-	Width    float64 // bits a second between two regions each way, for all traffic; 0 for no bound
+	Program   string // path of linenscaled
+	Dir       string // for settings, data and logs
+	Seed      uint64
+	Regions   int
+	Gateways  int     // in each region
+	Engines   int     // of each service, in each region
+	Bandwidth float64 // bits a second between two regions each way, for all traffic; 0 for no bound
 }
 
 // Ports of every host.
@@ -73,8 +73,8 @@
 	Options
 	Net        *Network
 	Hosts      []*Host
-	Check      *Checker
-	Times      *Timeline
+	Checker    *Checker
+	Timeline   *Timeline
 	random     *rand.Rand
 	regions    map[string]string   // by data centre
 	publicNets []*loopback.Network // by region: where hosts are reached
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	w := &World{
-		Times: timeline, Options: opts, Net: NewNetwork(ctx, group, width.New(opts.Width)), Check: NewChecker(), random: rand.New(rand.NewPCG(opts.Seed, 11)),
+		Timeline: timeline, Options: opts, Net: NewNetwork(ctx, group, width.New(opts.Bandwidth)), Checker: NewChecker(), random: rand.New(rand.NewPCG(opts.Seed, 11)),
 		regions: make(map[string]string), ctx: ctx, group: group,
 	}
 	for r := range opts.Regions {
@@ -214,7 +214,7 @@
 		return errors.Trace(err)
 	}
 	h.paused = false
-	w.Check.Disturbed(h.listenIP)
+	w.Checker.RecordDisturbance(h.listenIP)
 	h.settings.FirstStart = false
 	exited, process := make(chan struct{}), h.process
 	h.exited = exited
@@ -237,7 +237,7 @@
 
 // signal sends a signal to a host's process, by its ID.
 func (w *World) signal(h *Host, s syscall.Signal) {
-	w.Check.Disturbed(h.listenIP)
+	w.Checker.RecordDisturbance(h.listenIP)
 	if h.running() {
 		_ = h.process.Process.Signal(s) // it may end just now
 	}
@@ -257,7 +257,7 @@
 			w.kill(h)
 		}
 	}
-	_ = w.Times.Close() // what it holds is for whoever looks at a failed run
+	_ = w.Timeline.Close() // what it holds is for whoever looks at a failed run
 }
 
 // addEngine starts an engine that registers with all control hosts.
@@ -278,7 +278,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.engines = append(w.engines, one)
-	w.Check.AddEngine(one)
+	w.Checker.AddEngine(one)
 	return one, nil
 }
 
@@ -352,9 +352,9 @@
 	for until := time.Now().Add(patience); time.Now().Before(until); {
 		c := controls[rand.IntN(len(controls))]
 		status, err := o.Put(w.ctx, c.settings.Listen.Operators, body)
-		w.Times.Note("put", "host=%s version=%d status=%d error=%q", c.Name, version, status, fmt.Sprint(err))
+		w.Timeline.Record("put", "host=%s version=%d status=%d error=%q", c.Name, version, status, fmt.Sprint(err))
 		if err == nil && status == http.StatusOK {
-			w.Check.Accepted(version)
+			w.Checker.VersionAccepted(version)
 			return true
 		}
 		time.Sleep(100 * time.Millisecond)
