--- a/load/load.go
+++ b/load/load.go
@@ -40,19 +40,19 @@
 
 // Result is what a load measured. Times are in microseconds.
 type Result struct {
-	Target   string  `json:"target"`
-	Sent     int64   `json:"sent"`
-	Answered int64   `json:"answered"`
-	Failed   int64   `json:"failed"`
-	Refused  int64   `json:"refused"`
-	Events   int64   `json:"events"`
-	Seconds  float64 `json:"seconds"`
-	FirstP50 int64   `json:"first_p50_us"`
-	FirstP99 int64   `json:"first_p99_us"`
-	FirstP3n int64   `json:"first_p999_us"`
-	TotalP50 int64   `json:"total_p50_us"`
-	TotalP99 int64   `json:"total_p99_us"`
-	TotalP3n int64   `json:"total_p999_us"`
+	Target    string  `json:"target"`
+	Sent      int64   `json:"sent"`
+	Answered  int64   `json:"answered"`
+	Failed    int64   `json:"failed"`
+	Refused   int64   `json:"refused"`
+	Events    int64   `json:"events"`
+	Seconds   float64 `json:"seconds"`
+	FirstP50  int64   `json:"first_p50_us"`
+	FirstP99  int64   `json:"first_p99_us"`
+	FirstP999 int64   `json:"first_p999_us"`
+	TotalP50  int64   `json:"total_p50_us"`
+	TotalP99  int64   `json:"total_p99_us"`
+	TotalP999 int64   `json:"total_p999_us"`
 }
 
 // recorder gathers the figures of one run.
@@ -156,8 +156,8 @@
 	return Result{
 		Target: name, Sent: r.sent.Load(), Answered: r.answered.Load(), Failed: r.failed.Load(), Refused: r.refused.Load(),
 		Events: r.events.Load(), Seconds: took.Seconds(),
-		FirstP50: r.first.ValueAtQuantile(50), FirstP99: r.first.ValueAtQuantile(99), FirstP3n: r.first.ValueAtQuantile(99.9),
-		TotalP50: r.total.ValueAtQuantile(50), TotalP99: r.total.ValueAtQuantile(99), TotalP3n: r.total.ValueAtQuantile(99.9),
+		FirstP50: r.first.ValueAtQuantile(50), FirstP99: r.first.ValueAtQuantile(99), FirstP999: r.first.ValueAtQuantile(99.9),
+		TotalP50: r.total.ValueAtQuantile(50), TotalP99: r.total.ValueAtQuantile(99), TotalP999: r.total.ValueAtQuantile(99.9),
 	}
 }
 
@@ -168,7 +168,7 @@
 	}
 	for _, r := range results {
 		_, err := fmt.Fprintf(w, "%-10s %8d %8d %7d %7d %9.0f %8dus %8dus %8dus %8dus\n",
-			r.Target, r.Sent, r.Answered, r.Refused, r.Failed, float64(r.Events)/r.Seconds, r.FirstP50, r.FirstP99, r.FirstP3n, r.TotalP99)
+			r.Target, r.Sent, r.Answered, r.Refused, r.Failed, float64(r.Events)/r.Seconds, r.FirstP50, r.FirstP99, r.FirstP999, r.TotalP99)
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -178,6 +178,6 @@
 	}
 	a, b := results[0], results[len(results)-1]
 	_, err := fmt.Fprintf(w, "added by %s over %s: first p50 %+dus, p99 %+dus, p99.9 %+dus; total p99 %+dus\n",
-		b.Target, a.Target, b.FirstP50-a.FirstP50, b.FirstP99-a.FirstP99, b.FirstP3n-a.FirstP3n, b.TotalP99-a.TotalP99)
+		b.Target, a.Target, b.FirstP50-a.FirstP50, b.FirstP99-a.FirstP99, b.FirstP999-a.FirstP999, b.TotalP99-a.TotalP99)
 	return errors.Trace(err)
 }
--- a/standin/order.go
+++ b/standin/order.go
@@ -44,8 +44,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Loaded gives the last order and how many have been taken.
-func (e *Engine) Loaded() (Order, int) {
+// LastOrder gives the last order and how many have been taken.
+func (e *Engine) LastOrder() (Order, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders.last, e.orders.count
