--- a/cmd/linenscale-soak/main.go
+++ b/cmd/linenscale-soak/main.go
@@ -1,5 +1,5 @@
-// Command linenscale-soak does harm to a small deployment of real processes, and
-// checks what was promised.
+// Command linenscale-soak injects faults into a small deployment of real processes, and
+// checks that callers, engines and operators still get what linenscale guarantees them.
 package main
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/linenscale/linenscale/soak"
 )
 
-// megabit is the unit of a width, in bits.
+// megabit is the unit of the --width flag, in bits.
 const megabit = 1e6
 
 func main() {
 	program, dir := "bin/linenscaled", ""
 	seed, seeds, gateways, engines, regions := uint64(0), 1, 2, 2, 3
-	harming, mbits := 20*time.Second, width.Usual/megabit
+	injectFor, mbits := 20*time.Second, width.Usual/megabit
 	flaggy.SetName("linenscale-soak")
 	flaggy.SetDescription("does harm to real processes and checks what was promised")
 	flaggy.String(&program, "p", "program", "path of linenscaled")
 	flaggy.String(&dir, "d", "dir", "folder for settings, data and logs; default a new one, kept only where a promise was broken")
 	flaggy.UInt64(&seed, "s", "seed", "first seed; 0 draws one from the clock")
 	flaggy.Int(&seeds, "n", "seeds", "how many seeds to run, one after the other")
-	flaggy.Duration(&harming, "t", "time", "how long harm is done in each run")
+	flaggy.Duration(&injectFor, "t", "time", "how long harm is done in each run")
 	flaggy.Int(&gateways, "g", "gateways", "gateways in each region")
 	flaggy.Int(&engines, "e", "engines", "engines of each service in each region")
 	flaggy.Int(&regions, "r", "regions", "regions, each with a control host")
@@ -43,7 +43,7 @@
 	defer stop()
 	broken := 0
 	for i := range uint64(seeds) {
-		if !run(ctx, soak.Options{Program: program, Seed: seed + i, Regions: regions, Gateways: gateways, Engines: engines, Bandwidth: mbits * megabit}, dir, harming) {
+		if !run(ctx, soak.Options{Program: program, Seed: seed + i, Regions: regions, Gateways: gateways, Engines: engines, Bandwidth: mbits * megabit}, dir, injectFor) {
 			broken++
 		}
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// run runs one seed and tells whether every promise was kept.
-func run(ctx context.Context, opts soak.Options, dir string, harming time.Duration) bool {
+// run runs one seed, prints its report, and reports whether no guarantee was violated.
+func run(ctx context.Context, opts soak.Options, dir string, injectFor time.Duration) bool {
 	var err error
 	opts.Dir = filepath.Join(dir, fmt.Sprint(opts.Seed))
 	if dir == "" {
@@ -66,14 +66,14 @@
 		fmt.Println(err)
 		return false
 	}
-	report, err := soak.Run(ctx, opts, harming)
+	report, err := soak.Run(ctx, opts, injectFor)
 	fmt.Print(report)
 	if err != nil {
 		fmt.Println(err)
 	}
 	if err == nil && len(report.Problems) == 0 {
 		if dir == "" {
-			_ = os.RemoveAll(opts.Dir) // a folder that is left over does no harm
+			_ = os.RemoveAll(opts.Dir) // best effort: only disk space is at stake
 		}
 		return true
 	}
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -11,26 +11,27 @@
 	"github.com/linenscale/linenscale/settings"
 )
 
-// Client accounts of every declaration: one whose key always holds, one whose key is
-// another with each version, and one that may ask for little.
+// The client accounts of every declaration: "members" has a permanent key and a key that
+// changes with each version; "small" has a small allowance.
 const (
 	memberKey          = "member"
 	smallKey           = "small"
 	smallName          = "small"
-	smallRate          = 20 // requests a second, and as many on top
+	smallRate          = 20 // requests a second; also the burst
 	keyRevocationBound = 5 * time.Second
-	// maxKeyAge is how many versions ago a key may have been declared that is shown.
+	// maxKeyAge is how many versions back the keys that callers present may go.
 	maxKeyAge      = 6
 	smallCallPause = 20 * time.Millisecond
 )
 
-// allowanceBounds are those of the hosts' settings.
+// allowanceBounds are the hosts' settings that bound how far an account may exceed its
+// allowance.
 var allowanceBounds = settings.Allowances{Window: 4 * time.Second, Overage: 0.1, Slack: 20}
 
-// rotatingKey is held by one version of the declaration only.
+// rotatingKey returns the key that only the given version of the declaration contains.
 func rotatingKey(version int64) string { return fmt.Sprintf("fleeting-%d", version) }
 
-// tenants gives the accounts of a version.
+// tenants returns the client accounts that a version declares.
 func tenants(version int64) []platformtest.Tenant {
 	return []platformtest.Tenant{
 		{Name: "members", APIKeys: []string{memberKey, rotatingKey(version)}},
@@ -38,13 +39,13 @@
 	}
 }
 
-// keyUse is a request with a key that is taken away by the next version.
+// keyUse is a request that presented a key which the next version revokes.
 type keyUse struct {
 	sent    time.Time
-	version int64 // that holds the key
+	version int64 // the version that declares the key
 }
 
-// callWithRotatingKeys sends requests with keys of late versions to one gateway.
+// callWithRotatingKeys sends requests with keys of recent versions to one gateway.
 func (w *World) callWithRotatingKeys(ctx context.Context, h *Host, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
@@ -59,11 +60,11 @@
 	}
 }
 
-// exceedAllowance sends requests of the account that may ask for little.
+// exceedAllowance sends requests of the small account faster than its allowance permits.
 func (w *World) exceedAllowance(ctx context.Context, h *Host) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
-		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.Showing(smallKey)}) // how it ends is seen at the engines
+		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.Showing(smallKey)}) // the checker counts what the engines ran
 		pause(ctx, smallCallPause)
 	}
 }
@@ -75,15 +76,16 @@
 	}
 }
 
-// RecordKeyUse notes a request whose key is taken away by the next version.
+// RecordKeyUse records a request whose key the next version revokes.
 func (c *Checker) RecordKeyUse(request string, s keyUse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keyUses[request] = s
 }
 
-// revokedAt gives when a later version than this was first accepted; false where none
-// has been.
+// revokedAt returns when a version later than the given one was first accepted, which is
+// when the key of that version was revoked. It returns false if there is none. c.mu is
+// held.
 func (c *Checker) revokedAt(version int64) (at time.Time, ok bool) {
 	for later, accepted := range c.acceptedAt {
 		if later > version && (!ok || accepted.Before(at)) {
@@ -93,8 +95,9 @@
 	return at, ok
 }
 
-// checkAccounts checks what the engines ran for accounts: no key that was taken away too long
-// before the request was sent, no key passed on, and no more than may be in any window.
+// checkAccounts checks the requests that the engines received: no request runs with a key
+// that was revoked more than keyRevocationBound before it was sent, no caller's key is
+// forwarded to an engine, and the small account stays within its limit in every window.
 func (c *Checker) checkAccounts(engines []*Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,22 +119,22 @@
 			}
 		}
 	}
-	most := (smallRate*allowanceBounds.Window.Seconds()+smallRate)*(1+allowanceBounds.Overage) + allowanceBounds.Slack
-	if fullest := maxInWindow(small, allowanceBounds.Window); float64(fullest) > most {
-		c.problems = append(c.problems, fmt.Sprintf("%d requests of account %s ran within %v, and %.0f are the most", fullest, smallName, allowanceBounds.Window, most))
+	limit := (smallRate*allowanceBounds.Window.Seconds()+smallRate)*(1+allowanceBounds.Overage) + allowanceBounds.Slack
+	if peak := maxInWindow(small, allowanceBounds.Window); float64(peak) > limit {
+		c.problems = append(c.problems, fmt.Sprintf("%d requests of account %s ran within %v, and %.0f are the most", peak, smallName, allowanceBounds.Window, limit))
 	}
 	c.SmallAccountRuns = len(small)
 }
 
-// maxInWindow gives the most times within any window.
+// maxInWindow returns the largest number of times within any one window. It sorts times.
 func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	peak, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > window {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,17 +10,17 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// requestKind is a kind of request that callers send, and what was promised for it.
+// requestKind is one kind of request that callers send, with the guarantees of its route.
 type requestKind struct {
 	name        string
 	service     string
 	model       bool
-	atMostOnce  bool // runs at most once
-	maxAttempts int  // engines that it may reach
-	region      string
+	atMostOnce  bool   // an engine may run it only once
+	maxAttempts int    // limit on the engines that receive it
+	region      string // the only region that may run it; "" for any
 }
 
-// kinds are those of the declaration.
+// kinds has one entry for each of the declaration's permanent routes.
 var kinds = []requestKind{
 	{name: "safe", service: "portal", maxAttempts: 2},
 	{name: "unsafe", service: "portal", atMostOnce: true, maxAttempts: 1},
@@ -39,40 +39,40 @@
 	return requestKind{}, false
 }
 
-// Checker holds the promises against what callers, engines and operators saw. It
-// is safe for concurrent use.
+// Checker compares what callers, engines and operators observed with what linenscale
+// guarantees, and collects the violations. It is safe for concurrent use.
 type Checker struct {
 	mu                sync.Mutex
 	engines           []*Engine
-	notRun            map[string]string   // what was refused as not run, by request, with where
-	newest            int64               // highest version
+	notRun            map[string]string   // by request that was reported as not run: the gateway that said so
+	newest            int64               // highest accepted version
 	acceptedAt        map[int64]time.Time // by version
 	keyUses           map[string]keyUse   // by request
-	calmSince         time.Time           // since when nothing has been done to anybody; zero while something is
+	calmSince         time.Time           // when fault injection ended; zero while it goes on
 	problems          []string
 	Answers           map[string]int // by kind and status
 	Checks            int
-	SmallAccountRuns  int // requests of the account that may ask for little
+	SmallAccountRuns  int // requests of the small account that ran
 	PoisonRuns        int // runs of the request that crashes engines
-	LimitedEnginePeak int // requests within limitWindow at the engine that names a limit, while calm
+	LimitedEnginePeak int // most requests within limitWindow at the rate-limited engine, while calm
 	limitedEngine     *Engine
-	Backoffs          int                    // that engines asked for
-	disturbances      map[string][]time.Time // by IP number: when a host's process was started or got a signal
+	Backoffs          int                    // backoffs that engines asked for
+	disturbances      map[string][]time.Time // by IP address: when a host's process was started or got a signal
 }
 
-// NewChecker makes a checker that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{notRun: make(map[string]string), acceptedAt: make(map[int64]time.Time), keyUses: make(map[string]keyUse), Answers: make(map[string]int), disturbances: make(map[string][]time.Time)}
 }
 
-// AddEngine adds an engine whose arrivals are checked.
+// AddEngine adds an engine whose received requests are checked.
 func (c *Checker) AddEngine(e *Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engines = append(c.engines, e)
 }
 
-// VersionAccepted notes that a version was accepted.
+// VersionAccepted records that a control host accepted a version of the declaration.
 func (c *Checker) VersionAccepted(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,14 +80,14 @@
 	c.acceptedAt[version] = time.Now()
 }
 
-// NewestVersion gives the highest version that was accepted.
+// NewestVersion returns the highest version that was accepted.
 func (c *Checker) NewestVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// SetCalm notes that from now on nothing is done to anybody, or ends that.
+// SetCalm records that no faults are injected from now on, or that injection starts again.
 func (c *Checker) SetCalm(calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,21 +97,23 @@
 	}
 }
 
-// AddProblem notes a broken promise.
+// AddProblem records a violated guarantee.
 func (c *Checker) AddProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.problems = append(c.problems, fmt.Sprintf(format, args...))
 }
 
-// Problems gives the promises that were broken.
+// Problems returns a copy of the violations found so far.
 func (c *Checker) Problems() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.problems...)
 }
 
-// CheckAnswer checks one answer as its caller saw it.
+// CheckAnswer checks one answer as its caller received it: a success must come from an
+// engine, and its body must be that engine's answer or, if the answer was cut short, a
+// prefix of it.
 func (c *Checker) CheckAnswer(k requestKind, gateway string, r platformtest.Result) {
 	c.mu.Lock()
 	c.Checks++
@@ -137,7 +139,7 @@
 	}
 }
 
-// completeStream is what every engine streams.
+// completeStream is the stream with which every engine answers.
 var completeStream = func() string {
 	all := ""
 	for n := 1; n <= 5; n++ {
@@ -146,8 +148,8 @@
 	return all
 }()
 
-// CheckRead checks a read of the declaration that began when version was the newest
-// that had been accepted.
+// CheckRead checks that a control host which was read returned version got or later, where
+// newest was the newest accepted version when the read began.
 func (c *Checker) CheckRead(control string, newest, got int64) {
 	c.mu.Lock()
 	c.Checks++
@@ -157,11 +159,11 @@
 	}
 }
 
-// drainTime is how long after the acknowledgement an engine that drains may
-// still get requests.
+// drainTime is how long a draining engine may still receive requests after a control host
+// has acknowledged that it drains.
 const drainTime = 4 * time.Second
 
-// CheckEngines checks what has arrived at the engines so far.
+// CheckEngines checks all requests that the engines have received so far.
 func (c *Checker) CheckEngines() {
 	c.mu.Lock()
 	engines, calm := append([]*Engine(nil), c.engines...), c.calmSince
@@ -180,7 +182,7 @@
 		for _, a := range e.Arrivals() {
 			k, known := kindOfPath(a.Path)
 			if !known {
-				continue // a question which version is in force
+				continue // a probe for the effective version
 			}
 			reached[a.Request]++
 			if a.Ran {
@@ -197,7 +199,7 @@
 	}
 }
 
-// checkArrival checks one arrival by itself.
+// checkArrival makes the checks that need only one received request.
 func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
 	if where, refused := promised[a.Request]; refused && a.Ran {
 		c.AddProblem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -10,18 +10,19 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// minWipeInterval is the least time between two losses of data folders: a second one
-// may come once the first host has had time to vote again.
+// minWipeInterval is the least time between two losses of data folders. It gives the first
+// host time to vote again before a second one loses its data.
 const minWipeInterval = 10 * time.Second
 
-// fault is one thing that is done, and how often it is drawn.
+// fault is one kind of fault and its weight in the random draw.
 type fault struct {
 	name   string
 	weight int
-	inject func(w *World, r *rand.Rand) string // what it was done to; "" if it can't be done now
+	inject func(w *World, r *rand.Rand) string // returns the target; "" if it can't be injected now
 }
 
-// faults are all that can be done.
+// faults lists every fault that a run may inject. Its order and weights decide what a
+// seed draws.
 var faults = []fault{
 	{"kill gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGKILL) }},
 	{"stop gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGTERM) }},
@@ -83,12 +84,12 @@
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
 
-// randomDuration draws a time between two numbers of milliseconds.
+// randomDuration draws a duration of at least least and less than most milliseconds.
 func randomDuration(r *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
 }
 
-// drawFault draws one harm by weight.
+// drawFault draws one fault by weight.
 func drawFault(r *rand.Rand) fault {
 	total := 0
 	for _, h := range faults {
@@ -103,7 +104,7 @@
 	return faults[0]
 }
 
-// schedule does something later, unless the world ends first.
+// schedule calls do after wait, unless the world ends first.
 func (w *World) schedule(wait time.Duration, do func()) {
 	w.group.Go(func() {
 		select {
@@ -114,7 +115,8 @@
 	})
 }
 
-// restart ends a host's process and starts it again a moment after its end.
+// restart sends s to a host's process and starts it again 100 to 1500 ms after it has
+// exited. A process that outlives its stop time by 3 s is reported and killed.
 func (w *World) restart(h *Host, r *rand.Rand, s syscall.Signal) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,7 +140,7 @@
 	return h.Name
 }
 
-// startExited starts a host's process that has ended.
+// startExited starts a host again whose process has exited, and reports a failure to do so.
 func (w *World) startExited(h *Host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -151,16 +153,16 @@
 	}
 }
 
-// wipeDataDir kills a control host and takes its data folder, if no other host's
-// loss is still being repaired.
+// wipeDataDir kills a control host, deletes its data folder and starts it again. It does
+// nothing if a folder was deleted within minWipeInterval or a control host isn't running.
 func wipeDataDir(w *World, r *rand.Rand) string {
 	h := pick(r, w.controlHosts())
 	w.mu.Lock()
-	allWell := time.Since(w.lastWipe) > minWipeInterval
+	ready := time.Since(w.lastWipe) > minWipeInterval
 	for _, c := range w.controlHosts() {
-		allWell = allWell && !c.restarting && c.running() && !c.paused
+		ready = ready && !c.restarting && c.running() && !c.paused
 	}
-	if !allWell {
+	if !ready {
 		w.mu.Unlock()
 		return ""
 	}
@@ -174,7 +176,7 @@
 	return h.Name
 }
 
-// pauseFor stops a host's process by a signal, and wakes it later.
+// pauseFor suspends a host's process with SIGSTOP, and resumes it after wait.
 func (w *World) pauseFor(h *Host, wait time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -192,14 +194,14 @@
 	return h.Name
 }
 
-// partition cuts hosts off from all others that are not among them, in the chosen
-// directions, and joins them later.
+// partition blocks the traffic between the hosts inside and all others, in the chosen
+// directions, and unblocks it after wait.
 func (w *World) partition(wait time.Duration, in, out bool, inside []*Host) {
-	set := func(lost bool) {
+	set := func(blocked bool) {
 		w.eachLink(inside, func(from, to string) {
 			incoming := containsHost(inside, to)
 			if (incoming && in) || (!incoming && out) {
-				w.Net.SetFault(from, to, LinkFault{Blocked: lost})
+				w.Net.SetFault(from, to, LinkFault{Blocked: blocked})
 			}
 		})
 	}
@@ -216,7 +218,7 @@
 	return false
 }
 
-// eachLink calls do with both directions between hosts and all others.
+// eachLink calls do for both directions of each link between a host inside and one outside.
 func (w *World) eachLink(inside []*Host, do func(from, to string)) {
 	for _, h := range inside {
 		for _, o := range w.Hosts {
@@ -228,8 +230,9 @@
 	}
 }
 
-// replaceEngine ends an engine, after it has said that it drains for so long, and
-// starts another of its service in its place.
+// replaceEngine starts an engine in place of a randomly drawn one. With a drain of 0 the
+// old engine stops at once; otherwise it announces that it drains and stops after that
+// time.
 func (w *World) replaceEngine(r *rand.Rand, drain time.Duration) string {
 	e := pick(r, w.liveEngines())
 	w.removeEngine(e)
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// engineLimit is how many requests a second one engine says that it takes, in all its
-	// answers.
+	// engineLimit is the rate limit, in requests a second, that one engine announces in
+	// all its answers.
 	engineLimit = 2.0
-	// limitWindow, limitFactor and limitSlack are how much it may get within any window, while
-	// no gateway has been restarted, paused or cut off for limitSettleTime.
+	// The engine may receive limitFactor times its limit plus limitSlack requests within
+	// any limitWindow, once no gateway has been restarted, paused or partitioned for
+	// limitSettleTime.
 	limitWindow     = 4 * time.Second
 	limitFactor     = 1.5
 	limitSlack      = 5
 	limitSettleTime = 6 * time.Second
-	// minAtLimit is what it must get within the fullest window, where callers ask for more
-	// than it takes: such as the other engines of its service and region get highDemand
-	// requests within one.
+	// minAtLimit is how many requests it must receive in its busiest window if demand
+	// exceeds its limit. That is the case if the other engines of its service and region
+	// receive highDemand requests within one window.
 	minAtLimit = 4
 	highDemand = 40
 )
 
-// addLimitedEngine adds an engine that names a limit, beside those that serve what is over.
+// addLimitedEngine adds an engine that announces a rate limit. The other engines of its
+// service serve the requests over that limit.
 func (w *World) addLimitedEngine() error {
 	e, err := w.addEngine("portal", w.Regions-1)
 	if err != nil {
 		return err
 	}
 	e.SetLimit(fmt.Sprint(engineLimit))
-	w.removeEngine(e) // it is left well
+	w.removeEngine(e) // no faults are injected into it
 	w.Checker.limitedEngine = e
 	return nil
 }
 
-// checkEngineLimit checks how many requests reached the engine that names a limit, from when all
-// gateways had been left well for long enough.
+// checkEngineLimit checks how many requests the rate-limited engine received from
+// limitSettleTime after the end of fault injection.
 func (c *Checker) checkEngineLimit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,10 +53,10 @@
 			}
 		}
 	}
-	most := int(limitFactor*engineLimit*limitWindow.Seconds() + limitSlack)
+	limit := int(limitFactor*engineLimit*limitWindow.Seconds() + limitSlack)
 	c.LimitedEnginePeak = maxInWindow(times, limitWindow)
-	wasted := c.LimitedEnginePeak < minAtLimit && maxInWindow(others, limitWindow) >= highDemand
-	if c.LimitedEnginePeak > most || wasted {
-		c.problems = append(c.problems, fmt.Sprintf("an engine that takes %g requests a second got %d within %v, and %d are the most, %d the least", engineLimit, c.LimitedEnginePeak, limitWindow, most, minAtLimit))
+	underused := c.LimitedEnginePeak < minAtLimit && maxInWindow(others, limitWindow) >= highDemand
+	if c.LimitedEnginePeak > limit || underused {
+		c.problems = append(c.problems, fmt.Sprintf("an engine that takes %g requests a second got %d within %v, and %d are the most, %d the least", engineLimit, c.LimitedEnginePeak, limitWindow, limit, minAtLimit))
 	}
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// poisonBody is the body of the one request that crashes each engine that runs it.
+	// poisonBody is the body of the request that crashes each engine that runs it.
 	poisonBody = "query of death"
-	// poisonInterval is between two repeats of it: together they crash an engine each half
-	// second if nobody keeps them off.
+	// poisonInterval is the pause between two such requests. Without quarantine they
+	// crash an engine each half second.
 	poisonInterval = 500 * time.Millisecond
-	// crashReplaceDelay is after how long another engine stands in the place of one that crashed.
+	// crashReplaceDelay is how long after a crash another engine replaces the crashed one.
 	crashReplaceDelay = 2 * time.Second
-	// quarantineBound is how long after the third crash it must be known everywhere, and
-	// maxAfterQuarantine how often it may still reach engines then.
+	// quarantineBound is how long after the third crash all gateways must quarantine the
+	// request, and maxAfterQuarantine how often it may still reach engines after that.
 	quarantineBound    = 6 * time.Second
 	maxAfterQuarantine = 3
 )
 
-// sendPoison sends the request that crashes engines to one gateway after the other.
+// sendPoison repeats the request that crashes engines, each time at a randomly drawn
+// gateway.
 func (w *World) sendPoison(ctx context.Context, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
 		h := pick(r, w.gateways(""))
 		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{
 			Host: "soak", Path: "/chat/1", Model: true, Body: poisonBody, Header: platformtest.Showing(memberKey),
-		}) // how it ends is seen at the engines
+		}) // checkPoison counts what the engines received
 		pause(ctx, poisonInterval)
 	}
 }
 
-// replaceCrashed puts another engine in the place of one that has crashed.
+// replaceCrashed waits until an engine crashes, and starts another one in its place.
 func (w *World) replaceCrashed(ctx context.Context, e *Engine, region int) {
 	select {
 	case <-ctx.Done():
@@ -53,8 +54,8 @@
 	}
 }
 
-// checkPoison checks how often the request that crashes engines reached any after it must have
-// been known.
+// checkPoison checks how often the request that crashes engines still reached one after all
+// gateways had to quarantine it.
 func (c *Checker) checkPoison(engines []*Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -14,43 +14,46 @@
 	"github.com/linenscale/linenscale/internal/width"
 )
 
-// LinkFault is what is done to the way between two hosts, or to one.
+// LinkFault is the fault that is injected into one direction of the link between two hosts.
 type LinkFault struct {
 	Delay   time.Duration
-	Blocked bool // nothing arrives, and nobody is told
+	Blocked bool // nothing arrives, and the sender gets no error
 }
 
-// Network forwards what is sent to hosts' known addresses to where they listen,
-// and does harm on the way. NewNetwork makes one.
+// Network is a proxy in front of all hosts. It forwards what is sent to a host's public
+// address to the address on which the host listens, and injects faults between hosts.
+// NewNetwork makes one. It is safe for concurrent use.
 type Network struct {
 	ctx       context.Context // ends all forwarding
-	group     *conc.WaitGroup // takes new goroutines from those that it runs, also while it is waited for
-	bandwidth *width.Ways     // between regions
+	group     *conc.WaitGroup // its goroutines may start others, also while Wait is called
+	bandwidth *width.Ways     // limit between regions
 
 	mu      sync.Mutex
-	regions map[string]string // regions of hosts
-	hosts   map[string]string // names by the IP number that a host connects from
+	regions map[string]string // regions by host name
+	hosts   map[string]string // host names by the IP address that the host connects from
 	faults  map[[2]string]LinkFault
 	conns   map[net.Conn][2]string
 }
 
-// outside is the name of everybody who is no host: callers, operators, engines.
+// outside is the name of all peers that aren't hosts: callers, operators and engines.
 const outside = "outside"
 
-// NewNetwork makes a network without hosts, and with that width between regions; its forwarding
-// ends with ctx.
-func NewNetwork(ctx context.Context, group *conc.WaitGroup, ways *width.Ways) *Network {
-	return &Network{ctx: ctx, group: group, bandwidth: ways, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]LinkFault), conns: make(map[net.Conn][2]string)}
+// NewNetwork returns a network without hosts, whose traffic between regions is limited by
+// bandwidth. Forwarding ends with ctx.
+func NewNetwork(ctx context.Context, group *conc.WaitGroup, bandwidth *width.Ways) *Network {
+	return &Network{ctx: ctx, group: group, bandwidth: bandwidth, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]LinkFault), conns: make(map[net.Conn][2]string)}
 }
 
-// AddHost names the host of a region that connects from an IP number.
+// AddHost adds a host, its region and the IP address that it connects from.
 func (n *Network) AddHost(name, region, ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[ip], n.regions[name] = name, region
 }
 
-// regionsOf gives the regions of two hosts. Whoever is no host stands beside the other one.
+// regionsOf returns the regions of two hosts. A peer that isn't a host counts as in the
+// region of the other one, so that its traffic isn't limited by the bandwidth between
+// regions.
 func (n *Network) regionsOf(from, to string) (a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,7 +67,8 @@
 	return a, b
 }
 
-// SetFault does harm to what goes from one host to another. The zero LinkFault ends it.
+// SetFault injects a fault into the traffic from one host to another. The zero LinkFault
+// ends it.
 func (n *Network) SetFault(from, to string, h LinkFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +79,7 @@
 	n.faults[[2]string{from, to}] = h
 }
 
-// Heal ends all harm.
+// Heal removes the faults of all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +93,7 @@
 	for conn, ends := range n.conns {
 		if ends[0] == host || ends[1] == host {
 			if tcp, ok := conn.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0) // a reset, and no orderly end
+				_ = tcp.SetLinger(0) // Close then sends a reset instead of a FIN
 			}
 			conn.Close()
 			delete(n.conns, conn)
@@ -116,9 +120,10 @@
 	return outside
 }
 
-// Forward forwards TCP from a host's known address to where it listens.
-func (n *Network) Forward(host, known, listens string) error {
-	listener, err := net.Listen("tcp", known)
+// Forward forwards TCP connections from a host's public address to the address on which it
+// listens. The error says that the public address can't be listened on.
+func (n *Network) Forward(host, public, listen string) error {
+	listener, err := net.Listen("tcp", public)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -132,23 +137,23 @@
 			if err != nil {
 				return
 			}
-			n.group.Go(func() { n.forwardConn(conn, n.hostName(conn.RemoteAddr()), host, listens) })
+			n.group.Go(func() { n.forwardConn(conn, n.hostName(conn.RemoteAddr()), host, listen) })
 		}
 	})
 	return nil
 }
 
-// forwardConn forwards one connection.
-func (n *Network) forwardConn(in net.Conn, from, to, listens string) {
+// forwardConn forwards one connection until either side closes it or a reset ends it.
+func (n *Network) forwardConn(in net.Conn, from, to, listen string) {
 	defer in.Close()
 	if !n.waitFault(func() LinkFault { return n.dialFault(from, to) }) {
 		return
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	out, err := dialer.DialContext(n.ctx, "tcp", listens)
+	out, err := dialer.DialContext(n.ctx, "tcp", listen)
 	if err != nil {
 		if tcp, ok := in.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a dead port resets
+			_ = tcp.SetLinger(0) // like a closed port
 		}
 		return
 	}
@@ -162,19 +167,20 @@
 	group.Wait()
 }
 
-// dialFault gives the harm to a connection that is being opened, which needs both
-// ways.
+// dialFault returns the fault that a new connection meets. The TCP handshake needs both
+// directions of the link.
 func (n *Network) dialFault(from, to string) LinkFault {
 	a, b := n.faultBetween(from, to), n.faultBetween(to, from)
 	return LinkFault{Delay: a.Delay + b.Delay, Blocked: a.Blocked || b.Blocked}
 }
 
-// waitFault waits for as long as bytes are held up; false if all forwarding ended.
-func (n *Network) waitFault(harm func() LinkFault) bool {
-	if delay := harm().Delay; delay > 0 {
+// waitFault waits out the delay of a fault and then for as long as the link is blocked.
+// It returns false if forwarding has ended.
+func (n *Network) waitFault(current func() LinkFault) bool {
+	if delay := current().Delay; delay > 0 {
 		time.Sleep(delay)
 	}
-	for harm().Blocked {
+	for current().Blocked {
 		select {
 		case <-n.ctx.Done():
 			return false
@@ -184,10 +190,11 @@
 	return n.ctx.Err() == nil
 }
 
-// pollInterval is how often a cut way is looked at.
+// pollInterval is how often waits check whether what they wait for has come about.
 const pollInterval = 20 * time.Millisecond
 
-// copyBytes passes bytes on, one way. TCP keeps what a cut holds up.
+// copyBytes copies one direction of a connection. Bytes that a blocked link holds back are
+// forwarded once it is unblocked, as TCP would retransmit them.
 func (n *Network) copyBytes(out, in net.Conn, from, to string) {
 	buffer := make([]byte, 16<<10)
 	a, b := n.regionsOf(from, to)
@@ -210,7 +217,7 @@
 		}
 		if err != nil {
 			if tcp, ok := out.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0) // a reset is passed on as one
+				_ = tcp.SetLinger(0) // forwards a reset as a reset
 			}
 			out.Close()
 			return
@@ -232,9 +239,10 @@
 	}
 }
 
-// ForwardDatagrams forwards UDP. What a cut holds up is lost.
-func (n *Network) ForwardDatagrams(host, known, listens string) error {
-	at, err := net.ResolveUDPAddr("udp4", known)
+// ForwardDatagrams forwards UDP datagrams as Forward does TCP connections. It drops those
+// on a blocked link and those beyond the bandwidth between regions, and ignores delays.
+func (n *Network) ForwardDatagrams(host, public, listen string) error {
+	at, err := net.ResolveUDPAddr("udp4", public)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -242,7 +250,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	to, err := net.ResolveUDPAddr("udp4", listens)
+	to, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -260,7 +268,7 @@
 			name := n.hostName(from)
 			a, b := n.regionsOf(name, host)
 			if !n.faultBetween(name, host).Blocked && n.bandwidth.Takes(a, b, count) {
-				_, _ = conn.WriteToUDP(buffer[:count], to) // as good as lost
+				_, _ = conn.WriteToUDP(buffer[:count], to) // a datagram that can't be sent counts as lost
 			}
 		}
 	})
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// backoffTime is the rest that engines ask for, and backoffGrace after which they want it to be
-	// kept: what is on its way may come before.
+	// backoffTime is the backoff that engines ask for. Requests in the first backoffGrace
+	// of it don't count, because they may have been in flight already.
 	backoffTime  = 2 * time.Second
 	backoffGrace = 500 * time.Millisecond
-	// maxDuringBackoff is how many requests a host may send an engine within a rest.
+	// maxDuringBackoff is how many requests a host may send to an engine during a backoff.
 	maxDuringBackoff = 2
 )
 
-// injectPushback has one engine after the other refuse all and ask for rest for some seconds, or say in
-// its answers, and nowhere else, that it leaves.
+// injectPushback makes randomly drawn engines either reject all requests and ask for
+// backoff for a while, or announce in their answers, and nowhere else, that they drain.
 func (w *World) injectPushback(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		pause(ctx, randomDuration(r, 500, 2500))
@@ -33,8 +33,8 @@
 	}
 }
 
-// drainByAnswer ends an engine after it has said so in its answers, and starts another in its
-// place.
+// drainByAnswer starts another engine in place of e, and stops e after it has announced
+// in its answers for a while that it drains.
 func (w *World) drainByAnswer(e *Engine) {
 	w.removeEngine(e)
 	if _, err := w.addEngine(e.Service, int(e.Region[len(e.Region)-1]-'0')); err != nil {
@@ -44,15 +44,16 @@
 	w.schedule(drainTime+2*time.Second, e.stop)
 }
 
-// RecordDisturbance notes that a host's process is started, stopped, paused or woken now.
+// RecordDisturbance records that a host's process is started, stopped, paused or resumed
+// now.
 func (c *Checker) RecordDisturbance(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disturbances[ip] = append(c.disturbances[ip], time.Now())
 }
 
-// disturbedBetween tells whether a host was disturbed between two times: its process then may not have
-// heard, or no longer know, what an engine said.
+// disturbedBetween reports whether a host's process was started, stopped, paused or resumed
+// between two times. It may then have missed or lost what an engine announced.
 func (c *Checker) disturbedBetween(ip string, from, to time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +65,8 @@
 	return false
 }
 
-// checkPushback checks what arrived at engines that had asked for rest, or said that they leave, from
-// the hosts that they had said it to.
+// checkPushback checks that hosts which received a backoff or a draining announcement
+// from an engine obey it.
 func (c *Checker) checkPushback(engines []*Engine) {
 	for _, e := range engines {
 		arrivals := e.Arrivals()
@@ -81,7 +82,7 @@
 	}
 }
 
-// checkBackoff checks the rest that one answer asked for.
+// checkBackoff checks that a host obeys the backoff which one answer asked for.
 func (c *Checker) checkBackoff(e *Engine, asked platformtest.Arrival, later []platformtest.Arrival) {
 	end, n := asked.At.Add(backoffTime), 0
 	for _, a := range later {
@@ -94,11 +95,12 @@
 	}
 }
 
-// checkDraining checks what comes after one answer that said that its engine leaves.
-func (c *Checker) checkDraining(e *Engine, said platformtest.Arrival, later []platformtest.Arrival) {
+// checkDraining checks that a host sends no requests to an engine more than drainTime
+// after one answer announced that the engine drains.
+func (c *Checker) checkDraining(e *Engine, announced platformtest.Arrival, later []platformtest.Arrival) {
 	for _, a := range later {
-		if a.From == said.From && a.At.After(said.At.Add(drainTime)) && !c.disturbedBetween(said.From, said.At, a.At) {
-			c.AddProblem("engine %s had told %s that it leaves, and got request %s from it %v later", e.ID, said.From, a.Request, a.At.Sub(said.At))
+		if a.From == announced.From && a.At.After(announced.At.Add(drainTime)) && !c.disturbedBetween(announced.From, announced.At, a.At) {
+			c.AddProblem("engine %s had told %s that it leaves, and got request %s from it %v later", e.ID, announced.From, a.Request, a.At.Sub(announced.At))
 			return
 		}
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -23,15 +23,15 @@
 	Faults            map[string]int
 	Answers           map[string]int // by kind and status
 	Checks            int
-	Version           int64 // the newest that was accepted
-	SmallAccountRuns  int   // requests that ran of the account that may ask for little
-	CrashedEngines    int   // engines that the request crashed which crashes all
-	LimitedEnginePeak int   // requests within four seconds at the engine that names a limit
-	Backoffs          int   // that engines asked for
+	Version           int64 // the newest accepted version
+	SmallAccountRuns  int   // requests of the small account that ran
+	CrashedEngines    int   // engines that the poison request crashed
+	LimitedEnginePeak int   // most requests within limitWindow at the rate-limited engine, while calm
+	Backoffs          int   // backoffs that engines asked for
 	Problems          []string
 }
 
-// String gives the report as text.
+// String returns a summary line, the counts of faults and answers, and the problems.
 func (r Report) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "seed %d: %d checks, version %d, %d requests of the small account, %d engines crashed by a request, %d at the engine that takes few, %d rests asked for, %d problems\n", r.Seed, r.Checks, r.Version, r.SmallAccountRuns, r.CrashedEngines, r.LimitedEnginePeak, r.Backoffs, len(r.Problems))
@@ -48,27 +48,29 @@
 
 // Timing of a run.
 const (
-	// startTimeout is how long a world may take until it serves, and
-	// recoveryTimeout until it does again after all harm has ended.
+	// startTimeout is how long a world may take until it serves all requests, and
+	// recoveryTimeout how long until it does so again after fault injection has ended.
 	startTimeout    = 30 * time.Second
 	recoveryTimeout = 40 * time.Second
-	// callPause is the wait of each caller between two requests.
+	// callPause is the pause of each caller between two requests.
 	callPause = 40 * time.Millisecond
-	// changeInterval and readInterval are the pauses of the operator.
+	// changeInterval and readInterval are the operator's pauses between changes and
+	// between reads.
 	changeInterval = 700 * time.Millisecond
 	readInterval   = 250 * time.Millisecond
 )
 
-// Versions rise by uneven steps, at most maxVersionStep; the last one by finalVersionStep, which
-// is more than all that may be undecided.
+// Versions rise by random steps of at most maxVersionStep. The last step is
+// finalVersionStep, which puts the last version above all those whose outcome is unknown.
 const (
 	maxVersionStep   = 3
 	finalVersionStep = 100
 )
 
-// Run does harm for so long, ends it, and waits until everything is served
-// again. The error says that it could not be run.
-func Run(ctx context.Context, opts Options, harming time.Duration) (Report, error) {
+// Run starts a world, injects faults into it for injectFor, ends them, and waits until
+// the world serves all requests again. Violated guarantees are in the report; the error
+// only says that the run could not be made.
+func Run(ctx context.Context, opts Options, injectFor time.Duration) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group := new(conc.WaitGroup)
@@ -83,7 +85,7 @@
 	}
 	report := Report{Seed: opts.Seed, Faults: make(map[string]int)}
 	if !w.putVersion(1, startTimeout) || !w.waitServed(startTimeout) {
-		return report, errors.New("the world didn't begin to serve; see its logs in " + opts.Dir)
+		return report, errors.New("the hosts did not begin to serve all requests in time; see their logs in " + opts.Dir)
 	}
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
@@ -91,18 +93,18 @@
 	changing, stopChanging := context.WithCancel(busy)
 	defer stopChanging()
 	w.startTraffic(busy, changing, work)
-	for until := time.Now().Add(harming); time.Now().Before(until) && ctx.Err() == nil; {
-		h := drawFault(w.random)
-		if done := h.inject(w, w.random); done != "" {
-			report.Faults[h.name]++
-			w.Timeline.Record("fault injected", "kind=%q on=%q", h.name, done)
+	for until := time.Now().Add(injectFor); time.Now().Before(until) && ctx.Err() == nil; {
+		f := drawFault(w.random)
+		if target := f.inject(w, w.random); target != "" {
+			report.Faults[f.name]++
+			w.Timeline.Record("fault injected", "kind=%q on=%q", f.name, target)
 		}
 		time.Sleep(randomDuration(w.random, 50, 900))
 	}
 	stopChanging()
 	w.endFaults()
-	// A version that got no clear answer may be in force or not. The last one is
-	// above all of them, and must be accepted now that everybody is well.
+	// A version whose outcome is unknown may or may not be effective. The last version is
+	// above all of those, and must be accepted now that there are no faults.
 	if !w.putVersion(w.Checker.NewestVersion()+finalVersionStep, recoveryTimeout) {
 		w.Checker.AddProblem("no version is accepted %v after all harm ended", recoveryTimeout)
 	}
@@ -119,8 +121,8 @@
 	return report, nil
 }
 
-// startTraffic starts callers at every gateway, and an operator who makes changes
-// until changing ends.
+// startTraffic starts callers at every gateway, the poison and pushback loops, and an
+// operator. Pushback and the operator's changes end with changing, all else with ctx.
 func (w *World) startTraffic(ctx, changing context.Context, work *pool.Pool) {
 	for i, h := range w.gateways("") {
 		for j, k := range kinds {
@@ -135,8 +137,8 @@
 	work.Go(func() { w.readDeclarations(ctx) })
 }
 
-// sendRequests sends requests of one kind to one gateway. Connections are kept until the
-// other side ends them.
+// sendRequests sends requests of one kind to one gateway. It reuses each connection until
+// the gateway closes it.
 func (w *World) sendRequests(ctx context.Context, h *Host, k requestKind, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
@@ -149,7 +151,7 @@
 	}
 }
 
-// runOperator declares newer versions, and evacuates a data centre now and then.
+// runOperator declares newer versions, and at random intervals evacuates a data centre.
 func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 5))
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
@@ -158,7 +160,7 @@
 		if r.IntN(6) == 0 {
 			control, dataCentre := pick(r, w.controlHosts()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
 			for _, on := range []bool{true, false} {
-				_, _ = o.Evacuate(ctx, control, dataCentre, on) // it is ended for all in the end
+				_, _ = o.Evacuate(ctx, control, dataCentre, on) // endFaults ends all evacuations
 				time.Sleep(readInterval)
 			}
 		}
@@ -166,7 +168,8 @@
 	}
 }
 
-// readDeclarations reads the declaration at one control host after the other.
+// readDeclarations reads the declaration from each control host in turn, and checks its
+// version.
 func (w *World) readDeclarations(ctx context.Context) {
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -180,8 +183,8 @@
 	}
 }
 
-// endFaults ends all harm: ways are joined, processes run, engines answer rightly and
-// no data centre is evacuated.
+// endFaults removes the faults of links and engines, waits until all processes run, and
+// ends all evacuations.
 func (w *World) endFaults() {
 	w.Net.Heal()
 	for _, e := range w.liveEngines() {
@@ -191,7 +194,7 @@
 	for until := time.Now().Add(recoveryTimeout); time.Now().Before(until) && !w.allRunning(); {
 		time.Sleep(pollInterval)
 	}
-	w.Net.Heal() // what was undone meanwhile has undone itself
+	w.Net.Heal() // the scheduled ends of faults have run by now
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for dataCentre := range w.regions {
 		for until := time.Now().Add(recoveryTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
@@ -215,10 +218,10 @@
 	return true
 }
 
-// waitServed waits until every gateway serves every kind, under the newest
-// version.
-func (w *World) waitServed(patience time.Duration) bool {
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+// waitServed waits until every gateway serves every kind of request and the newest
+// version's own route. It returns false on a timeout.
+func (w *World) waitServed(timeout time.Duration) bool {
+	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 		if w.firstUnserved() == "" {
 			return true
 		}
@@ -226,7 +229,8 @@
 	return false
 }
 
-// firstUnserved names the first gateway and kind that is not served; "" for none.
+// firstUnserved describes the first gateway and kind of request that isn't served; "" if
+// all are.
 func (w *World) firstUnserved() string {
 	var caller platformtest.Caller
 	defer caller.Client.CloseIdleConnections()
@@ -242,8 +246,8 @@
 	return ""
 }
 
-// drainWhileCalm lets engines drain while nothing else happens: they get nothing any
-// more, which CheckEngines checks.
+// drainWhileCalm drains two engines while no faults are injected. CheckEngines then
+// checks that they receive no requests after drainTime.
 func (w *World) drainWhileCalm() {
 	time.Sleep(drainTime + time.Second)
 	for _, e := range w.liveEngines()[:2] {
@@ -253,7 +257,7 @@
 	time.Sleep(drainTime + 2*time.Second)
 }
 
-// readAllControlHosts reads the newest version at every control host.
+// readAllControlHosts checks that every control host returns the newest version.
 func (w *World) readAllControlHosts() {
 	o := platformtest.Operator{Client: http.Client{Timeout: 2 * time.Second}}
 	for _, c := range w.controlHosts() {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,29 +15,29 @@
 	"github.com/linenscale/linenscale/soak"
 )
 
-// regressions are seeds that failed once, and why. They are run again by hand, as
-// the command runs them: make regressions.
+// regressions lists seeds that once failed, with the cause. "make regressions" runs them
+// with the options of the command.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{1005, "the soak asked for the newest accepted version, while a later one without an answer was in force"},
+	{1005, "fault of the soak: it expected the newest accepted version, while a later one whose put got no answer was effective"},
 	{1009, "as 1005"},
-	{1011, "a stream that was handed over broke, and how often it had been sent to engines wasn't told"},
-	{22, "an account began at once to ask for twelve times its rate at all gateways, each of which admitted all until it heard of the others: 131 to 141 requests within 4 s, where 130 are the most"},
-	{5000, "the same account, hot for longer: what left the window at once was admitted again at once by all gateways, 132 to 136 requests"},
-	{5005, "as 5000, while gateways are cut off and restarted: 131 requests"},
+	{1011, "a stream that had been handed over to another gateway broke, and the number of its sends to engines wasn't reported"},
+	{22, "an account suddenly sent twelve times its rate to all gateways, each of which admitted everything until the others' counts reached it: 131 to 141 requests within 4 s, the limit is 130"},
+	{5000, "the same account, over its limit for longer: all gateways at once admitted as many requests again as had just left the window, 132 to 136 requests"},
+	{5005, "as 5000, while gateways are partitioned and restarted: 131 requests"},
 	{5015, "as 5005, 132 requests"},
 	{5032, "as 5005, 131 requests"},
 	{5041, "as 5005, 142 requests"},
-	{6026, "one gateway was cut off from all others as the account turned hot, and took what they had taken to be left: 135 requests"},
-	{35145, "not traced: the account that may ask for little had 132 requests run in a window, 130 are the most; clean when run again"},
+	{6026, "one gateway was partitioned from all others when the account exceeded its limit, and counted what they had admitted as still available: 135 requests"},
+	{35145, "cause not found: 132 requests of the small account ran in a window, the limit is 130; no failure when run again"},
 	{7, "as 5000, in each of two runs: 137 and 138 requests"},
-	{38000, "a gateway that a request was handed over to sent it to two engines and was killed before it could report that: the request reached three"},
-	{38019, "the soak itself ended with a panic: a connection was accepted as the run ended"},
+	{38000, "a gateway received a handed-over request, sent it to two engines and was killed before it reported that: the request reached three engines"},
+	{38019, "fault of the soak: it panicked because a connection was accepted while the run ended"},
 }
 
-// build builds linenscaled.
+// build builds linenscaled and returns the path of the binary.
 func build(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "linenscaled")
@@ -46,7 +46,7 @@
 	return program
 }
 
-// logs gives a folder that is kept where the test fails.
+// logs returns a new folder, which is kept if the test fails.
 func logs(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "soak-"+filepath.Base(t.Name())+"-")
@@ -61,25 +61,26 @@
 	return dir
 }
 
-func run(t *testing.T, opts soak.Options, harming time.Duration) {
+func run(t *testing.T, opts soak.Options, injectFor time.Duration) {
 	t.Helper()
 	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = build(t), logs(t), 3, width.Usual
-	report, err := soak.Run(context.Background(), opts, harming)
+	report, err := soak.Run(context.Background(), opts, injectFor)
 	must.NoError(t, err)
 	t.Log(report)
 	must.SliceEmpty(t, report.Problems)
 	must.Greater(t, 100, report.Checks)
 }
 
-// TestPromisesAreKeptUnderHarm is the short run.
+// TestPromisesAreKeptUnderHarm injects faults into a small deployment for 8 s with a
+// fixed seed, and checks that no guarantee to callers, engines and operators is violated.
 func TestPromisesAreKeptUnderHarm(t *testing.T) {
 	run(t, soak.Options{Seed: 1, Gateways: 1, Engines: 1}, 8*time.Second)
 }
 
-// TestRegressions runs the seeds that failed once.
+// TestRegressions runs the seeds that once failed.
 func TestRegressions(t *testing.T) {
 	if os.Getenv("LINENSCALE_SOAK") == "" {
-		t.Skip("they are run by hand, with LINENSCALE_SOAK=1")
+		t.Skip("set LINENSCALE_SOAK=1 to run these long tests")
 	}
 	for _, r := range regressions {
 		t.Run(fmt.Sprint(r.seed), func(t *testing.T) {
--- a/soak/timeline.go
+++ b/soak/timeline.go
@@ -10,18 +10,18 @@
 	"github.com/juju/errors"
 )
 
-// timelineFile is the file, beside the hosts' logs, that says what was injected and what
-// operators were answered.
+// timelineFile is the file, beside the hosts' logs, that lists the injected faults and
+// the answers to operators.
 const timelineFile = "timeline.log"
 
-// Timeline writes what happens in a run, in the format of the hosts' logs. It is safe for
-// concurrent use. NewTimeline makes one.
+// Timeline writes the events of a run to a file, in the format of the hosts' logs. It is
+// safe for concurrent use. NewTimeline makes one.
 type Timeline struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// NewTimeline opens the timeline of a run in its folder.
+// NewTimeline creates the timeline file of a run in dir.
 func NewTimeline(dir string) (*Timeline, error) {
 	file, err := os.Create(filepath.Join(dir, timelineFile))
 	if err != nil {
@@ -30,14 +30,14 @@
 	return &Timeline{file: file}, nil
 }
 
-// Record writes one line, whose fields are given as key=value.
+// Record writes one line; format and args give its fields as key=value.
 func (l *Timeline) Record(event, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fmt.Fprintf(l.file, "ts=%s msg=%q %s\n", time.Now().UTC().Format(time.RFC3339Nano), event, fmt.Sprintf(format, args...))
 }
 
-// Close ends the timeline.
+// Close closes the file. Lines recorded later are lost.
 func (l *Timeline) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/soak/world.go
+++ b/soak/world.go
@@ -28,18 +28,18 @@
 	"github.com/linenscale/linenscale/settings"
 )
 
-// Options shapes a World.
+// Options configures a World.
 type Options struct {
-	Program   string // path of linenscaled
-	Dir       string // for settings, data and logs
+	Program   string // path of the linenscaled binary
+	Dir       string // empty folder for settings, data and logs
 	Seed      uint64
 	Regions   int
 	Gateways  int     // in each region
 	Engines   int     // of each service, in each region
-	Bandwidth float64 // bits a second between two regions each way, for all traffic; 0 for no bound
+	Bandwidth float64 // bits a second between two regions in each direction, for all traffic; 0 for no limit
 }
 
-// Ports of every host.
+// The same ports are used on every host, on its own IP address.
 const (
 	peerPort      = 7660
 	lastPeerPort  = 7665
@@ -50,25 +50,27 @@
 	metricsPort   = 9464
 )
 
-// heartbeat is how often engines register.
+// heartbeat is the interval at which engines register, and the heartbeat of the hosts'
+// settings.
 const heartbeat = 300 * time.Millisecond
 
-// Host is one process.
+// Host is one gateway or control host, which runs as a process of its own.
 type Host struct {
 	Name    string
 	Region  string
 	Control bool
 
 	settings   settings.Member
-	listenIP   string // IP number
+	listenIP   string // IP address that its process binds to, behind the proxy
 	process    *exec.Cmd
 	log        *os.File
 	exited     chan struct{}
 	paused     bool
-	restarting bool // it is being ended, and will be started again
+	restarting bool // its process is being ended, and will be started again
 }
 
-// World is one deployment and what happened to it. New makes one.
+// World is one small deployment under test, with its network, checker and timeline. New
+// makes one.
 type World struct {
 	Options
 	Net        *Network
@@ -77,28 +79,30 @@
 	Timeline   *Timeline
 	random     *rand.Rand
 	regions    map[string]string   // by data centre
-	publicNets []*loopback.Network // by region: where hosts are reached
-	listenNets []*loopback.Network // and where they listen, behind the proxy
+	publicNets []*loopback.Network // by region: addresses at which hosts are reached, through the proxy
+	listenNets []*loopback.Network // by region: addresses on which hosts listen, behind the proxy
 	seeds      []string
 	ctx        context.Context
 	group      *conc.WaitGroup
 
 	mu       sync.Mutex
 	engines  []*Engine
-	lastWipe time.Time // when a data folder was last lost
+	lastWipe time.Time // when a data folder was last deleted
 }
 
-// Engine is one engine with the place where it stands.
+// Engine is one engine, with its service and its region.
 type Engine struct {
 	*platformtest.Engine
 	Service, Region string
 	stop            context.CancelFunc
 }
 
-// New makes a world and starts its hosts and engines, which end with ctx.
+// New makes a world and starts its hosts and engines. The engines and the proxy end with
+// ctx; Stop ends the hosts. If the rate-limited engine can't be started, New returns both
+// an error and the world, which must be stopped.
 func New(ctx context.Context, group *conc.WaitGroup, opts Options) (*World, error) {
 	if entries, err := os.ReadDir(opts.Dir); err != nil || len(entries) > 0 {
-		return nil, errors.Errorf("folder %s must be there and empty (%d entries, %v)", opts.Dir, len(entries), err)
+		return nil, errors.Errorf("folder %s must exist and be empty (it has %d entries; read error: %v)", opts.Dir, len(entries), err)
 	}
 	timeline, err := NewTimeline(opts.Dir)
 	if err != nil {
@@ -110,16 +114,16 @@
 	}
 	for r := range opts.Regions {
 		w.regions[fmt.Sprintf("dc%d", r)] = fmt.Sprintf("region%d", r)
-		known, err := w.claimNetwork()
+		public, err := w.claimNetwork()
 		if err != nil {
 			return nil, err
 		}
-		listens, err := w.claimNetwork()
+		listen, err := w.claimNetwork()
 		if err != nil {
 			return nil, err
 		}
-		w.publicNets, w.listenNets = append(w.publicNets, known), append(w.listenNets, listens)
-		w.seeds = append(w.seeds, address(known.IP(1), operatorsPort))
+		w.publicNets, w.listenNets = append(w.publicNets, public), append(w.listenNets, listen)
+		w.seeds = append(w.seeds, address(public.IP(1), operatorsPort))
 	}
 	for r := range opts.Regions {
 		for h := range 1 + opts.Gateways {
@@ -145,7 +149,7 @@
 	return w, w.addLimitedEngine()
 }
 
-// claimNetwork claims a loopback network until the world's context ends.
+// claimNetwork reserves a loopback network until the world's context ends.
 func (w *World) claimNetwork() (*loopback.Network, error) {
 	network, err := loopback.Claim()
 	if err != nil {
@@ -153,47 +157,47 @@
 	}
 	w.group.Go(func() {
 		<-w.ctx.Done()
-		_ = network.Close() // nothing is lost with it
+		_ = network.Close() // there is nothing to clean up after a failure
 	})
 	return network, nil
 }
 
-// addHost makes a host's settings and the ways to it. The first of each region is
-// its control host.
+// addHost makes a host's settings and the proxies in front of it. Host 0 of each region
+// is its control host.
 func (w *World) addHost(region, number int) error {
-	known, listens := w.publicNets[region].IP(number+1), w.listenNets[region].IP(number+1)
-	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), Control: number == 0, listenIP: listens}
+	public, listen := w.publicNets[region].IP(number+1), w.listenNets[region].IP(number+1)
+	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), Control: number == 0, listenIP: listen}
 	h.settings = settings.Member{
-		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.publicNets[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: known, Bind: listens,
+		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.publicNets[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: public, Bind: listen,
 		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, Losses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
 		StopTime: 5 * time.Second, Retries: settings.Retry{Share: 0.2, Extra: 60, Window: 10 * time.Second},
 		KeysRevokedWithin: keyRevocationBound, Allowances: allowanceBounds,
-		Listen: settings.Listen{Metrics: address(known, metricsPort)},
+		Listen: settings.Listen{Metrics: address(public, metricsPort)},
 	}
 	ports := []int{peerPort, peerPort + 1, callersPort, readyPort}
 	if h.Control {
 		h.Name = fmt.Sprintf("control%d", region)
 		h.settings.Role = roster.RoleControl
 		h.settings.DataDir = filepath.Join(w.Dir, h.Name)
-		h.settings.Listen.Operators, h.settings.Listen.Directory = address(known, operatorsPort), address(known, directoryPort)
+		h.settings.Listen.Operators, h.settings.Listen.Directory = address(public, operatorsPort), address(public, directoryPort)
 		ports = []int{peerPort, operatorsPort, directoryPort}
 	} else {
-		h.settings.Listen.Callers, h.settings.Listen.Ready = address(known, callersPort), address(known, readyPort)
+		h.settings.Listen.Callers, h.settings.Listen.Ready = address(public, callersPort), address(public, readyPort)
 	}
 	h.settings.Name = h.Name
-	w.Net.AddHost(h.Name, h.Region, listens)
+	w.Net.AddHost(h.Name, h.Region, listen)
 	for _, port := range ports {
-		if err := w.Net.Forward(h.Name, address(known, port), address(listens, port)); err != nil {
+		if err := w.Net.Forward(h.Name, address(public, port), address(listen, port)); err != nil {
 			return err
 		}
 	}
 	w.Hosts = append(w.Hosts, h)
-	return w.Net.ForwardDatagrams(h.Name, address(known, peerPort), address(listens, peerPort))
+	return w.Net.ForwardDatagrams(h.Name, address(public, peerPort), address(listen, peerPort))
 }
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// start starts a host's process; what it writes goes to a file of its own.
+// start starts a host's process, which writes its output to a log file of its own.
 func (w *World) start(h *Host) error {
 	data, err := yaml.Marshal(h.settings)
 	if err != nil {
@@ -219,13 +223,13 @@
 	exited, process := make(chan struct{}), h.process
 	h.exited = exited
 	w.group.Go(func() {
-		_ = process.Wait() // how it ended is in its log
+		_ = process.Wait() // its log says how it ended
 		close(exited)
 	})
 	return nil
 }
 
-// running tells whether a host's process runs.
+// running reports whether a host's process hasn't exited.
 func (h *Host) running() bool {
 	select {
 	case <-h.exited:
@@ -235,21 +239,21 @@
 	}
 }
 
-// signal sends a signal to a host's process, by its ID.
+// signal sends a signal to a host's process if it runs.
 func (w *World) signal(h *Host, s syscall.Signal) {
 	w.Checker.RecordDisturbance(h.listenIP)
 	if h.running() {
-		_ = h.process.Process.Signal(s) // it may end just now
+		_ = h.process.Process.Signal(s) // it may have exited since the check
 	}
 }
 
-// kill ends a host's process at once and waits for its end.
+// kill sends SIGKILL to a host's process and waits until it has exited.
 func (w *World) kill(h *Host) {
 	w.signal(h, syscall.SIGKILL)
 	<-h.exited
 }
 
-// Stop ends all processes.
+// Stop kills the processes of all hosts and closes the timeline.
 func (w *World) Stop() {
 	for _, h := range w.Hosts {
 		if h.process != nil {
@@ -257,10 +261,11 @@
 			w.kill(h)
 		}
 	}
-	_ = w.Timeline.Close() // what it holds is for whoever looks at a failed run
+	_ = w.Timeline.Close() // it only helps to examine a failed run
 }
 
-// addEngine starts an engine that registers with all control hosts.
+// addEngine starts an engine that registers with all control hosts, and is replaced if it
+// crashes.
 func (w *World) addEngine(service string, region int) (*Engine, error) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	group := pool.New()
@@ -282,21 +287,22 @@
 	return one, nil
 }
 
-// liveEngines gives the engines that have not been stopped.
+// liveEngines returns the engines that may be drawn for a fault: those that haven't been
+// removed, drained or crashed.
 func (w *World) liveEngines() []*Engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.engines)
 }
 
-// removeEngine takes an engine off the list of those that live.
+// removeEngine removes an engine from those that liveEngines returns.
 func (w *World) removeEngine(e *Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.engines = slices.DeleteFunc(w.engines, func(o *Engine) bool { return o == e })
 }
 
-// gateways gives the gateways of a region, or all for "".
+// gateways returns the gateways of a region, or of all regions for "".
 func (w *World) gateways(region string) []*Host {
 	var out []*Host
 	for _, h := range w.Hosts {
@@ -317,8 +323,8 @@
 	return out
 }
 
-// declaration is what the operator declares as a version. Every version has the
-// routes of the callers, and one of its own by which its being in force is seen.
+// declaration returns the declaration of a version. Every version has the same routes for
+// callers, and one route of its own, which is served only once the version is effective.
 func declaration(version int64) ([]byte, error) {
 	route := func(name, kind, service string, attempts int, resumable bool, homes ...string) platformtest.Route {
 		return platformtest.Route{
@@ -341,15 +347,16 @@
 	})
 }
 
-// putVersion puts a version until a control host accepts it, or time is up.
-func (w *World) putVersion(version int64, patience time.Duration) bool {
+// putVersion declares a version at random control hosts until one accepts it; false on a
+// timeout.
+func (w *World) putVersion(version int64, timeout time.Duration) bool {
 	body, err := declaration(version)
 	if err != nil {
 		return false
 	}
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
 	controls := w.controlHosts()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	for until := time.Now().Add(timeout); time.Now().Before(until); {
 		c := controls[rand.IntN(len(controls))]
 		status, err := o.Put(w.ctx, c.settings.Listen.Operators, body)
 		w.Timeline.Record("put", "host=%s version=%d status=%d error=%q", c.Name, version, status, fmt.Sprint(err))
