--- a/load/load.go
+++ b/load/load.go
@@ -1,10 +1,10 @@
 // Package load sends requests at a fixed rate and measures the answers.
 //
-// Arrivals are open-loop: a slow answer doesn't hold back the next request, as
-// it would not with real callers, and the wait of a request that was sent late
-// counts from when it should have been sent (Tene, "How not to measure
-// latency"). The same load can be sent to the gateway and, in the same run, to
-// the stand-in engine directly, so that the difference is the gateway's own.
+// Arrivals are open-loop: as with real callers, a slow answer doesn't delay the next
+// request. The latency of a request that was sent late counts from when it was due (Tene,
+// "How not to measure latency"). The same load can be sent to the gateway and, in the
+// same run, directly to the stand-in engine; the difference is the latency that the
+// gateway adds.
 package load
 
 import (
@@ -25,20 +25,21 @@
 	"github.com/linenscale/linenscale/request"
 )
 
-// Options shapes a load.
+// Options configures a load.
 type Options struct {
-	URL      string // of the completions endpoint
+	URL      string // completions endpoint
 	Model    string
-	Home     string
+	Home     string  // home region of the requests
 	Rate     float64 // requests a second
 	Duration time.Duration
-	Tokens   int // of each answer
-	Prompt   int // bytes of each prompt
+	Tokens   int // length of each answer
+	Prompt   int // length of each prompt in bytes
 	Stream   bool
-	Parallel int // most requests in flight
+	Parallel int // limit on the requests in flight; at the limit, requests are sent late
 }
 
-// Result is what a load measured. Times are in microseconds.
+// Result holds the measurements of one load. Times are in microseconds and cover only the
+// requests that were answered. Refused counts the requests that were rejected as not run.
 type Result struct {
 	Target    string  `json:"target"`
 	Sent      int64   `json:"sent"`
@@ -55,7 +56,7 @@
 	TotalP999 int64   `json:"total_p999_us"`
 }
 
-// recorder gathers the figures of one run.
+// recorder collects the measurements of one run.
 type recorder struct {
 	mu                              sync.Mutex
 	first, total                    *hdrhistogram.Histogram
@@ -63,10 +64,11 @@
 	events                          atomic.Int64
 }
 
-// maxRecorded is the greatest time that the histograms hold, in microseconds.
+// maxRecorded is the greatest time that the histograms can hold, in microseconds.
 const maxRecorded = int64(10 * time.Minute / time.Microsecond)
 
-// Run sends the load to one target.
+// Run sends the load to one target, which the result calls name, and waits for all
+// answers. It returns the measurements so far and an error if ctx ends.
 func Run(ctx context.Context, name string, opts Options) (Result, error) {
 	client := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: opts.Parallel, MaxConnsPerHost: opts.Parallel, DisableCompression: true,
@@ -116,7 +118,7 @@
 	r.readAnswer(resp, opts, due)
 }
 
-// readAnswer reads an answer and notes its times from when it was due.
+// readAnswer reads an answer and records its times, counted from when the request was due.
 func (r *recorder) readAnswer(resp *http.Response, opts Options, due time.Time) {
 	chunk := make([]byte, 4<<10)
 	var first time.Duration
@@ -161,7 +163,8 @@
 	}
 }
 
-// Table writes results as text, with the difference of each to the first.
+// Table writes results as a text table, followed by the difference between the last and
+// the first.
 func Table(w io.Writer, results []Result) error {
 	if _, err := fmt.Fprintf(w, "%-10s %8s %8s %7s %7s %9s %10s %10s %10s %10s\n", "target", "sent", "answered", "refused", "failed", "events/s", "first p50", "first p99", "p99.9", "total p99"); err != nil {
 		return errors.Trace(err)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -18,42 +18,43 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// Fault is something that an engine does wrong on command.
+// Fault is a fault that an engine or plain service shows on command.
 type Fault string
 
-// The faults.
+// The faults. A plain service shows only FaultStall, FaultDie, FaultCut, FaultTwice and
+// FaultLate.
 const (
 	FaultNone     Fault = ""
-	FaultCut      Fault = "cut"      // break the connection in mid-answer; the stream can be resumed
-	FaultDie      Fault = "die"      // break it, and forget the stream
-	FaultEnd      Fault = "end"      // end a stream cleanly before its last event
-	FaultStall    Fault = "stall"    // stop sending in mid-answer
-	FaultRefuse   Fault = "refuse"   // refuse as not run
-	FaultError    Fault = "error"    // fail after having taken the request
-	FaultLate     Fault = "late"     // answer long after the request
+	FaultCut      Fault = "cut"      // break the connection halfway; the stream can be resumed
+	FaultDie      Fault = "die"      // break the connection halfway; the stream can't be resumed
+	FaultEnd      Fault = "end"      // end a stream cleanly, but halfway and without its last event
+	FaultStall    Fault = "stall"    // stop sending halfway, with the connection open
+	FaultRefuse   Fault = "refuse"   // reject the request as not run
+	FaultError    Fault = "error"    // answer with status 500 after running the request
+	FaultLate     Fault = "late"     // answer after lateDelay
 	FaultTwice    Fault = "twice"    // send the answer twice
-	FaultCrossed  Fault = "crossed"  // answer with another attempt's identity
-	FaultGarbage  Fault = "garbage"  // send something that is not JSON
+	FaultCrossed  Fault = "crossed"  // answer with the ID of another attempt
+	FaultGarbage  Fault = "garbage"  // send data that isn't JSON
 	FaultShortLen Fault = "shortlen" // announce more bytes than are sent
 )
 
-// EngineOptions shapes a stand-in engine. Zero fields take the defaults.
+// EngineOptions configures a stand-in engine. Zero fields take the defaults.
 type EngineOptions struct {
 	Name        string
-	Slots       int           // requests in the batch; default 8
-	Queue       int           // requests that may wait; default 16
-	FirstToken  time.Duration // for a prompt that is cached; default 2ms
+	Slots       int           // requests that run at once, in one batch; default 8
+	Queue       int           // requests that may wait for a slot; default 16
+	FirstToken  time.Duration // time to the first token if the whole prompt is cached; default 2ms
 	TokenTime   time.Duration // between tokens of a stream; default 1ms
-	Tokens      int           // of an answer where the request doesn't say; default 8
-	PrefillByte time.Duration // for each byte of prompt that isn't cached
-	CacheBlocks int           // prompt blocks that the cache holds; default 4096
-	ReportLag   time.Duration // age of the load that is reported
-	EventGap    float64       // share of cache events that are lost
+	Tokens      int           // length of an answer if the request names none; default 8
+	PrefillByte time.Duration // prefill time for each byte of the prompt that isn't cached
+	CacheBlocks int           // capacity of the prefix cache in prompt blocks; default 4096
+	ReportLag   time.Duration // age of the load in a load report
+	EventGap    float64       // share of cache events that are lost, 0 to 1
 	Seed        uint64
 }
 
-// Engine is a stand-in model engine. NewEngine makes one; it is an
-// http.Handler.
+// Engine is a stand-in model engine with a bounded queue, a fixed number of slots and a
+// prefix cache. It is an http.Handler and is safe for concurrent use. NewEngine makes one.
 type Engine struct {
 	opts   EngineOptions
 	router *httprouter.Router
@@ -64,19 +65,20 @@
 	waiting     int
 	running     int
 	fault       Fault
-	faultsLeft  int // how many more requests the fault hits; negative for all
+	faultsLeft  int // how many more requests the fault affects; negative for all
 	loadHistory []loadSample
 	cache       *blockcache.Cache
 	events      []uint64 // blocks evicted since the last poll
 	streams     map[string]*stream
 	stats       EngineStats
 	orders      orders
-	limit       string // that its answers name; "" for none
-	backoff     string // that it asks for as it refuses all; "" while it takes requests
-	draining    bool   // its answers say so
+	limit       string // rate limit that its answers announce, in requests a second; "" for none
+	backoff     string // Retry-After of its rejections, while it rejects all requests; else ""
+	draining    bool   // its answers announce that it drains
 }
 
-// EngineStats counts what an engine has done.
+// EngineStats counts the requests of an engine, and how many blocks of their prompts were
+// cached.
 type EngineStats struct {
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
@@ -91,7 +93,7 @@
 	running, waiting int
 }
 
-// NewEngine makes an engine.
+// NewEngine returns an engine without load, cached blocks or faults.
 func NewEngine(opts EngineOptions) *Engine {
 	opts = opts.withDefaults()
 	e := &Engine{
@@ -150,35 +152,37 @@
 	e.router.ServeHTTP(w, r)
 }
 
-// SetLimit makes answers name how many requests a second the engine takes; "" for none.
+// SetLimit makes answers announce a rate limit in requests a second; "" for none.
 func (e *Engine) SetLimit(limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limit = limit
 }
 
-// SetRest makes the engine refuse all requests and ask for that rest; "" to take them again.
+// SetRest makes the engine reject all requests and ask for backoff, where rest is the
+// value of the Retry-After header. With "" it accepts requests again.
 func (e *Engine) SetRest(rest string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.backoff = rest
 }
 
-// SetLeaving makes answers say, or no longer say, that the engine leaves.
+// SetLeaving sets whether answers announce that the engine drains.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = leaving
 }
 
-// Stats gives what the engine has done so far.
+// Stats returns the counts so far.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// SetFault makes the next n requests fail; all of them where n is negative.
+// SetFault injects a fault into the next n requests, or into all further ones if n is
+// negative.
 func (e *Engine) SetFault(fault Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,8 +212,8 @@
 func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	w.Header().Set(relay.HeaderAttempt, r.Header.Get(relay.HeaderAttempt))
 	fault := e.nextFault()
-	if rest := e.backoffAsked(); rest != "" {
-		e.reject(w, rest)
+	if retryAfter := e.backoffAsked(); retryAfter != "" {
+		e.reject(w, retryAfter)
 		return
 	}
 	if fault == FaultRefuse || !e.enqueue() {
@@ -237,7 +241,7 @@
 	e.answer(w, r, req, fault)
 }
 
-// enqueue takes a place in the queue.
+// enqueue adds a request to the queue; false if the queue is full.
 func (e *Engine) enqueue() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -279,7 +283,7 @@
 	e.recordLoad()
 }
 
-// prefill gives the time to the first token and updates the cache.
+// prefill returns the time to the first token, and adds the prompt to the prefix cache.
 func (e *Engine) prefill(req completionRequest) time.Duration {
 	prompt := req.Messages
 	if len(prompt) == 0 {
@@ -303,10 +307,11 @@
 	return e.opts.FirstToken + time.Duration(coldBytes)*e.opts.PrefillByte
 }
 
-// queueFullBackoff is what an engine asks for whose queue is full, in seconds.
+// queueFullBackoff is the Retry-After of an engine whose queue is full, in seconds.
 const queueFullBackoff = "1"
 
-// backoffAsked gives the rest that it asks for, counting the request that it refuses.
+// backoffAsked returns the backoff to ask for, "" for none. If there is one, it counts a
+// rejected request.
 func (e *Engine) backoffAsked() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -316,13 +321,13 @@
 	return e.backoff
 }
 
-func (e *Engine) reject(w http.ResponseWriter, rest string) {
+func (e *Engine) reject(w http.ResponseWriter, retryAfter string) {
 	w.Header().Set(relay.HeaderNotRun, "true")
-	w.Header().Set("Retry-After", rest)
+	w.Header().Set("Retry-After", retryAfter)
 	w.WriteHeader(http.StatusTooManyRequests)
 }
 
-// answer writes the answer, or breaks in the way of the fault.
+// answer writes the answer, with the effects of the fault.
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, req completionRequest, fault Fault) {
 	switch fault {
 	case FaultError:
@@ -346,7 +351,7 @@
 	e.answerWhole(w, r, req, tokens, fault)
 }
 
-// lateDelay is how late FaultLate answers.
+// lateDelay is by how much FaultLate delays an answer.
 const lateDelay = 3 * time.Second
 
 func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, req completionRequest, tokens int, fault Fault) {
@@ -384,7 +389,7 @@
 	writeJSON(w, map[string]any{"running": sample.running, "waiting": sample.waiting, "at": sample.at})
 }
 
-// recordLoad remembers the load, for reports that lag. The lock is held.
+// recordLoad stores the current load for reports that lag by ReportLag. e.mu is held.
 func (e *Engine) recordLoad() {
 	if e.opts.ReportLag == 0 {
 		return
@@ -458,8 +463,8 @@
 	}
 }
 
-// answerText is the text of an answer: its tokens count up, so that a reader
-// sees whether one is missing or twice.
+// answerText returns the text of an answer. Its tokens are numbered, so that missing and
+// duplicate ones can be seen.
 func answerText(engine string, tokens int) string {
 	text := engine + ":"
 	for i := range tokens {
--- a/standin/order.go
+++ b/standin/order.go
@@ -1,6 +1,6 @@
-// This file defines the orders that engines accept: to load a model, adapter
-// or version, or to change role. An order carries a fence; an engine that
-// checks it refuses one older than the newest it has seen.
+// This file defines the orders that engines accept: to load a model, adapter or version,
+// or to change role. An order carries a fencing token; the engine rejects an order whose
+// token is lower than the highest it has accepted.
 
 package standin
 
@@ -11,7 +11,8 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Order is what an engine is told to do.
+// Order tells an engine which model, adapter and version to serve, and in which role.
+// Fence is its fencing token.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
@@ -44,7 +45,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// LastOrder gives the last order and how many have been taken.
+// LastOrder returns the last accepted order, and how many orders the engine has accepted.
 func (e *Engine) LastOrder() (Order, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Plain is a stand-in plain service. It counts the calls that it has run, by
-// the value of the call's Order header or else by its path, and answers with
-// the count. It is an http.Handler; NewPlain makes one.
+// Plain is a stand-in plain service. It counts the calls that it has run, by the value of
+// the call's Order header or, without one, by its path, and answers with the count. It is
+// an http.Handler and is safe for concurrent use. NewPlain makes one.
 type Plain struct {
 	name string
 
@@ -24,29 +24,30 @@
 	serviceTime time.Duration
 }
 
-// HeaderOrder names what a call does, for counting.
+// HeaderOrder is the header under whose value Plain counts a call.
 const HeaderOrder = "Order"
 
-// NewPlain makes a service that takes wait for each call.
-func NewPlain(name string, wait time.Duration) *Plain {
-	return &Plain{name: name, runs: make(map[string]int), serviceTime: wait}
+// NewPlain returns a service that takes serviceTime for each call.
+func NewPlain(name string, serviceTime time.Duration) *Plain {
+	return &Plain{name: name, runs: make(map[string]int), serviceTime: serviceTime}
 }
 
-// Ran gives how often the call has run.
+// Ran returns how often calls with this Order header, or this path, have run.
 func (p *Plain) Ran(order string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[order]
 }
 
-// Bytes gives the number of body bytes taken in.
+// Bytes returns the number of bytes of all request bodies read so far.
 func (p *Plain) Bytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes
 }
 
-// SetFault makes the next n calls fail; all of them where n is negative.
+// SetFault injects a fault into the next n calls, or into all further ones if n is
+// negative.
 func (p *Plain) SetFault(fault Fault, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +91,8 @@
 	p.answer(w, r, answer, fault)
 }
 
-// serveControl answers what a test or the demo asks of the stand-in itself.
+// serveControl serves the paths with which tests and the demo control the stand-in. It
+// returns false for any other path.
 func (p *Plain) serveControl(w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/engine/load":
@@ -131,7 +133,7 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// answerTwice writes two whole HTTP answers to one request.
+// answerTwice writes two whole HTTP responses to one request.
 func (p *Plain) answerTwice(w http.ResponseWriter, answer string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Platform is a stand-in for the platform's list of hosts. What it lists lags
-// behind what it has been told. It is an http.Handler; NewPlatform makes one.
+// Platform is a stand-in for the platform's list of hosts. The list lags behind the
+// changes made with Set. It is an http.Handler and is safe for concurrent use.
+// NewPlatform makes one.
 type Platform struct {
 	lag   time.Duration
 	clock func() time.Time
@@ -23,32 +24,32 @@
 	state string
 }
 
-// PlatformHost is one host of the list, by IP number. State is "live" or
-// "leaving"; a host that has gone is not listed.
+// PlatformHost is one host of the list, by IP address. State is "live" or "leaving". A host
+// with the state "gone" is not listed.
 type PlatformHost struct {
 	IP    string `json:"ip"`
 	State string `json:"state"`
 }
 
-// PlatformList is the answer to GET /hosts.
+// PlatformList is the answer to GET /hosts. At is the time whose state it shows.
 type PlatformList struct {
 	At    time.Time      `json:"at"`
 	Hosts []PlatformHost `json:"hosts"`
 }
 
-// NewPlatform makes a platform whose list lags by lag.
+// NewPlatform returns a platform without hosts, whose list lags by lag behind clock.
 func NewPlatform(lag time.Duration, clock func() time.Time) *Platform {
 	return &Platform{lag: lag, clock: clock}
 }
 
-// Set says what has become of a host: "live", "leaving" or "gone".
+// Set changes the state of a host to "live", "leaving" or "gone".
 func (p *Platform) Set(ip, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = append(p.changes, platformChange{p.clock(), ip, state})
 }
 
-// List gives the list as it was lag ago.
+// List returns the list as it was lag ago, sorted by IP address.
 func (p *Platform) List() PlatformList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -1,5 +1,5 @@
-// This file defines the stand-in engine's event streams, which can be resumed
-// from a byte offset for a while after they broke.
+// This file defines the stand-in engine's event streams. For a while after its connection
+// broke, a stream can be resumed from a byte offset.
 
 package standin
 
@@ -16,15 +16,15 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// stream is the whole text of one event stream. The stand-in makes it at once
-// and sends it event by event.
+// stream holds all events of one event stream. The stand-in makes them at once and sends
+// them one by one.
 type stream struct {
 	events  [][]byte
 	attempt string
 	made    time.Time
 }
 
-// streamTTL is how long a broken stream can be resumed.
+// streamTTL is how long after its start a stream can be resumed.
 const streamTTL = 30 * time.Second
 
 func newStream(engine, model, attempt string, tokens int) *stream {
@@ -93,14 +93,15 @@
 	}
 }
 
-// injectStreamFault carries out a fault in the middle of a stream; true if it ends there.
+// injectStreamFault carries out a fault in the middle of a stream. It returns true if the
+// fault ends the answer, and panics with http.ErrAbortHandler to break the connection.
 func (e *Engine) injectStreamFault(w http.ResponseWriter, r *http.Request, id string, fault Fault, event []byte) bool {
 	switch fault {
 	case FaultCut, FaultDie, FaultShortLen:
 		if fault != FaultCut {
 			e.forgetStream(id)
 		}
-		_, _ = w.Write(event[:len(event)/2]) // in the middle of an event
+		_, _ = w.Write(event[:len(event)/2]) // break in the middle of an event
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	case FaultEnd:
@@ -115,7 +116,8 @@
 	}
 }
 
-// handleResume sends the rest of a stream from a byte offset.
+// handleResume sends the rest of a stream from a byte offset, if the request names the
+// attempt that started it.
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	e.mu.Lock()
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -1,6 +1,5 @@
-// This file defines the stand-in for the network between regions: connections
-// to a host's wide-area address are passed on after a delay, and a region can
-// be cut off.
+// This file defines the stand-in for the network between regions. It forwards connections
+// to a host's wide-area address with a delay, and can partition a region.
 
 package standin
 
@@ -19,32 +18,34 @@
 	"github.com/linenscale/linenscale/internal/width"
 )
 
-// Link is one address that is reached over the wide area.
+// Link forwards one wide-area address to the host that it belongs to.
 type Link struct {
 	Listen string // the wide-area address
 	Target string // the host's own address
-	Region string // of the host
+	Region string // region of the host
 }
 
-// WAN passes connections on between regions. NewWAN makes one.
+// WAN forwards connections between regions. NewWAN makes one. It is safe for concurrent
+// use.
 type WAN struct {
 	delay     time.Duration
 	bandwidth *width.Ways
 	links     []Link
-	regionOf  func(ip string) string // of a connection's source
+	regionOf  func(ip string) string // region of the IP address that a connection comes from
 
 	mu          sync.Mutex
 	partitioned map[string]bool
 }
 
-// NewWAN makes a network with a one-way delay, and a width for all that goes between two regions.
-func NewWAN(delay time.Duration, ways *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
-	return &WAN{delay: delay, bandwidth: ways, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
+// NewWAN returns a network with a one-way delay and with a limit on the bandwidth between
+// two regions.
+func NewWAN(delay time.Duration, bandwidth *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
+	return &WAN{delay: delay, bandwidth: bandwidth, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
-// Cut cuts a region off from the others, or joins it again. While it is cut
-// off, bytes on open connections are held back, as by a network that drops
-// every packet without a word.
+// Cut partitions a region from the others, or ends the partition. Meanwhile, bytes on open
+// connections are held back and nothing is reset, as in a network that silently drops every
+// packet.
 func (n *WAN) Cut(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,13 +58,14 @@
 	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
-// Run listens on every link until ctx ends.
+// Run listens on the wide-area address of every link until ctx ends. It returns an error
+// if one can't be listened on.
 func (n *WAN) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	for _, link := range n.links {
 		listener, err := net.Listen("tcp", link.Listen)
 		if err != nil {
-			return errors.Annotate(err, "wide-area link")
+			return errors.Annotate(err, "listen on wide-area link")
 		}
 		group.Go(func(ctx context.Context) error {
 			stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -87,7 +89,7 @@
 	}
 }
 
-// forward carries one connection, each direction with its delay.
+// forward forwards one connection, each direction with its own delay.
 func (n *WAN) forward(ctx context.Context, conn net.Conn, link Link) {
 	defer conn.Close()
 	ip, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
@@ -116,14 +118,14 @@
 	due  time.Time
 }
 
-// maxQueuedChunks bounds the parcels on their way in one direction.
+// maxQueuedChunks bounds the chunks in flight in one direction of a connection.
 const maxQueuedChunks = 1024
 
 func (n *WAN) copyDelayed(ctx context.Context, from, to net.Conn, a, b string) {
-	parcels := make(chan chunk, maxQueuedChunks)
+	chunks := make(chan chunk, maxQueuedChunks)
 	both := pool.New()
 	both.Go(func() {
-		defer close(parcels)
+		defer close(chunks)
 		for {
 			data := make([]byte, 16<<10)
 			got, err := from.Read(data)
@@ -131,7 +133,7 @@
 				if n.bandwidth.Pass(ctx, a, b, got) != nil {
 					return
 				}
-				parcels <- chunk{data[:got], time.Now().Add(n.delay)}
+				chunks <- chunk{data[:got], time.Now().Add(n.delay)}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
@@ -141,12 +143,12 @@
 			}
 		}
 	})
-	for p := range parcels {
-		time.Sleep(time.Until(p.due))
+	for c := range chunks {
+		time.Sleep(time.Until(c.due))
 		if !n.waitPartition(ctx, a, b) {
 			break
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			from.Close()
 			break
 		}
@@ -154,15 +156,17 @@
 	if half, ok := to.(*net.TCPConn); ok {
 		_ = half.CloseWrite()
 	}
-	for range parcels { // let the reader end
+	for range chunks { // lets the reader finish if it blocks on a full queue
 	}
 	both.Wait()
 }
 
-// partitionPollInterval is how often a held connection looks whether the cut is over.
+// partitionPollInterval is how often a blocked connection checks whether its partition
+// has ended.
 const partitionPollInterval = 5 * time.Millisecond
 
-// waitPartition waits while the regions are cut off from each other.
+// waitPartition waits while the regions are partitioned from each other; false if ctx has
+// ended.
 func (n *WAN) waitPartition(ctx context.Context, a, b string) bool {
 	for n.isPartitioned(a, b) {
 		if !sleep(ctx, partitionPollInterval) {
@@ -172,7 +176,7 @@
 	return ctx.Err() == nil
 }
 
-// ServeHTTP takes POST /cut?region=…&cut=true|false.
+// ServeHTTP starts or ends a partition: POST /cut?region=…&cut=true|false.
 func (n *WAN) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	cut, err := strconv.ParseBool(r.URL.Query().Get("cut"))
 	if err != nil {
