--- a/soak/harm.go
+++ b/soak/harm.go
@@ -66,7 +66,7 @@
 	}},
 	{"reset", 3, func(w *World, r *rand.Rand) string {
 		h := pick(r, w.Hosts)
-		w.Net.Reset(h.Name)
+		w.Net.ResetConnections(h.Name)
 		return h.Name
 	}},
 	{"engine goes wrong", 6, func(w *World, r *rand.Rand) string {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -79,15 +79,15 @@
 	n.faults[[2]string{from, to}] = h
 }
 
-// Heal removes the faults of all links.
-func (n *Network) Heal() {
+// ClearFaults removes the faults of all links.
+func (n *Network) ClearFaults() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.faults)
 }
 
-// Reset resets every open connection of a host.
-func (n *Network) Reset(host string) {
+// ResetConnections resets every open connection of a host.
+func (n *Network) ResetConnections(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for conn, ends := range n.conns {
--- a/soak/run.go
+++ b/soak/run.go
@@ -186,7 +186,7 @@
 // endFaults removes the faults of links and engines, waits until all processes run, and
 // ends all evacuations.
 func (w *World) endFaults() {
-	w.Net.Heal()
+	w.Net.ClearFaults()
 	for _, e := range w.liveEngines() {
 		e.SetFaults(platformtest.NewFaultPlan(platformtest.FaultNone, 0))
 		e.SetRest("")
@@ -194,7 +194,7 @@
 	for until := time.Now().Add(recoveryTimeout); time.Now().Before(until) && !w.allRunning(); {
 		time.Sleep(pollInterval)
 	}
-	w.Net.Heal() // the scheduled ends of faults have run by now
+	w.Net.ClearFaults() // the scheduled ends of faults have run by now
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for dataCentre := range w.regions {
 		for until := time.Now().Add(recoveryTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
--- a/soak/world.go
+++ b/soak/world.go
@@ -56,9 +56,9 @@
 
 // Host is one gateway or control host, which runs as a process of its own.
 type Host struct {
-	Name    string
-	Region  string
-	Control bool
+	Name      string
+	Region    string
+	IsControl bool
 
 	settings   settings.Member
 	listenIP   string // IP address that its process binds to, behind the proxy
@@ -166,7 +166,7 @@
 // is its control host.
 func (w *World) addHost(region, number int) error {
 	public, listen := w.publicNets[region].IP(number+1), w.listenNets[region].IP(number+1)
-	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), Control: number == 0, listenIP: listen}
+	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), IsControl: number == 0, listenIP: listen}
 	h.settings = settings.Member{
 		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.publicNets[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: public, Bind: listen,
 		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, Losses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
@@ -175,7 +175,7 @@
 		Listen: settings.Listen{Metrics: address(public, metricsPort)},
 	}
 	ports := []int{peerPort, peerPort + 1, callersPort, readyPort}
-	if h.Control {
+	if h.IsControl {
 		h.Name = fmt.Sprintf("control%d", region)
 		h.settings.Role = roster.RoleControl
 		h.settings.DataDir = filepath.Join(w.Dir, h.Name)
@@ -306,7 +306,7 @@
 func (w *World) gateways(region string) []*Host {
 	var out []*Host
 	for _, h := range w.Hosts {
-		if !h.Control && (region == "" || h.Region == region) {
+		if !h.IsControl && (region == "" || h.Region == region) {
 			out = append(out, h)
 		}
 	}
@@ -316,7 +316,7 @@
 func (w *World) controlHosts() []*Host {
 	var out []*Host
 	for _, h := range w.Hosts {
-		if h.Control {
+		if h.IsControl {
 			out = append(out, h)
 		}
 	}
