--- a/cmd/linenscale-soak/main.go
+++ b/cmd/linenscale-soak/main.go
@@ -41,14 +41,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken := 0
+	failedRuns := 0
 	for i := range uint64(seeds) {
 		if !run(ctx, soak.Options{Program: program, Seed: seed + i, Regions: regions, Gateways: gateways, Engines: engines, Bandwidth: mbits * megabit}, dir, injectFor) {
-			broken++
+			failedRuns++
 		}
 	}
-	if broken > 0 {
-		fmt.Printf("%d of %d runs broke a promise\n", broken, seeds)
+	if failedRuns > 0 {
+		fmt.Printf("%d of %d runs broke a promise\n", failedRuns, seeds)
 		os.Exit(1)
 	}
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -148,8 +148,8 @@
 	return all
 }()
 
-// CheckRead checks that a control host which was read returned version got or later, where
-// newest was the newest accepted version when the read began.
+// CheckRead checks a read at a control host that returned version got. It must be at least
+// newest, the newest version that had been accepted when the read began.
 func (c *Checker) CheckRead(control string, newest, got int64) {
 	c.mu.Lock()
 	c.Checks++
@@ -166,10 +166,10 @@
 // CheckEngines checks all requests that the engines have received so far.
 func (c *Checker) CheckEngines() {
 	c.mu.Lock()
-	engines, calm := append([]*Engine(nil), c.engines...), c.calmSince
-	promised := make(map[string]string, len(c.notRun))
+	engines, calmSince := append([]*Engine(nil), c.engines...), c.calmSince
+	notRun := make(map[string]string, len(c.notRun))
 	for id, where := range c.notRun {
-		promised[id] = where
+		notRun[id] = where
 	}
 	c.mu.Unlock()
 	c.checkAccounts(engines)
@@ -188,7 +188,7 @@
 			if a.Ran {
 				ran[a.Request]++
 			}
-			c.checkArrival(e, k, a, promised, calm, acked)
+			c.checkArrival(e, k, a, notRun, calmSince, acked)
 			if k.atMostOnce && ran[a.Request] > 1 {
 				c.AddProblem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
 			}
@@ -200,8 +200,8 @@
 }
 
 // checkArrival makes the checks that need only one received request.
-func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
-	if where, refused := promised[a.Request]; refused && a.Ran {
+func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, notRun map[string]string, calmSince, acked time.Time) {
+	if where, refused := notRun[a.Request]; refused && a.Ran {
 		c.AddProblem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
 	}
 	if k.service != e.Service {
@@ -210,7 +210,7 @@
 	if k.region != "" && k.region != e.Region {
 		c.AddProblem("request %s (%s) reached %s in %s, and is bound to %s", a.Request, k.name, e.ID, e.Region, k.region)
 	}
-	if !acked.IsZero() && !calm.IsZero() && acked.After(calm.Add(drainTime)) && a.At.After(acked.Add(drainTime)) {
+	if !acked.IsZero() && !calmSince.IsZero() && acked.After(calmSince.Add(drainTime)) && a.At.After(acked.Add(drainTime)) {
 		c.AddProblem("request %s (%s) reached %s %v after it was acknowledged that it drains", a.Request, k.name, e.ID, a.At.Sub(acked))
 	}
 }
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -92,13 +92,13 @@
 // drawFault draws one fault by weight.
 func drawFault(r *rand.Rand) fault {
 	total := 0
-	for _, h := range faults {
-		total += h.weight
+	for _, f := range faults {
+		total += f.weight
 	}
 	at := r.IntN(total)
-	for _, h := range faults {
-		if at -= h.weight; at < 0 {
-			return h
+	for _, f := range faults {
+		if at -= f.weight; at < 0 {
+			return f
 		}
 	}
 	return faults[0]
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -37,8 +37,8 @@
 	{38019, "fault of the soak: it panicked because a connection was accepted while the run ended"},
 }
 
-// build builds linenscaled and returns the path of the binary.
-func build(t *testing.T) string {
+// buildProgram builds linenscaled and returns the path of the binary.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "linenscaled")
 	out, err := exec.Command("go", "build", "-o", program, "../cmd/linenscaled").CombinedOutput()
@@ -46,8 +46,8 @@
 	return program
 }
 
-// logs returns a new folder, which is kept if the test fails.
-func logs(t *testing.T) string {
+// newLogDir returns a new folder, which is kept if the test fails.
+func newLogDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "soak-"+filepath.Base(t.Name())+"-")
 	must.NoError(t, err)
@@ -63,7 +63,7 @@
 
 func run(t *testing.T, opts soak.Options, injectFor time.Duration) {
 	t.Helper()
-	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = build(t), logs(t), 3, width.Usual
+	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = buildProgram(t), newLogDir(t), 3, width.Usual
 	report, err := soak.Run(context.Background(), opts, injectFor)
 	must.NoError(t, err)
 	t.Log(report)
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -140,7 +140,7 @@
 		return
 	}
 	defer conn.Close()
-	one := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n" + answer
-	_, _ = io.WriteString(conn, one+one)
+	response := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n" + answer
+	_, _ = io.WriteString(conn, response+response)
 	time.Sleep(50 * time.Millisecond)
 }
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -153,8 +153,8 @@
 			break
 		}
 	}
-	if half, ok := to.(*net.TCPConn); ok {
-		_ = half.CloseWrite()
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
 	for range chunks { // lets the reader finish if it blocks on a full queue
 	}
