--- a/catalog/account.go
+++ b/catalog/account.go
@@ -1,5 +1,4 @@
-// This file defines client accounts: who a caller's key belongs to, and what that
-// account may ask for.
+// This file defines client accounts, their keys and their allowances.
 
 package catalog
 
@@ -9,32 +8,33 @@
 	"slices"
 )
 
-// Account is a client account. Callers show one of its keys.
+// Account is a client account. A caller authenticates with one of its keys.
 type Account struct {
 	Name      string      `json:"name"`
 	Keys      []KeyDigest `json:"keys,omitempty"`
-	Priority  *int        `json:"priority,omitempty"` // goes before the route's; nil: the route's holds
-	Homes     []string    `json:"homes,omitempty"`    // regions its requests may run in; none: any
+	Priority  *int        `json:"priority,omitempty"` // overrides the route's priority unless nil
+	Homes     []string    `json:"homes,omitempty"`    // regions its requests may run in; empty means any
 	Allowance Allowance   `json:"allowance"`
 }
 
-// KeyDigest stands for a key wherever hosts hold or compare one, so that none can be
-// read from a host's memory, disk, log or answer. Keys are long and drawn at random:
-// SHA-256 needs no salt.
+// KeyDigest is the SHA-256 digest of a key. Hosts store and compare digests only, so that
+// no key can be read from a host's memory, disk, log or responses. Keys are long and
+// random, so the digest needs no salt.
 type KeyDigest string
 
-// DigestKey gives the digest of a key.
+// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(base64.RawStdEncoding.EncodeToString(sum[:]))
 }
 
-// String hides most of the digest, so that what a log shows names no key.
-func (k KeyDigest) String() string { return string(k)[:min(len(k), shownDigits)] + "…" }
+// String returns the first characters of the digest only, so that logs don't identify a
+// key.
+func (k KeyDigest) String() string { return string(k)[:min(len(k), shownDigestLen)] + "…" }
 
-const shownDigits = 6
+const shownDigestLen = 6
 
-// Unit says what an allowance is counted in.
+// Unit is the unit in which an allowance is counted.
 type Unit string
 
 // The units.
@@ -43,36 +43,37 @@
 	UnitTokens   Unit = "tokens"
 )
 
-// Allowance is what an account may ask for, over all hosts together.
+// Allowance is the rate limit of an account, summed over all hosts.
 type Allowance struct {
 	Unit  Unit    `json:"unit"`
-	Rate  float64 `json:"rate"`  // units a second; 0 for no limit
-	Burst float64 `json:"burst"` // units on top of the rate
-	Plain float64 `json:"plain"` // units of a request that tells no tokens
+	Rate  float64 `json:"rate"`  // units per second; 0 means no limit
+	Burst float64 `json:"burst"` // units allowed in excess of the rate
+	Plain float64 `json:"plain"` // units charged for a request without a token count
 }
 
-// Limited tells whether there is a limit.
+// Limited reports whether the allowance limits the account at all.
 func (a Allowance) Limited() bool { return a.Rate > 0 }
 
-// Cost gives the units of a request of so many tokens; told tells whether the caller
-// said how many.
-func (a Allowance) Cost(tokens int, told bool) float64 {
+// Cost returns the units that a request is charged. tokens counts only if hasTokens is
+// true, that is, if the caller stated a token count.
+func (a Allowance) Cost(tokens int, hasTokens bool) float64 {
 	switch {
 	case a.Unit != UnitTokens:
 		return 1
-	case !told:
+	case !hasTokens:
 		return a.Plain
 	default:
 		return float64(tokens)
 	}
 }
 
-// Permits tells whether the account's requests may run in a region.
+// Permits reports whether the account's requests may run in a region.
 func (a Account) Permits(region string) bool {
 	return len(a.Homes) == 0 || slices.Contains(a.Homes, region)
 }
 
-// PriorityOn gives the priority of the account's requests on a route.
+// PriorityOn returns the priority of the account's requests on a route: the account's own
+// priority if it has one, else the route's.
 func (a Account) PriorityOn(r Route) int {
 	if a.Priority != nil {
 		return *a.Priority
@@ -80,24 +81,23 @@
 	return r.Priority
 }
 
-// HasAccounts tells whether the catalog declares accounts: then requests need a key,
-// but on public routes.
+// HasAccounts reports whether the catalog declares any accounts. If it does, requests need
+// a key, except on public routes.
 func (t *Table) HasAccounts() bool { return len(t.catalog.Accounts) > 0 }
 
-// Accounts gives the catalog's accounts. They must not be changed.
+// Accounts returns the catalog's accounts. The caller must not modify them.
 func (t *Table) Accounts() []Account { return t.catalog.Accounts }
 
-// AccountOf gives the account that holds a key.
+// AccountOf returns the account that a key belongs to.
 func (t *Table) AccountOf(key KeyDigest) (Account, bool) {
-	i, ok := t.keys[key]
+	i, ok := t.accountIndexByKey[key]
 	if !ok {
 		return Account{}, false
 	}
 	return t.catalog.Accounts[i], true
 }
 
-// account checks one account.
-func (k *checker) account(a Account) {
+func (k *checker) checkAccount(a Account) {
 	if a.Name == "" {
 		k.faultf("an account has no name")
 	}
@@ -106,14 +106,14 @@
 	}
 	k.accounts[a.Name] = true
 	for _, key := range a.Keys {
-		other, taken := k.keys[key]
+		other, taken := k.accountByKey[key]
 		switch {
 		case key == emptyKey:
 			k.faultf("account %q has an empty key", a.Name)
 		case taken && other != a.Name:
 			k.faultf("accounts %q and %q share a key", other, a.Name)
 		}
-		k.keys[key] = a.Name
+		k.accountByKey[key] = a.Name
 	}
 	if a.Allowance.Rate < 0 || a.Allowance.Burst < 0 || a.Allowance.Plain < 0 {
 		k.faultf("account %q has a negative allowance", a.Name)
--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -9,13 +9,14 @@
 	"github.com/linenscale/linenscale/catalog"
 )
 
-func TestAnEmptyKeyIsRefused(t *testing.T) {
+func TestEmptyKeyIsRejected(t *testing.T) {
 	c := catalog.Catalog{Version: 1, Accounts: []catalog.Account{{Name: "club", Keys: []catalog.KeyDigest{catalog.DigestKey("")}}}}
 	must.ErrorContains(t, c.Check(), `account "club" has an empty key`)
 }
 
-// TestNoKeyCanBeRead prints what a host holds of a key in the ways that logs do.
-func TestNoKeyCanBeRead(t *testing.T) {
+// TestFormattedAccountHidesKey guards against keys in logs: it formats an account with
+// every verb that a log may use.
+func TestFormattedAccountHidesKey(t *testing.T) {
 	account := catalog.Account{Name: "club", Keys: []catalog.KeyDigest{catalog.DigestKey("secret")}}
 	for _, format := range []string{"%v", "%+v", "%#v", "%s"} {
 		must.StrNotContains(t, fmt.Sprintf(format, account), "secret")
@@ -24,7 +25,7 @@
 	must.StrNotContains(t, digest.String(), string(digest))
 }
 
-func TestAllowancesCount(t *testing.T) {
+func TestAllowanceCost(t *testing.T) {
 	tokens := catalog.Allowance{Unit: catalog.UnitTokens, Rate: 1, Plain: 200}
 	must.Eq(t, 9240.0, tokens.Cost(9240, true))
 	must.Eq(t, 0.0, tokens.Cost(0, true))
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// Kind says how often a request of a route may be run.
+// Kind states how often a request of a route may run.
 type Kind string
 
 // The kinds of route.
 const (
-	KindSafe   Kind = "safe"   // may be run any number of times
-	KindUnsafe Kind = "unsafe" // at most once for each request
-	KindStream Kind = "stream" // an event stream; repeatable only where Resumable
+	KindSafe   Kind = "safe"   // may run any number of times
+	KindUnsafe Kind = "unsafe" // runs at most once per request
+	KindStream Kind = "stream" // is answered by an event stream; repeatable only if Resumable
 )
 
-// Catalog is everything that an operator declares. The zero value is the
-// catalog of a system to which nothing has been declared: its Version is 0.
+// Catalog is the whole declaration of an operator. The zero value, whose Version is 0, is
+// the catalog of a system before the first declaration.
 type Catalog struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
-	Accounts []Account `json:"accounts,omitempty"` // none: nobody needs a key
+	Accounts []Account `json:"accounts,omitempty"` // empty means that no request needs a key
 }
 
-// Route tells which requests go to which service, and how.
+// Route matches requests by host and path, and states which services answer them and on
+// which terms.
 type Route struct {
 	Name      string        `json:"name"`
-	Host      string        `json:"host"`   // of the Host header, without port
-	Prefix    string        `json:"prefix"` // of the path; begins and ends with a slash
+	Host      string        `json:"host"`   // value of the Host header, without port
+	Prefix    string        `json:"prefix"` // path prefix; begins and ends with a slash
 	Kind      Kind          `json:"kind"`
-	Timeout   time.Duration `json:"timeout"` // longest time that a request is held
-	Target    time.Duration `json:"target"`  // to the answer, or to the first event of a stream
-	MaxPause  time.Duration `json:"maxPause,omitempty"`
-	Priority  int           `json:"priority"` // 0 is the most urgent
-	Attempts  int           `json:"attempts"` // engines that one request may be sent to
+	Timeout   time.Duration `json:"timeout"`            // maximum time to serve a request
+	Target    time.Duration `json:"target"`             // target latency of the response, or of the first event of a stream
+	MaxPause  time.Duration `json:"maxPause,omitempty"` // target for the longest pause between events
+	Priority  int           `json:"priority"`           // 0 is the most urgent
+	Attempts  int           `json:"attempts"`           // maximum number of engines that a request is sent to
 	Backends  []Backend     `json:"backends"`
-	Affinity  bool          `json:"affinity,omitempty"`  // prompts share prefixes that engines keep
-	Resumable bool          `json:"resumable,omitempty"` // a stream may go on at another engine
-	Homes     []string      `json:"homes,omitempty"`     // regions it may run in; none: any
-	Public    bool          `json:"public,omitempty"`    // needs no key where the catalog has accounts
+	Affinity  bool          `json:"affinity,omitempty"`  // prompts share prefixes, which engines cache
+	Resumable bool          `json:"resumable,omitempty"` // another engine can continue a stream
+	Homes     []string      `json:"homes,omitempty"`     // regions its requests may run in; empty means any
+	Public    bool          `json:"public,omitempty"`    // needs no key even if the catalog has accounts
 }
 
-// Backend is a share of a route's requests.
+// Backend assigns a weighted share of a route's requests to a service.
 type Backend struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -54,26 +55,28 @@
 type Service struct {
 	Name           string        `json:"name"`
 	HealthPath     string        `json:"healthPath"`
-	MaxConnections int           `json:"maxConnections"` // that one engine takes from all hosts together
-	ColdTime       time.Duration `json:"coldTime"`       // after a start, an engine is cold for so long
-	ColdRate       float64       `json:"coldRate"`       // requests a second that a cold engine bears
+	MaxConnections int           `json:"maxConnections"` // per engine, summed over all hosts
+	ColdTime       time.Duration `json:"coldTime"`       // how long an engine is cold after its start
+	ColdRate       float64       `json:"coldRate"`       // requests per second that a cold engine can serve
 	Model          *ModelSpec    `json:"model,omitempty"`
 }
 
 // ModelSpec describes the engines of a service that run language models.
 type ModelSpec struct {
-	Slots       int `json:"slots"`       // requests in one batch
-	CacheTokens int `json:"cacheTokens"` // of running requests and kept prompt parts together
-	// TokenBytes is the memory of one token, and LinkRate what the link between two
-	// engines carries, in bits a second: 0 where engines can't copy from each other.
+	Slots       int `json:"slots"`       // maximum requests in one batch
+	CacheTokens int `json:"cacheTokens"` // KV cache capacity, shared by running requests and cached prefix blocks
+	// TokenBytes is the KV cache memory of one token, and LinkRate the bandwidth of the
+	// link between two engines in bits per second. Both are 0 if engines can't transfer
+	// KV cache to each other.
 	TokenBytes int     `json:"tokenBytes,omitempty"`
 	LinkRate   float64 `json:"linkRate,omitempty"`
 }
 
-// Copies tells whether an engine can copy what another keeps of a prompt.
+// Copies reports whether an engine can fetch the cached prefix blocks of a prompt from
+// another engine.
 func (m ModelSpec) Copies() bool { return m.TokenBytes > 0 && m.LinkRate > 0 }
 
-// Limits bound what callers may send. Zero means no limit of that kind.
+// Limits bounds the size and timing of what callers send. A zero field means no limit.
 type Limits struct {
 	HeaderBytes int           `json:"headerBytes"`
 	BodyBytes   int64         `json:"bodyBytes"`
@@ -81,17 +84,18 @@
 	IdleTime    time.Duration `json:"idleTime"`
 }
 
-// Repeatable tells whether a request of the route may be run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r Route) Repeatable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
 
-// Permits tells whether the route's requests may run in a region.
+// Permits reports whether the route's requests may run in a region.
 func (r Route) Permits(region string) bool {
 	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
-// Pick gives the service for a request; random is any 64 uniform bits.
+// Pick draws the service for a request in proportion to the backends' weights, or returns
+// "" if no backend has a positive weight. random is 64 uniformly distributed bits.
 func (r Route) Pick(random uint64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -100,63 +104,63 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(random % uint64(total))
+	remaining := int(random % uint64(total))
 	for _, b := range r.Backends {
-		if at -= b.Weight; at < 0 {
+		if remaining -= b.Weight; remaining < 0 {
 			return b.Service
 		}
 	}
 	return ""
 }
 
-// Table finds routes and services of a catalog by name. NewTable makes one; it
-// is immutable.
+// Table is an immutable index of a catalog: routes by host, services by name, accounts by
+// key. Use NewTable to create one.
 type Table struct {
-	catalog  Catalog
-	hosts    map[string][]Route // by host, the longest prefix first
-	services map[string]Service
-	keys     map[KeyDigest]int // of accounts, by key
+	catalog           Catalog
+	routesByHost      map[string][]Route // longest prefix first
+	serviceByName     map[string]Service
+	accountIndexByKey map[KeyDigest]int // index into catalog.Accounts
 }
 
 // NewTable indexes a catalog.
 func NewTable(c Catalog) *Table {
-	t := &Table{catalog: c, hosts: make(map[string][]Route), services: make(map[string]Service, len(c.Services)), keys: make(map[KeyDigest]int)}
+	t := &Table{catalog: c, routesByHost: make(map[string][]Route), serviceByName: make(map[string]Service, len(c.Services)), accountIndexByKey: make(map[KeyDigest]int)}
 	for _, r := range c.Routes {
-		t.hosts[r.Host] = append(t.hosts[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortFunc(routes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for _, s := range c.Services {
-		t.services[s.Name] = s
+		t.serviceByName[s.Name] = s
 	}
 	for i, a := range c.Accounts {
 		for _, key := range a.Keys {
-			t.keys[key] = i
+			t.accountIndexByKey[key] = i
 		}
 	}
 	return t
 }
 
-// Version gives the catalog's version, 0 for none.
+// Version returns the catalog's version, or 0 if nothing has been declared yet.
 func (t *Table) Version() int64 { return t.catalog.Version }
 
-// Limits gives the catalog's limits.
+// Limits returns the catalog's limits on what callers may send.
 func (t *Table) Limits() Limits { return t.catalog.Limits }
 
-// Services gives the catalog's services. They must not be changed.
+// Services returns the catalog's services. The caller must not modify them.
 func (t *Table) Services() []Service { return t.catalog.Services }
 
-// Service gives the service of that name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (Service, bool) {
-	s, ok := t.services[name]
+	s, ok := t.serviceByName[name]
 	return s, ok
 }
 
-// Match gives the route of a request: of its host's routes, the one with the
-// longest prefix of the path.
+// Match returns the route of a request: among the routes of the host, the one with the
+// longest prefix of path.
 func (t *Table) Match(host, path string) (Route, bool) {
-	for _, r := range t.hosts[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -164,13 +168,12 @@
 	return Route{}, false
 }
 
-// Homes counts, for each region, the host's bound routes whose requests may run
-// there. It is empty where no route of the host is bound to regions. Bound
-// routes of one host may contradict each other, so that no region need serve
-// them all.
+// Homes returns, for each region, the number of routes of the host that are bound to that
+// region. The map is empty if no route of the host is bound to regions. Routes of one host
+// may be bound to disjoint sets of regions, so there may be no region that serves them all.
 func (t *Table) Homes(host string) map[string]int {
 	homes := make(map[string]int)
-	for _, r := range t.hosts[host] {
+	for _, r := range t.routesByHost[host] {
 		for _, region := range r.Homes {
 			homes[region]++
 		}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -13,8 +13,9 @@
 	"github.com/linenscale/linenscale/catalog"
 )
 
-// TestEveryFaultIsNamed checks the catalogs of testdata/faults.json.
-func TestEveryFaultIsNamed(t *testing.T) {
+// TestCheckReportsEveryFault compares the faults that Check reports for the catalogs in
+// testdata/faults.json with the expected ones.
+func TestCheckReportsEveryFault(t *testing.T) {
 	data, err := os.ReadFile("testdata/faults.json")
 	must.NoError(t, err)
 	var cases []struct {
@@ -37,42 +38,42 @@
 	}
 }
 
-func table(routes ...catalog.Route) *catalog.Table {
+func newTable(routes ...catalog.Route) *catalog.Table {
 	return catalog.NewTable(catalog.Catalog{Version: 1, Routes: routes})
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
-	found := table(
+func TestMatchPrefersLongestPrefix(t *testing.T) {
+	routes := newTable(
 		catalog.Route{Name: "all", Host: "a", Prefix: "/"},
 		catalog.Route{Name: "deep", Host: "a", Prefix: "/x/y/"},
 		catalog.Route{Name: "shallow", Host: "a", Prefix: "/x/"},
 		catalog.Route{Name: "other", Host: "b", Prefix: "/x/y/z/"},
 	)
 	for path, want := range map[string]string{"/x/y/z/1": "deep", "/x/yy": "shallow", "/x/": "shallow", "/x": "all", "/": "all"} {
-		r, ok := found.Match("a", path)
+		r, ok := routes.Match("a", path)
 		must.True(t, ok)
 		must.Eq(t, want, r.Name, must.Sprint(path))
 	}
-	_, ok := found.Match("c", "/x/")
+	_, ok := routes.Match("c", "/x/")
 	must.False(t, ok)
-	_, ok = found.Match("b", "/x/y/")
+	_, ok = routes.Match("b", "/x/y/")
 	must.False(t, ok)
 }
 
-func TestHomesCountTheBoundRoutesOfAHost(t *testing.T) {
-	found := table(
+func TestHomesCountsBoundRoutesOfHost(t *testing.T) {
+	routes := newTable(
 		catalog.Route{Host: "a", Prefix: "/1/"},
 		catalog.Route{Host: "a", Prefix: "/2/", Homes: []string{"lagos", "abuja"}},
 		catalog.Route{Host: "a", Prefix: "/3/", Homes: []string{"abuja", "kano"}},
 		catalog.Route{Host: "b", Prefix: "/"},
 	)
-	must.Eq(t, map[string]int{"lagos": 1, "abuja": 2, "kano": 1}, found.Homes("a"))
-	must.MapEmpty(t, found.Homes("b"))
+	must.Eq(t, map[string]int{"lagos": 1, "abuja": 2, "kano": 1}, routes.Homes("a"))
+	must.MapEmpty(t, routes.Homes("b"))
 }
 
-// TestRoutesOfOneServiceAreDrawnByWeight draws often and compares with the
-// weights.
-func TestRoutesOfOneServiceAreDrawnByWeight(t *testing.T) {
+// TestPickFollowsWeights calls Pick with each residue of the sum of the
+// weights: each service must be drawn exactly as often as its weight.
+func TestPickFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.IntRange(0, 20).Draw(t, "a"), rapid.IntRange(1, 20).Draw(t, "b")
 		r := catalog.Route{Backends: []catalog.Backend{{Service: "a", Weight: a}, {Service: "b", Weight: b}}}
--- a/catalog/check.go
+++ b/catalog/check.go
@@ -1,4 +1,4 @@
-// This file defines the checks of a catalog.
+// This file defines the validation of a catalog.
 
 package catalog
 
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// InvalidError lists everything that is wrong with a catalog.
+// InvalidError lists all faults of a catalog.
 type InvalidError struct {
 	Faults []string
 }
 
-// Error gives the faults in one line.
+// Error joins the faults in one line.
 func (e *InvalidError) Error() string { return "invalid catalog: " + strings.Join(e.Faults, "; ") }
 
-// Check tells what is wrong with a catalog; the error is an *InvalidError.
+// Check validates the catalog. It returns an *InvalidError that lists every fault, or nil.
 func (c Catalog) Check() error {
-	k := checker{services: make(map[string]bool), places: make(map[string]string), accounts: make(map[string]bool), keys: make(map[KeyDigest]string)}
+	k := checker{services: make(map[string]bool), routeByPattern: make(map[string]string), accounts: make(map[string]bool), accountByKey: make(map[KeyDigest]string)}
 	if c.Version <= 0 {
 		k.faultf("the version is %d, must be more than 0", c.Version)
 	}
 	for _, s := range c.Services {
-		k.service(s)
+		k.checkService(s)
 	}
 	for _, r := range c.Routes {
-		k.route(r)
+		k.checkRoute(r)
 	}
 	for _, a := range c.Accounts {
-		k.account(a)
+		k.checkAccount(a)
 	}
 	if len(k.faults) > 0 {
 		return &InvalidError{k.faults}
@@ -36,19 +36,20 @@
 	return nil
 }
 
+// checker collects the faults of one catalog.
 type checker struct {
-	services map[string]bool
-	places   map[string]string // route names by host and prefix
-	accounts map[string]bool
-	keys     map[KeyDigest]string // account names by key
-	faults   []string
+	services       map[string]bool
+	routeByPattern map[string]string // name of the route with that host and prefix
+	accounts       map[string]bool
+	accountByKey   map[KeyDigest]string // name of the account with that key
+	faults         []string
 }
 
 func (k *checker) faultf(format string, args ...any) {
 	k.faults = append(k.faults, fmt.Sprintf(format, args...))
 }
 
-func (k *checker) service(s Service) {
+func (k *checker) checkService(s Service) {
 	if s.Name == "" {
 		k.faultf("a service has no name")
 	}
@@ -61,7 +62,7 @@
 	k.services[s.Name] = true
 }
 
-func (k *checker) route(r Route) {
+func (k *checker) checkRoute(r Route) {
 	switch r.Kind {
 	case KindSafe, KindUnsafe, KindStream:
 	default:
@@ -70,21 +71,21 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		k.faultf("route %q has prefix %q, which must begin and end with a slash", r.Name, r.Prefix)
 	}
-	place := r.Host + r.Prefix
-	if other, taken := k.places[place]; taken {
-		k.faultf("routes %q and %q share %s", other, r.Name, place)
+	pattern := r.Host + r.Prefix
+	if other, taken := k.routeByPattern[pattern]; taken {
+		k.faultf("routes %q and %q share %s", other, r.Name, pattern)
 	}
-	k.places[place] = r.Name
+	k.routeByPattern[pattern] = r.Name
 	if r.Timeout <= 0 {
 		k.faultf("route %q has timeout %v, must be more than 0", r.Name, r.Timeout)
 	}
 	if r.Attempts < 1 {
 		k.faultf("route %q allows %d attempts, must be 1 or more", r.Name, r.Attempts)
 	}
-	k.backends(r)
+	k.checkBackends(r)
 }
 
-func (k *checker) backends(r Route) {
+func (k *checker) checkBackends(r Route) {
 	total := 0
 	for _, b := range r.Backends {
 		if !k.services[b.Service] {
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,9 +1,9 @@
-// Package catalog holds what an operator declares as one whole: the routes by
-// which requests are told apart, the services that answer them, the limits
-// on what callers may send, and the client accounts with their keys and allowances.
+// Package catalog defines the declaration that an operator submits as a unit: routes,
+// which match requests; services, which answer them; limits on what callers may send;
+// and client accounts with their keys and allowances.
 //
-// A Catalog has a version and is immutable. Operators replace the whole of it;
-// the one with the highest version holds (package ledger keeps it durable).
-// Check tells everything that is wrong with one before it is taken, and Match
+// A Catalog is immutable and has a version. Operators always replace the whole catalog,
+// and the one with the highest version is effective (package ledger stores it durably).
+// Catalog.Check reports every fault of a catalog before it is accepted, and Table.Match
 // finds the route of a request.
 package catalog
