--- a/declare/codec.go
+++ b/declare/codec.go
@@ -1,5 +1,5 @@
-// This file defines how objects are written to JSON: an envelope that names
-// the kind beside the object, so that a sealed interface survives the trip.
+// This file defines the JSON encoding of objects: an envelope that holds the kind and the
+// object, so that decoding restores the concrete type behind the Object interface.
 
 package declare
 
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// Envelope carries one Object through JSON.
+// Envelope encodes one Object, together with its kind, as JSON and gob.
 type Envelope struct {
 	Object Object
 }
@@ -28,11 +28,11 @@
 	return json.Marshal(envelopeJSON{Kind: e.Object.Ref().Kind, Spec: spec})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote. An unknown kind is an error.
+// UnmarshalJSON decodes the output of MarshalJSON. An unknown kind is an error.
 func (e *Envelope) UnmarshalJSON(data []byte) error {
 	var raw envelopeJSON
 	if err := json.Unmarshal(data, &raw); err != nil {
-		return errors.Annotate(err, "envelope")
+		return errors.Annotate(err, "decode envelope")
 	}
 	object, err := decodeSpec(raw.Kind, func(into any) error { return json.Unmarshal(raw.Spec, into) })
 	if err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// decodeSpec makes an object of the kind and has decode fill it in.
+// decodeSpec creates an object of the given kind and passes a pointer to it to decode.
 func decodeSpec(kind Kind, decode func(into any) error) (Object, error) {
 	switch kind {
 	case KindRegion:
--- a/declare/config.go
+++ b/declare/config.go
@@ -8,18 +8,19 @@
 	"github.com/juju/errors"
 )
 
-// Change is one atomic step from a configuration to the next.
+// Change is an atomic step from one configuration to the next. With applies it.
 type Change struct {
-	// ID is chosen by whoever asks; a resent change has the same ID.
+	// ID is chosen by the client, which resends a change under the same ID.
 	ID string `json:"id"`
-	// Base is the revision that the change was made from.
+	// Base is the revision of the configuration that the change was derived from.
 	Base    uint64     `json:"base"`
 	Author  string     `json:"author,omitempty"`
 	Puts    []Envelope `json:"puts,omitempty"`
 	Deletes []Ref      `json:"deletes,omitempty"`
 }
 
-// Digest tells two changes with one ID apart.
+// Digest returns a hash of the change, which distinguishes two different changes that
+// were submitted under the same ID.
 func (c Change) Digest() uint64 {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -28,23 +29,24 @@
 	return xxhash.Sum64(data)
 }
 
-// Config is an immutable, checked set of objects. The zero value is the empty
-// configuration of revision 0.
+// Config is an immutable, validated set of objects. The zero value is the empty
+// configuration, at revision 0.
 type Config struct {
 	revision uint64
 	objects  map[Ref]Object
 }
 
-// Revision counts the accepted changes that led to this configuration.
+// Revision returns the number of changes that were applied to the empty configuration to
+// arrive at this one.
 func (c Config) Revision() uint64 { return c.revision }
 
-// Get gives one object.
+// Get returns the object with the given kind and name.
 func (c Config) Get(ref Ref) (Object, bool) {
 	object, ok := c.objects[ref]
 	return object, ok
 }
 
-// Objects gives all objects in order of kind and name.
+// Objects returns all objects, sorted by kind and name.
 func (c Config) Objects() []Object {
 	all := make([]Object, 0, len(c.objects))
 	for _, object := range c.objects {
@@ -60,19 +62,19 @@
 	return all
 }
 
-// Each gives the objects of one type in order of their names.
+// Each returns all objects of type T, sorted by name.
 func Each[T Object](c Config) []T {
 	var all []T
 	for _, object := range c.objects {
-		if one, ok := object.(T); ok {
-			all = append(all, one)
+		if typed, ok := object.(T); ok {
+			all = append(all, typed)
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Ref().Name < all[j].Ref().Name })
 	return all
 }
 
-// RegionOf gives the region of a data centre, or "" where it is not declared.
+// RegionOf returns the region of a data centre, or "" if the data centre is not declared.
 func (c Config) RegionOf(dataCentre string) string {
 	object, ok := c.objects[Ref{KindDataCentre, dataCentre}]
 	if !ok {
@@ -81,7 +83,7 @@
 	return object.(DataCentre).Region
 }
 
-// Service gives the service of that name.
+// Service returns the service with the given name.
 func (c Config) Service(name string) (Service, bool) {
 	object, ok := c.objects[Ref{KindService, name}]
 	if !ok {
@@ -90,9 +92,10 @@
 	return object.(Service), true
 }
 
-// With applies a change. The result has the next revision. A change that
-// leaves anything wrong is refused whole, as a *FaultsError that names each
-// fault.
+// With returns the configuration after a change, at the next revision; c is not modified.
+// It applies deletes before puts. If the result is invalid, the whole change is rejected
+// with a *FaultsError that lists every fault. Deleting an object that doesn't exist is
+// errors.NotFound.
 func (c Config) With(change Change) (Config, error) {
 	objects := make(map[Ref]Object, len(c.objects)+len(change.Puts))
 	for ref, object := range c.objects {
@@ -108,7 +111,7 @@
 		objects[put.Object.Ref()] = put.Object
 	}
 	next := Config{revision: c.revision + 1, objects: objects}
-	if faults := check(next); len(faults) > 0 {
+	if faults := validate(next); len(faults) > 0 {
 		return Config{}, &FaultsError{Faults: faults}
 	}
 	return next, nil
@@ -128,11 +131,11 @@
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the output of MarshalJSON. It doesn't validate the objects again.
 func (c *Config) UnmarshalJSON(data []byte) error {
 	var in configJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return errors.Annotate(err, "configuration")
+		return errors.Annotate(err, "decode configuration")
 	}
 	c.revision = in.Revision
 	c.objects = make(map[Ref]Object, len(in.Objects))
--- a/declare/declare_test.go
+++ b/declare/declare_test.go
@@ -16,9 +16,9 @@
 	"github.com/linenscale/linenscale/declare"
 )
 
-// wants reads the expected faults of a file: each stands in a comment, as
+// expectedFaults returns the expected faults of a file. Each is written as a comment,
 // # want `text`, within the document that causes it.
-func wants(t *testing.T, name string) []string {
+func expectedFaults(t *testing.T, name string) []string {
 	t.Helper()
 	data, err := os.ReadFile(name)
 	must.NoError(t, err)
@@ -29,7 +29,7 @@
 	return out
 }
 
-func copyTo(t *testing.T, name string) string {
+func copyTestdata(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -38,7 +38,9 @@
 	return dir
 }
 
-func checkFaults(t *testing.T, err error, expected []string) {
+// requireFaults checks that err contains exactly the expected faults, each with a file and
+// a line.
+func requireFaults(t *testing.T, err error, expected []string) {
 	t.Helper()
 	var faults declare.LoadErrors
 	must.True(t, errors.As(err, &faults), must.Sprint(err))
@@ -51,16 +53,16 @@
 	}
 }
 
-func TestFaultsAreNamedByFileAndLine(t *testing.T) {
+func TestFaultsNameFileAndLine(t *testing.T) {
 	for _, name := range []string{"faults.yaml", "syntax.yaml"} {
 		t.Run(name, func(t *testing.T) {
-			_, err := declare.LoadConfig(copyTo(t, name))
-			checkFaults(t, err, wants(t, filepath.Join("testdata", name)))
+			_, err := declare.LoadConfig(copyTestdata(t, name))
+			requireFaults(t, err, expectedFaults(t, filepath.Join("testdata", name)))
 		})
 	}
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesLoadWithoutFaults(t *testing.T) {
 	for _, name := range []string{"cooperative", "association"} {
 		loaded, faults := declare.ReadFolder(filepath.Join("..", "examples", name, "declarations"))
 		must.SliceEmpty(t, faults)
@@ -86,7 +88,7 @@
 	must.True(t, errors.Is(err, errors.NotFound))
 }
 
-func TestConfigSurvivesJSON(t *testing.T) {
+func TestConfigRoundTripsThroughJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		change := declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "r"}}, {Object: declare.DataCentre{Name: "d", Region: "r"}}, {Object: declare.Service{Name: "s", Type: declare.ServicePlain}}}}
 		for i := range rapid.IntRange(0, 5).Draw(t, "engines") {
@@ -104,13 +106,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again declare.Config
-		if err := json.Unmarshal(data, &again); err != nil {
+		var decoded declare.Config
+		if err := json.Unmarshal(data, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		second, err := json.Marshal(again)
-		if err != nil || string(second) != string(data) {
-			t.Fatalf("%s became %s (%v)", data, second, err)
+		reencoded, err := json.Marshal(decoded)
+		if err != nil || string(reencoded) != string(data) {
+			t.Fatalf("%s became %s (%v)", data, reencoded, err)
 		}
 	})
 }
--- a/declare/file.go
+++ b/declare/file.go
@@ -1,5 +1,5 @@
-// This file defines how declarations are read from YAML files, with the file
-// and line of each object kept for messages.
+// This file defines the parsing of declarations from YAML files. It records the file and
+// line of each object for error messages.
 
 package declare
 
@@ -17,32 +17,33 @@
 	"github.com/juju/errors"
 )
 
-// Position is a place in a file of declarations. Lines count from 1.
+// Position is a line of a declaration file. Lines count from 1.
 type Position struct {
 	File string
 	Line int
 }
 
-// String gives "file:line".
+// String returns "file:line".
 func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Loaded is one object and where it was read.
+// Loaded is an object that was read from a file, and its position there.
 type Loaded struct {
 	Object   Object
 	Position Position
 }
 
-// FileError is a fault in a file of declarations.
+// FileError is an error at a position in a declaration file.
 type FileError struct {
 	Position Position
 	Message  string
 }
 
-// Error gives "file:line: message".
+// Error returns "file:line: message".
 func (e *FileError) Error() string { return e.Position.String() + ": " + e.Message }
 
-// ReadFolder reads every .yaml file of a folder, in order of their names.
-// All faults of all files come back together.
+// ReadFolder reads the .yaml files of a folder in the order of their names. It reads all
+// of them even if some have errors, and returns all objects and all errors. An object that
+// is declared twice is an error.
 func ReadFolder(dir string) ([]Loaded, []error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil || len(names) == 0 {
@@ -61,13 +62,14 @@
 		all = append(all, loaded...)
 		faults = append(faults, errs...)
 	}
-	return all, append(faults, twice(all)...)
+	return all, append(faults, findDuplicates(all)...)
 }
 
-func twice(all []Loaded) []error {
-	seen := make(map[Ref]Position, len(all))
+// findDuplicates returns an error for each object whose kind and name were declared before.
+func findDuplicates(loaded []Loaded) []error {
+	seen := make(map[Ref]Position, len(loaded))
 	var faults []error
-	for _, l := range all {
+	for _, l := range loaded {
 		ref := l.Object.Ref()
 		if first, ok := seen[ref]; ok {
 			faults = append(faults, &FileError{l.Position, fmt.Sprintf("%s is already declared at %s", ref, first)})
@@ -78,12 +80,13 @@
 	return faults
 }
 
-// Parse reads the documents of one file. Each document has a kind and the
-// fields of that kind; an unknown field is an error.
+// Parse reads the YAML documents of one file. Each document has a kind and the fields of
+// that kind; an unknown field is an error. Parse skips documents with errors and returns
+// the objects of the others. name is the file name for error messages.
 func Parse(name string, data []byte) ([]Loaded, []error) {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
-		return nil, []error{fileError(name, 0, err)}
+		return nil, []error{newFileError(name, 0, err)}
 	}
 	var all []Loaded
 	var faults []error
@@ -104,20 +107,21 @@
 func parseDoc(name string, body ast.Node) (Loaded, error) {
 	mapping, ok := body.(*ast.MappingNode)
 	if !ok {
-		return Loaded{}, fileError(name, body.GetToken().Position.Line, errors.New("a declaration must be a mapping with a kind"))
+		return Loaded{}, newFileError(name, body.GetToken().Position.Line, errors.New("a declaration must be a mapping with a kind"))
 	}
 	line := firstLine(mapping)
-	kind, rest := takeKind(mapping)
+	kind, rest := splitKind(mapping)
 	object, err := decodeSpec(kind, func(into any) error {
 		return yaml.NewDecoder(bytes.NewReader(nil), yaml.Strict()).DecodeFromNode(rest, into)
 	})
 	if err != nil {
-		return Loaded{}, fileError(name, line, err)
+		return Loaded{}, newFileError(name, line, err)
 	}
 	return Loaded{object, Position{name, line}}, nil
 }
 
-// firstLine finds where a mapping begins: its own token is the first colon.
+// firstLine returns the line on which a mapping begins. It uses the token of the first
+// key, because the token of the mapping itself is the first colon.
 func firstLine(m *ast.MappingNode) int {
 	if len(m.Values) == 0 {
 		return m.GetToken().Position.Line
@@ -125,7 +129,8 @@
 	return m.Values[0].Key.GetToken().Position.Line
 }
 
-func takeKind(m *ast.MappingNode) (Kind, *ast.MappingNode) {
+// splitKind returns the value of the "kind" key and a copy of the mapping without it.
+func splitKind(m *ast.MappingNode) (Kind, *ast.MappingNode) {
 	rest := *m
 	rest.Values = nil
 	var kind Kind
@@ -139,12 +144,12 @@
 	return kind, &rest
 }
 
-// fileError turns an error of the YAML library, which knows the line, into
-// ours.
-func fileError(name string, line int, err error) error {
-	var known yaml.Error
-	if errors.As(err, &known) && known.GetToken() != nil {
-		return &FileError{Position{name, known.GetToken().Position.Line}, known.GetMessage()}
+// newFileError converts an error into a *FileError. The position is that of the YAML
+// library's error if it has one, else the given line.
+func newFileError(name string, line int, err error) error {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		return &FileError{Position{name, yamlErr.GetToken().Position.Line}, yamlErr.GetMessage()}
 	}
 	return &FileError{Position{name, line}, err.Error()}
 }
--- a/declare/load.go
+++ b/declare/load.go
@@ -1,4 +1,4 @@
-// This file defines how a folder of declarations becomes a change.
+// This file defines how the declarations of a folder become a change and a configuration.
 
 package declare
 
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// LoadErrors joins the faults found while reading files.
+// LoadErrors lists the errors found in the files of a folder.
 type LoadErrors []error
 
-// Error gives one fault a line.
+// Error returns one line per error.
 func (e LoadErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, err := range e {
@@ -20,7 +20,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Puts gives the envelopes of all objects read.
+// Puts wraps the loaded objects in envelopes, for Change.Puts.
 func Puts(loaded []Loaded) []Envelope {
 	puts := make([]Envelope, len(loaded))
 	for i, l := range loaded {
@@ -29,8 +29,8 @@
 	return puts
 }
 
-// Locate puts the file and line of an object in front of each fault of a
-// *FaultsError; any other error comes back as it is.
+// Locate converts a *FaultsError into LoadErrors that begin with the file and line of the
+// object at fault, as far as loaded has it. It returns any other error unchanged.
 func Locate(err error, loaded []Loaded) error {
 	var faults *FaultsError
 	if !errors.As(err, &faults) {
@@ -40,19 +40,19 @@
 	for _, l := range loaded {
 		positions[l.Object.Ref()] = l.Position
 	}
-	var out LoadErrors
+	var located LoadErrors
 	for _, fault := range faults.Faults {
-		if at, ok := positions[fault.Ref]; ok {
-			out = append(out, &FileError{at, fault.String()})
+		if position, ok := positions[fault.Ref]; ok {
+			located = append(located, &FileError{position, fault.String()})
 			continue
 		}
-		out = append(out, errors.New(fault.String()))
+		located = append(located, errors.New(fault.String()))
 	}
-	return out
+	return located
 }
 
-// LoadConfig reads a folder and gives the configuration of its objects and of
-// extra, for a new control log.
+// LoadConfig reads a folder and returns the first configuration of a new control log: the
+// objects of the folder and extra, at revision 1.
 func LoadConfig(dir string, extra ...Object) (Config, error) {
 	loaded, faults := ReadFolder(dir)
 	if len(faults) > 0 {
--- a/declare/object.go
+++ b/declare/object.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// Kind names a type of object, as written in the "kind" field of a file.
+// Kind is a type of object, as written in the "kind" field of a declaration.
 type Kind string
 
 // The kinds of object.
@@ -22,44 +22,45 @@
 	KindSelector   Kind = "Selector"
 )
 
-// Ref names one object.
+// Ref identifies one object of a configuration.
 type Ref struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String gives the form that operators type, for example "Engine/review-1".
+// String returns the form that operators type, for example "Engine/review-1".
 func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
 
 // Object is one declaration. The set of implementations is sealed: Region,
 // DataCentre, Host, Service, Engine and Selector.
 type Object interface {
-	// Ref gives the identity of the object within a Config.
+	// Ref returns the identity of the object within a Config.
 	Ref() Ref
 	sealed()
 }
 
-// Region is a place whose data centres are close to each other.
+// Region is a group of data centres with low network latency between them.
 type Region struct {
 	Name string `json:"name" yaml:"name"`
 }
 
-// DataCentre is one site of a region. Hosts of a data centre renew each
-// other's leases when the data centre is cut off.
+// DataCentre is one site of a region. When a data centre is partitioned from the others,
+// its hosts renew each other's leases.
 type DataCentre struct {
 	Name   string `json:"name" yaml:"name"`
 	Region string `json:"region" yaml:"region"`
 }
 
-// HostState says what is known of a host's future.
+// HostState is the state that operators declare for a host.
 type HostState string
 
 // The states of a host. The empty string means HostServing.
 const (
 	HostServing HostState = "serving"
+	// HostLeaving means that the host is draining.
 	HostLeaving HostState = "leaving"
-	// HostGone is an operator's word that the host has ended and will not
-	// come back under this name. It no longer counts in any majority.
+	// HostGone is an operator's assurance that the host has terminated and will not
+	// return under this name. The host no longer counts in any majority.
 	HostGone HostState = "gone"
 )
 
@@ -75,63 +76,65 @@
 	State      HostState `json:"state,omitempty" yaml:"state,omitempty"`
 }
 
-// ServiceType says which interface a service's engines speak.
+// ServiceType is the interface that a service's engines implement.
 type ServiceType string
 
 // The types of service.
 const (
-	// ServiceModel engines speak the OpenAI interface.
+	// ServiceModel engines implement the OpenAI API.
 	ServiceModel ServiceType = "model"
-	// ServicePlain back ends take any HTTP request.
+	// ServicePlain servers accept any HTTP request.
 	ServicePlain ServiceType = "plain"
 )
 
-// Policy weighs what a service's operators care about. Weights are relative;
-// a zero Policy weighs tail latency only.
+// Policy holds the relative weights of the objectives in routing a service's requests:
+// tail latency, cost, and Away, the share of requests served in remote regions. The zero
+// Policy considers tail latency only.
 type Policy struct {
 	Tail       float64       `json:"tail,omitempty" yaml:"tail,omitempty"`
 	Cost       float64       `json:"cost,omitempty" yaml:"cost,omitempty"`
 	Away       float64       `json:"away,omitempty" yaml:"away,omitempty"`
-	FirstToken time.Duration `json:"first_token,omitempty" yaml:"first_token,omitempty"` // target
+	FirstToken time.Duration `json:"first_token,omitempty" yaml:"first_token,omitempty"` // target time to first token
 }
 
-// Service is something that callers can ask for.
+// Service is a set of interchangeable engines that callers address by name, or by one of
+// Models.
 type Service struct {
 	Name     string        `json:"name" yaml:"name"`
 	Type     ServiceType   `json:"type" yaml:"type"`
 	Models   []string      `json:"models,omitempty" yaml:"models,omitempty"`
 	Policy   Policy        `json:"policy,omitempty" yaml:"policy,omitempty"`
-	Deadline time.Duration `json:"deadline,omitempty" yaml:"deadline,omitempty"` // longest time for one request
+	Deadline time.Duration `json:"deadline,omitempty" yaml:"deadline,omitempty"` // maximum duration of a request
 }
 
-// EngineState is the operator's wish for an engine.
+// EngineState is the state that operators declare for an engine.
 type EngineState string
 
 // The states of an engine. The empty string means EngineServing.
 const (
 	EngineServing EngineState = "serving"
-	// EngineStopping engines finish what they have and get nothing new.
+	// EngineStopping engines finish their requests in flight and receive no new ones.
 	EngineStopping EngineState = "stopping"
 )
 
-// Engine is a back end: a model engine, or one server of a plain service.
+// Engine is a backend server: a model engine, or one server of a plain service.
 type Engine struct {
 	Name       string      `json:"name" yaml:"name"`
 	Service    string      `json:"service" yaml:"service"`
 	DataCentre string      `json:"data_centre" yaml:"data_centre"`
 	Address    string      `json:"address" yaml:"address"` // host:port
-	Slots      int         `json:"slots" yaml:"slots"`     // requests it runs side by side
+	Slots      int         `json:"slots" yaml:"slots"`     // maximum concurrent requests
 	Cost       float64     `json:"cost,omitempty" yaml:"cost,omitempty"`
 	Labels     Labels      `json:"labels,omitempty" yaml:"labels,omitempty"`
 	State      EngineState `json:"state,omitempty" yaml:"state,omitempty"`
-	// ChecksFence is true for an engine that refuses orders with an old fence.
+	// ChecksFence is true for an engine that rejects orders with an outdated fencing token.
 	ChecksFence bool `json:"checks_fence,omitempty" yaml:"checks_fence,omitempty"`
 }
 
-// Selector says where requests may go. It applies to the requests of Service
-// that Match selects; those may go only to engines that Allow selects. Where
-// several selectors apply, all of them must allow the engine. A request that
-// no selector applies to is not permitted anywhere.
+// Selector restricts the engines that requests may run on. It applies to the requests of
+// Service whose labels match Match, and permits the engines whose labels match Allow. If
+// several selectors apply to a request, all of them must permit the engine. A request to
+// which no selector applies is not permitted on any engine.
 type Selector struct {
 	Name    string `json:"name" yaml:"name"`
 	Service string `json:"service" yaml:"service"`
@@ -164,19 +167,19 @@
 func (Engine) sealed()     {}
 func (Selector) sealed()   {}
 
-// WithLabel gives the engine with one label set.
+// WithLabel returns a copy of the engine with one label added or replaced.
 func (e Engine) WithLabel(key, value string) Engine {
 	e.Labels = e.Labels.With(key, value)
 	return e
 }
 
-// WithState gives the engine with another wished state.
+// WithState returns a copy of the engine with another declared state.
 func (e Engine) WithState(state EngineState) Engine {
 	e.State = state
 	return e
 }
 
-// Label is one key and its value.
+// Label is a key-value pair of a set of Labels.
 type Label struct {
 	Key, Value string
 }
@@ -188,8 +191,8 @@
 	pairs []Label
 }
 
-// NewLabels copies the pairs into a set; of two pairs with one key the last
-// stands.
+// NewLabels returns a set of the pairs. If a key occurs more than once, its last value
+// wins.
 func NewLabels(pairs ...Label) Labels {
 	var l Labels
 	for _, p := range pairs {
@@ -198,19 +201,19 @@
 	return l
 }
 
-// With gives the set with one label added or replaced.
+// With returns a copy of the set with one label added or replaced.
 func (l Labels) With(key, value string) Labels {
-	at := sort.Search(len(l.pairs), func(i int) bool { return l.pairs[i].Key >= key })
+	index := sort.Search(len(l.pairs), func(i int) bool { return l.pairs[i].Key >= key })
 	pairs := make([]Label, 0, len(l.pairs)+1)
-	pairs = append(pairs, l.pairs[:at]...)
+	pairs = append(pairs, l.pairs[:index]...)
 	pairs = append(pairs, Label{key, value})
-	if at < len(l.pairs) && l.pairs[at].Key == key {
-		at++
+	if index < len(l.pairs) && l.pairs[index].Key == key {
+		index++
 	}
-	return Labels{append(pairs, l.pairs[at:]...)}
+	return Labels{append(pairs, l.pairs[index:]...)}
 }
 
-// Lookup gives the value of a label and whether the set has it.
+// Lookup returns the value of a label, and whether the set contains it.
 func (l Labels) Lookup(key string) (string, bool) {
 	for _, p := range l.pairs {
 		if p.Key == key {
@@ -220,22 +223,22 @@
 	return "", false
 }
 
-// Has tells whether the set has the label.
+// Has reports whether the set contains the label.
 func (l Labels) Has(key string) bool {
 	_, ok := l.Lookup(key)
 	return ok
 }
 
-// Get gives the value of a label, or "" where the set lacks it.
+// Get returns the value of a label, or "" if the set doesn't contain it.
 func (l Labels) Get(key string) string {
 	value, _ := l.Lookup(key)
 	return value
 }
 
-// All gives a copy of the pairs in order of their keys.
+// All returns a copy of the pairs, sorted by key.
 func (l Labels) All() []Label { return append([]Label(nil), l.pairs...) }
 
-// MarshalJSON writes the set as one JSON object.
+// MarshalJSON encodes the set as one JSON object.
 func (l Labels) MarshalJSON() ([]byte, error) {
 	m := make(map[string]string, len(l.pairs))
 	for _, p := range l.pairs {
@@ -244,17 +247,17 @@
 	return json.Marshal(m)
 }
 
-// UnmarshalJSON reads the set from one JSON object.
+// UnmarshalJSON decodes the set from one JSON object.
 func (l *Labels) UnmarshalJSON(data []byte) error {
 	var m map[string]string
 	if err := json.Unmarshal(data, &m); err != nil {
-		return errors.Annotate(err, "labels")
+		return errors.Annotate(err, "decode labels")
 	}
-	*l = labelsOf(m)
+	*l = labelsFromMap(m)
 	return nil
 }
 
-// MarshalYAML writes the set as one mapping.
+// MarshalYAML encodes the set as one YAML mapping.
 func (l Labels) MarshalYAML() (any, error) {
 	m := make(map[string]string, len(l.pairs))
 	for _, p := range l.pairs {
@@ -263,17 +266,17 @@
 	return m, nil
 }
 
-// UnmarshalYAML reads the set from one mapping.
+// UnmarshalYAML decodes the set from one YAML mapping.
 func (l *Labels) UnmarshalYAML(unmarshal func(any) error) error {
 	var m map[string]string
 	if err := unmarshal(&m); err != nil {
 		return err
 	}
-	*l = labelsOf(m)
+	*l = labelsFromMap(m)
 	return nil
 }
 
-func labelsOf(m map[string]string) Labels {
+func labelsFromMap(m map[string]string) Labels {
 	var l Labels
 	for key, value := range m {
 		l = l.With(key, value)
@@ -281,8 +284,8 @@
 	return l
 }
 
-// Reach gives the address by which hosts of other regions reach one of the
-// host's own addresses.
+// Reach returns the address at which hosts of other regions connect to address, which is
+// one of the host's own: WideArea with the same port if WideArea is set, else address.
 func (h Host) Reach(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if h.WideArea == "" || err != nil {
