--- a/declare/codec.go
+++ b/declare/codec.go
@@ -32,7 +32,7 @@
 func (e *Envelope) UnmarshalJSON(data []byte) error {
 	var raw envelopeJSON
 	if err := json.Unmarshal(data, &raw); err != nil {
-		return errors.Annotate(err, "decode envelope")
+		return errors.Annotate(err, "envelope")
 	}
 	object, err := decodeSpec(raw.Kind, func(into any) error { return json.Unmarshal(raw.Spec, into) })
 	if err != nil {
--- a/declare/config.go
+++ b/declare/config.go
@@ -135,7 +135,7 @@
 func (c *Config) UnmarshalJSON(data []byte) error {
 	var in configJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return errors.Annotate(err, "decode configuration")
+		return errors.Annotate(err, "configuration")
 	}
 	c.revision = in.Revision
 	c.objects = make(map[Ref]Object, len(in.Objects))
--- a/declare/object.go
+++ b/declare/object.go
@@ -251,7 +251,7 @@
 func (l *Labels) UnmarshalJSON(data []byte) error {
 	var m map[string]string
 	if err := json.Unmarshal(data, &m); err != nil {
-		return errors.Annotate(err, "decode labels")
+		return errors.Annotate(err, "labels")
 	}
 	*l = labelsFromMap(m)
 	return nil
