--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -1,4 +1,4 @@
-// This file defines the two roles of a host that finds the others by seeds.
+// This file starts the two roles of a member: control host and gateway.
 
 package daemon
 
@@ -31,19 +31,20 @@
 	"github.com/linenscale/linenscale/wire"
 )
 
-// control runs a control host.
-func (m *member) control(ctx, below context.Context, group *pool.ContextPool, stopBelow func()) error {
+// startControlHost opens the ledger's replica and the listeners, and starts the control
+// host's background tasks in group. They run until ctx ends and the controller has stopped.
+func (m *member) startControlHost(ctx, background context.Context, group *pool.ContextPool, stopBackground func()) error {
 	folder, err := disk.OpenDir(m.settings.DataDir)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	id, err := m.identity(folder)
+	id, err := m.resolveIdentity(folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	sender := wire.NewSender[raft.Envelope](m.peerDialer(true), follow.Service+".Deliver")
 	c, err := controller.New(controller.Deps{
-		Self: m.self(), Replica: id, Folder: folder, Voters: m.settings.Voters(), Regions: m.settings.Regions,
+		Self: m.rosterEntry(), Replica: id, Folder: folder, Voters: m.settings.VoterCount(), Regions: m.settings.Regions,
 		Heartbeat: m.settings.Heartbeat, GatherTime: controller.DefaultGatherTime, DrainTimeout: controller.DefaultDrainTimeout, Seeds: m.seedPeers, SyncCalls: m.calls, Commands: m.commands,
 		Send: func(e raft.Envelope) { sender.Enqueue(controller.PeerAddress(e.To), e) },
 		Log:  m.log, Clock: steady.Time, SteadyClock: steady.Now, ConfirmState: m.settings.KeysRevokedWithin > 0, Seed: rand.Uint64(),
@@ -51,12 +52,12 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	m.regions.Store(c.Follower())
+	m.follower.Store(c.Follower())
 	server := wire.NewServer()
-	if err := server.Register(follow.Service, controller.NewService(below, c)); err != nil {
+	if err := server.Register(follow.Service, controller.NewService(background, c)); err != nil {
 		return errors.Trace(err)
 	}
-	listener, err := m.listenPeers(m.settings.Peer())
+	listener, err := m.listenPeers(m.settings.PeerAddress())
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -66,97 +67,98 @@
 	m.serve(group, m.settings.Listen.Operators, platform.NewOperators(c, m.log))
 	m.serve(group, m.settings.Listen.Directory, platform.NewDirectory(c))
 	group.Go(func(context.Context) error {
-		defer stopBelow()
+		defer stopBackground()
 		<-ctx.Done()
 		m.log.Info("stopping")
 		c.Stop()
-		time.Sleep(controlStop)
+		time.Sleep(controlStopDelay)
 		return nil
 	})
 	return nil
 }
 
-// identity gives the identity of the folder's replica. An empty folder gets a
-// new one, which no membership holds, except at the first start of the whole
-// system, when the seeds form the ledger's log.
-func (m *member) identity(folder disk.Folder) (raft.ID, error) {
+// resolveIdentity returns the identity of the folder's replica. An empty folder gets a
+// new identity that is in no membership yet. The exception is the first start of the
+// whole system, when the seeds form the ledger's log under their initial identities.
+func (m *member) resolveIdentity(folder disk.Folder) (raft.ID, error) {
 	id, err := readIdentity(folder)
 	if err != nil {
 		return raft.None, errors.Trace(err)
 	}
-	peer := m.settings.Peer()
+	peer := m.settings.PeerAddress()
 	if id == raft.None {
 		id = newIdentity(peer)
 		if m.settings.FirstStart && slices.Contains(m.seedPeers(), peer) {
-			id = raft.ID(peer + firstIdentity)
+			id = raft.ID(peer + initialIdentitySuffix)
 		}
 		if err := writeIdentity(folder, id); err != nil {
 			return raft.None, errors.Annotate(err, "identity")
 		}
-		m.log.Info("new identity", zap.String("identity", string(id)))
+		m.log.Info("created replica identity", zap.String("identity", string(id)))
 	}
-	return id, formFirst(folder, id, m.seedPeers())
+	return id, writeInitialMembership(folder, id, m.seedPeers())
 }
 
-// gateway runs a gateway.
-func (m *member) gateway(ctx context.Context, group *pool.ContextPool, stopBelow func()) error {
+// startGateway opens the gateway's listeners and starts its background tasks in group.
+// The server stops when ctx ends; stopBackground then ends the other tasks.
+func (m *member) startGateway(ctx context.Context, group *pool.ContextPool, stopBackground func()) error {
 	callers, err := m.listen(m.settings.Listen.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	handover, err := m.listenPeers(m.settings.Handover())
+	handover, err := m.listenPeers(m.settings.HandoverAddress())
 	if err != nil {
 		return errors.Trace(err)
 	}
-	engines := registry.New(m.life, m.settings.Heartbeat, steady.Time)
-	self := m.self()
-	self.Handover = m.settings.Handover()
+	engines := registry.New(m.incarnation, m.settings.Heartbeat, steady.Time)
+	self := m.rosterEntry()
+	self.Handover = m.settings.HandoverAddress()
 	var server *ingress.Server
 	var dispatcher *dispatch.Dispatcher
 	follower := follow.New(follow.Deps{
 		Self: func() roster.Host {
-			now := self
-			now.Stopping = server.Stopping()
-			return now
+			entry := self
+			entry.Stopping = server.Stopping()
+			return entry
 		},
 		Seeds: m.seedPeers, Client: m.calls, Engines: engines,
 		OnState: func(s ledger.State) { server.ApplyState(s) }, Log: m.log, Clock: steady.Time, Steady: steady.Now,
 	})
-	m.regions.Store(follower)
+	m.follower.Store(follower)
 	regions := m.allRegions()
 	meter := allowance.New(allowance.Deps{Region: self.Region, Regions: regions, Policy: allowance.Policy(m.settings.Allowances), Random: rand.Uint64})
 	dispatcher = dispatch.New(dispatch.Deps{
-		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, RegionOf: m.settings.Regions, Engines: engines, Peers: follower.Gateways, RoundTripTo: m.trips.RoundTrip,
+		Name: self.Name, Region: self.Region, DataCentre: self.DataCentre, RegionOf: m.settings.Regions, Engines: engines, Peers: follower.Gateways, RoundTripTo: m.roundTrips.RoundTrip,
 		RetryBudget: retry.Policy(m.settings.Retries), Allowances: meter, Log: m.log, Metrics: m.metrics, Clock: steady.Time,
 	})
 	dialer := m.engineDialer()
-	client := relay.New(dialer, relay.Options{IdleTimeout: engineIdle})
+	client := relay.New(dialer, relay.Options{IdleTimeout: engineIdleTimeout})
 	server = ingress.New(ingress.Deps{
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
-		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTimeout: peerIdle}), Log: m.log, Metrics: m.metrics,
+		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTimeout: peerIdleTimeout}), Log: m.log, Metrics: m.metrics,
 		Random: rand.Uint64, Clock: steady.Time, StopTimeout: m.settings.StopTime - stopMargin,
 		KeyLease:   ingress.KeyLease{RevokedWithin: m.settings.KeysRevokedWithin, FreshAsOf: follower.FreshUntil, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
 	})
 	group.Go(follower.Run)
-	group.Go(func(ctx context.Context) error { return dispatchDuty(ctx, dispatcher, engines) })
+	group.Go(func(ctx context.Context) error { return runDispatcher(ctx, dispatcher, engines) })
 	group.Go(server.ProbeSuspects)
-	words, err := wire.ListenDatagrams[rollup.Message](m.settings.Bound(m.settings.Peer()), m.deployment())
+	datagrams, err := wire.ListenDatagrams[rollup.Message](m.settings.BindAddress(m.settings.PeerAddress()), m.deployment())
 	if err != nil {
 		return errors.Trace(err)
 	}
-	group.Go(func(ctx context.Context) error { return words.Run(ctx, dispatcher.Receive) })
-	group.Go(func(ctx context.Context) error { return m.tellLoad(ctx, dispatcher, words) })
+	group.Go(func(ctx context.Context) error { return datagrams.Run(ctx, dispatcher.Receive) })
+	group.Go(func(ctx context.Context) error { return m.sendLoadReports(ctx, dispatcher, datagrams) })
 	m.serve(group, m.settings.Listen.Ready, platform.NewReady(server.Ready))
-	m.serve(group, m.settings.Listen.Metrics, withShown(m.metrics.Handler(), meter, dispatcher))
+	m.serve(group, m.settings.Listen.Metrics, withStatusPages(m.metrics.Handler(), meter, dispatcher))
 	group.Go(func(context.Context) error {
-		defer stopBelow()
+		defer stopBackground()
 		return server.Run(ctx, callers, handover)
 	})
 	return nil
 }
 
-// allRegions lists the regions of the settings, each once, in order.
+// allRegions returns the regions of the settings, sorted and without duplicates.
 func (m *member) allRegions() []string {
 	return slices.Compact(slices.Sorted(maps.Values(m.settings.Regions)))
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,114 +10,116 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// kind is a kind of request that callers send, and what was promised for it.
-type kind struct {
-	name     string
-	service  string
-	model    bool
-	once     bool // runs at most once
-	attempts int  // engines that it may reach
-	region   string
+// requestKind is one kind of request that callers send, with the guarantees of its route.
+type requestKind struct {
+	name        string
+	service     string
+	model       bool
+	atMostOnce  bool   // an engine may run it only once
+	maxAttempts int    // limit on the engines that receive it
+	region      string // the only region that may run it; "" for any
 }
 
-// kinds are those of the declaration.
-var kinds = []kind{
-	{name: "safe", service: "portal", attempts: 2},
-	{name: "unsafe", service: "portal", once: true, attempts: 1},
-	{name: "bound", service: "portal", attempts: 2, region: "region0"},
-	{name: "chat", service: "model", model: true, once: true, attempts: 1},
-	{name: "review", service: "model", model: true, attempts: 2},
+// kinds has one entry for each of the declaration's permanent routes.
+var kinds = []requestKind{
+	{name: "safe", service: "portal", maxAttempts: 2},
+	{name: "unsafe", service: "portal", atMostOnce: true, maxAttempts: 1},
+	{name: "bound", service: "portal", maxAttempts: 2, region: "region0"},
+	{name: "chat", service: "model", model: true, atMostOnce: true, maxAttempts: 1},
+	{name: "review", service: "model", model: true, maxAttempts: 2},
 }
 
-func kindOf(path string) (kind, bool) {
+func kindOfPath(path string) (requestKind, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	for _, k := range kinds {
 		if k.name == name {
 			return k, true
 		}
 	}
-	return kind{}, false
+	return requestKind{}, false
 }
 
-// Checker holds the promises against what callers, engines and operators saw. It
-// is safe for concurrent use.
+// Checker compares what callers, engines and operators observed with what linenscale
+// guarantees, and collects the violations. It is safe for concurrent use.
 type Checker struct {
-	mu         sync.Mutex
-	engines    []*Engine
-	promised   map[string]string   // what was refused as not run, by request, with where
-	accepted   int64               // highest version
-	acceptedAt map[int64]time.Time // by version
-	shown      map[string]shown    // by request
-	calm       time.Time           // since when nothing has been done to anybody; zero while something is
-	problems   []string
-	Answers    map[string]int // by kind and status
-	Checks     int
-	SmallRan   int // requests of the account that may ask for little
-	PoisonRan  int // runs of the request that crashes engines
-	NeedyMost  int // requests within limitWindow at the engine that names a limit, while calm
-	needy      *Engine
-	Rests      int                    // that engines asked for
-	disturbed  map[string][]time.Time // by IP number: when a host's process was started or got a signal
+	mu                sync.Mutex
+	engines           []*Engine
+	notRun            map[string]string   // by request that was reported as not run: the gateway that said so
+	newest            int64               // highest accepted version
+	acceptedAt        map[int64]time.Time // by version
+	keyUses           map[string]keyUse   // by request
+	calmSince         time.Time           // when fault injection ended; zero while it goes on
+	problems          []string
+	Answers           map[string]int // by kind and status
+	Checks            int
+	SmallAccountRuns  int // requests of the small account that ran
+	PoisonRuns        int // runs of the request that crashes engines
+	LimitedEnginePeak int // most requests within limitWindow at the rate-limited engine, while calm
+	limitedEngine     *Engine
+	Backoffs          int                    // backoffs that engines asked for
+	disturbances      map[string][]time.Time // by IP address: when a host's process was started or got a signal
 }
 
-// NewChecker makes a checker that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
-	return &Checker{promised: make(map[string]string), acceptedAt: make(map[int64]time.Time), shown: make(map[string]shown), Answers: make(map[string]int), disturbed: make(map[string][]time.Time)}
+	return &Checker{notRun: make(map[string]string), acceptedAt: make(map[int64]time.Time), keyUses: make(map[string]keyUse), Answers: make(map[string]int), disturbances: make(map[string][]time.Time)}
 }
 
-// AddEngine adds an engine whose arrivals are checked.
+// AddEngine adds an engine whose received requests are checked.
 func (c *Checker) AddEngine(e *Engine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engines = append(c.engines, e)
 }
 
-// Accepted notes that a version was accepted.
-func (c *Checker) Accepted(version int64) {
+// VersionAccepted records that a control host accepted a version of the declaration.
+func (c *Checker) VersionAccepted(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.accepted = max(c.accepted, version)
+	c.newest = max(c.newest, version)
 	c.acceptedAt[version] = time.Now()
 }
 
-// Newest gives the highest version that was accepted.
-func (c *Checker) Newest() int64 {
+// NewestVersion returns the highest version that was accepted.
+func (c *Checker) NewestVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.accepted
+	return c.newest
 }
 
-// SetCalm notes that from now on nothing is done to anybody, or ends that.
+// SetCalm records that no faults are injected from now on, or that injection starts again.
 func (c *Checker) SetCalm(calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calm = time.Time{}
+	c.calmSince = time.Time{}
 	if calm {
-		c.calm = time.Now()
+		c.calmSince = time.Now()
 	}
 }
 
-// Problem notes a broken promise.
-func (c *Checker) Problem(format string, args ...any) {
+// AddProblem records a violated guarantee.
+func (c *Checker) AddProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.problems = append(c.problems, fmt.Sprintf(format, args...))
 }
 
-// Problems gives the promises that were broken.
+// Problems returns a copy of the violations found so far.
 func (c *Checker) Problems() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.problems...)
 }
 
-// Answer checks one answer as its caller saw it.
-func (c *Checker) Answer(k kind, gateway string, r platformtest.Result) {
+// CheckAnswer checks one answer as its caller received it: a success must come from an
+// engine, and its body must be that engine's answer or, if the answer was cut short, a
+// prefix of it.
+func (c *Checker) CheckAnswer(k requestKind, gateway string, r platformtest.Result) {
 	c.mu.Lock()
 	c.Checks++
 	c.Answers[fmt.Sprintf("%s %d", k.name, r.Status)]++
 	if r.Promised() {
-		c.promised[r.ID] = gateway
+		c.notRun[r.ID] = gateway
 	}
 	c.mu.Unlock()
 	if r.Status != http.StatusOK {
@@ -125,20 +127,20 @@
 	}
 	want := platformtest.Answer(r.Engine, r.ID)
 	if k.model {
-		want = wholeStream
+		want = completeStream
 	}
 	switch {
 	case r.Engine == "":
-		c.Problem("request %s (%s) at %s: a success that no engine signed", r.ID, k.name, gateway)
+		c.AddProblem("request %s (%s) at %s: a success that no engine signed", r.ID, k.name, gateway)
 	case r.Whole && r.Body != want:
-		c.Problem("request %s (%s) at %s: the answer ends as whole, but isn't its engine's: %q", r.ID, k.name, gateway, r.Body)
+		c.AddProblem("request %s (%s) at %s: the answer ends as whole, but isn't its engine's: %q", r.ID, k.name, gateway, r.Body)
 	case !strings.HasPrefix(want, r.Body):
-		c.Problem("request %s (%s) at %s: the answer has other bytes than its engine's: %q", r.ID, k.name, gateway, r.Body)
+		c.AddProblem("request %s (%s) at %s: the answer has other bytes than its engine's: %q", r.ID, k.name, gateway, r.Body)
 	}
 }
 
-// wholeStream is what every engine streams.
-var wholeStream = func() string {
+// completeStream is the stream with which every engine answers.
+var completeStream = func() string {
 	all := ""
 	for n := 1; n <= 5; n++ {
 		all += platformtest.Event(n)
@@ -146,69 +148,69 @@
 	return all
 }()
 
-// Read checks a read of the declaration that began when version was the newest
-// that had been accepted.
-func (c *Checker) Read(control string, newest, got int64) {
+// CheckRead checks a read at a control host that returned version got. It must be at least
+// newest, the newest version that had been accepted when the read began.
+func (c *Checker) CheckRead(control string, newest, got int64) {
 	c.mu.Lock()
 	c.Checks++
 	c.mu.Unlock()
 	if got < newest {
-		c.Problem("%s shows version %d, after %d was accepted", control, got, newest)
+		c.AddProblem("%s shows version %d, after %d was accepted", control, got, newest)
 	}
 }
 
-// drainTime is how long after the acknowledgement an engine that drains may
-// still get requests.
+// drainTime is how long a draining engine may still receive requests after a control host
+// has acknowledged that it drains.
 const drainTime = 4 * time.Second
 
-// Engines checks what has arrived at the engines so far.
-func (c *Checker) Engines() {
+// CheckEngines checks all requests that the engines have received so far.
+func (c *Checker) CheckEngines() {
 	c.mu.Lock()
-	engines, calm := append([]*Engine(nil), c.engines...), c.calm
-	promised := make(map[string]string, len(c.promised))
-	for id, where := range c.promised {
-		promised[id] = where
+	engines, calmSince := append([]*Engine(nil), c.engines...), c.calmSince
+	notRun := make(map[string]string, len(c.notRun))
+	for id, where := range c.notRun {
+		notRun[id] = where
 	}
 	c.mu.Unlock()
-	c.accounts(engines)
-	c.poisoned(engines)
-	c.limited()
-	c.pushedBack(engines)
+	c.checkAccounts(engines)
+	c.checkPoison(engines)
+	c.checkEngineLimit()
+	c.checkPushback(engines)
 	ran, reached := make(map[string]int), make(map[string]int)
 	for _, e := range engines {
 		acked := e.DrainAcked()
 		for _, a := range e.Arrivals() {
-			k, known := kindOf(a.Path)
+			k, known := kindOfPath(a.Path)
 			if !known {
-				continue // a question which version is in force
+				continue // a probe for the effective version
 			}
 			reached[a.Request]++
 			if a.Ran {
 				ran[a.Request]++
 			}
-			c.arrival(e, k, a, promised, calm, acked)
-			if k.once && ran[a.Request] > 1 {
-				c.Problem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
+			c.checkArrival(e, k, a, notRun, calmSince, acked)
+			if k.atMostOnce && ran[a.Request] > 1 {
+				c.AddProblem("request %s (%s) ran %d times, last at %s", a.Request, k.name, ran[a.Request], e.ID)
 			}
-			if reached[a.Request] > k.attempts {
-				c.Problem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.attempts)
+			if reached[a.Request] > k.maxAttempts {
+				c.AddProblem("request %s (%s) reached %d engines, and %d are the most", a.Request, k.name, reached[a.Request], k.maxAttempts)
 			}
 		}
 	}
 }
 
-// arrival checks one arrival by itself.
-func (c *Checker) arrival(e *Engine, k kind, a platformtest.Arrival, promised map[string]string, calm, acked time.Time) {
-	if where, refused := promised[a.Request]; refused && a.Ran {
-		c.Problem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
+// checkArrival makes the checks that need only one received request.
+func (c *Checker) checkArrival(e *Engine, k requestKind, a platformtest.Arrival, notRun map[string]string, calmSince, acked time.Time) {
+	if where, refused := notRun[a.Request]; refused && a.Ran {
+		c.AddProblem("request %s (%s) ran at %s, and was refused as not run by %s", a.Request, k.name, e.ID, where)
 	}
 	if k.service != e.Service {
-		c.Problem("request %s (%s) reached %s of service %s", a.Request, k.name, e.ID, e.Service)
+		c.AddProblem("request %s (%s) reached %s of service %s", a.Request, k.name, e.ID, e.Service)
 	}
 	if k.region != "" && k.region != e.Region {
-		c.Problem("request %s (%s) reached %s in %s, and is bound to %s", a.Request, k.name, e.ID, e.Region, k.region)
+		c.AddProblem("request %s (%s) reached %s in %s, and is bound to %s", a.Request, k.name, e.ID, e.Region, k.region)
 	}
-	if !acked.IsZero() && !calm.IsZero() && acked.After(calm.Add(drainTime)) && a.At.After(acked.Add(drainTime)) {
-		c.Problem("request %s (%s) reached %s %v after it was acknowledged that it drains", a.Request, k.name, e.ID, a.At.Sub(acked))
+	if !acked.IsZero() && !calmSince.IsZero() && acked.After(calmSince.Add(drainTime)) && a.At.After(acked.Add(drainTime)) {
+		c.AddProblem("request %s (%s) reached %s %v after it was acknowledged that it drains", a.Request, k.name, e.ID, a.At.Sub(acked))
 	}
 }
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -10,31 +10,32 @@
 	"github.com/linenscale/linenscale/platform/platformtest"
 )
 
-// wipePause is the least time between two losses of data folders: a second one
-// may come once the first host has had time to vote again.
-const wipePause = 10 * time.Second
+// minWipeInterval is the least time between two losses of data folders. It gives the first
+// host time to vote again before a second one loses its data.
+const minWipeInterval = 10 * time.Second
 
-// harm is one thing that is done, and how often it is drawn.
-type harm struct {
+// fault is one kind of fault and its weight in the random draw.
+type fault struct {
 	name   string
 	weight int
-	do     func(w *World, r *rand.Rand) string // what it was done to; "" if it can't be done now
+	inject func(w *World, r *rand.Rand) string // returns the target; "" if it can't be injected now
 }
 
-// harms are all that can be done.
-var harms = []harm{
+// faults lists every fault that a run may inject. Its order and weights decide what a
+// seed draws.
+var faults = []fault{
 	{"kill gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGKILL) }},
 	{"stop gateway", 4, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.gateways("")), r, syscall.SIGTERM) }},
-	{"kill control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controls()), r, syscall.SIGKILL) }},
-	{"stop control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controls()), r, syscall.SIGTERM) }},
+	{"kill control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controlHosts()), r, syscall.SIGKILL) }},
+	{"stop control", 2, func(w *World, r *rand.Rand) string { return w.restart(pick(r, w.controlHosts()), r, syscall.SIGTERM) }},
 	{"kill all control", 1, func(w *World, r *rand.Rand) string {
-		for _, h := range w.controls() {
+		for _, h := range w.controlHosts() {
 			w.restart(h, r, syscall.SIGKILL)
 		}
 		return "all"
 	}},
-	{"lose data folder", 2, loseFolder},
-	{"pause", 4, func(w *World, r *rand.Rand) string { return w.pauseFor(pick(r, w.Hosts), span(r, 300, 3000)) }},
+	{"lose data folder", 2, wipeDataDir},
+	{"pause", 4, func(w *World, r *rand.Rand) string { return w.pauseFor(pick(r, w.Hosts), randomDuration(r, 300, 3000)) }},
 	{"reload", 1, func(w *World, _ *rand.Rand) string {
 		for _, h := range w.Hosts {
 			w.signal(h, syscall.SIGHUP)
@@ -43,7 +44,7 @@
 	}},
 	{"cut off", 4, func(w *World, r *rand.Rand) string {
 		h := pick(r, w.Hosts)
-		w.cut(span(r, 500, 4000), r.IntN(3) > 0, r.IntN(3) > 0, []*Host{h})
+		w.partition(randomDuration(r, 500, 4000), r.IntN(3) > 0, r.IntN(3) > 0, []*Host{h})
 		return h.Name
 	}},
 	{"cut region off", 2, func(w *World, r *rand.Rand) string {
@@ -54,18 +55,18 @@
 				inside = append(inside, h)
 			}
 		}
-		w.cut(span(r, 500, 4000), true, r.IntN(3) > 0, inside)
+		w.partition(randomDuration(r, 500, 4000), true, r.IntN(3) > 0, inside)
 		return region
 	}},
 	{"delay", 3, func(w *World, r *rand.Rand) string {
-		h, delay := pick(r, w.Hosts), span(r, 20, 250)
-		w.each([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{Delay: delay}) })
-		w.after(span(r, 1000, 4000), func() { w.each([]*Host{h}, func(from, to string) { w.Net.Set(from, to, Harm{}) }) })
+		h, delay := pick(r, w.Hosts), randomDuration(r, 20, 250)
+		w.eachLink([]*Host{h}, func(from, to string) { w.Net.SetFault(from, to, LinkFault{Delay: delay}) })
+		w.schedule(randomDuration(r, 1000, 4000), func() { w.eachLink([]*Host{h}, func(from, to string) { w.Net.SetFault(from, to, LinkFault{}) }) })
 		return h.Name
 	}},
 	{"reset", 3, func(w *World, r *rand.Rand) string {
 		h := pick(r, w.Hosts)
-		w.Net.Reset(h.Name)
+		w.Net.ResetConnections(h.Name)
 		return h.Name
 	}},
 	{"engine goes wrong", 6, func(w *World, r *rand.Rand) string {
@@ -83,28 +84,28 @@
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
 
-// span draws a time between two numbers of milliseconds.
-func span(r *rand.Rand, least, most int) time.Duration {
+// randomDuration draws a duration of at least least and less than most milliseconds.
+func randomDuration(r *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
 }
 
-// draw draws one harm by weight.
-func draw(r *rand.Rand) harm {
+// drawFault draws one fault by weight.
+func drawFault(r *rand.Rand) fault {
 	total := 0
-	for _, h := range harms {
-		total += h.weight
+	for _, f := range faults {
+		total += f.weight
 	}
 	at := r.IntN(total)
-	for _, h := range harms {
-		if at -= h.weight; at < 0 {
-			return h
+	for _, f := range faults {
+		if at -= f.weight; at < 0 {
+			return f
 		}
 	}
-	return harms[0]
+	return faults[0]
 }
 
-// after does something later, unless the world ends first.
-func (w *World) after(wait time.Duration, do func()) {
+// schedule calls do after wait, unless the world ends first.
+func (w *World) schedule(wait time.Duration, do func()) {
 	w.group.Go(func() {
 		select {
 		case <-w.ctx.Done():
@@ -114,76 +115,77 @@
 	})
 }
 
-// restart ends a host's process and starts it again a moment after its end.
+// restart sends s to a host's process and starts it again 100 to 1500 ms after it has
+// exited. A process that outlives its stop time by 3 s is reported and killed.
 func (w *World) restart(h *Host, r *rand.Rand, s syscall.Signal) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.busy || !h.up() {
+	if h.restarting || !h.running() {
 		return ""
 	}
-	h.busy = true
+	h.restarting = true
 	w.signal(h, syscall.SIGCONT)
 	w.signal(h, s)
-	exited, pause := h.exited, span(r, 100, 1500)
+	exited, pause := h.exited, randomDuration(r, 100, 1500)
 	w.group.Go(func() {
 		select {
 		case <-exited:
 		case <-time.After(h.settings.StopTime + 3*time.Second):
-			w.Check.Problem("%s still runs %v after it was told to stop", h.Name, h.settings.StopTime+3*time.Second)
+			w.Checker.AddProblem("%s still runs %v after it was told to stop", h.Name, h.settings.StopTime+3*time.Second)
 			w.kill(h)
 		}
 		time.Sleep(pause)
-		w.startAgain(h)
+		w.startExited(h)
 	})
 	return h.Name
 }
 
-// startAgain starts a host's process that has ended.
-func (w *World) startAgain(h *Host) {
+// startExited starts a host again whose process has exited, and reports a failure to do so.
+func (w *World) startExited(h *Host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h.busy = false
+	h.restarting = false
 	if w.ctx.Err() != nil {
 		return
 	}
 	if err := w.start(h); err != nil {
-		w.Check.Problem("%s can't be started: %v", h.Name, err)
+		w.Checker.AddProblem("%s can't be started: %v", h.Name, err)
 	}
 }
 
-// loseFolder kills a control host and takes its data folder, if no other host's
-// loss is still being repaired.
-func loseFolder(w *World, r *rand.Rand) string {
-	h := pick(r, w.controls())
+// wipeDataDir kills a control host, deletes its data folder and starts it again. It does
+// nothing if a folder was deleted within minWipeInterval or a control host isn't running.
+func wipeDataDir(w *World, r *rand.Rand) string {
+	h := pick(r, w.controlHosts())
 	w.mu.Lock()
-	allWell := time.Since(w.wiped) > wipePause
-	for _, c := range w.controls() {
-		allWell = allWell && !c.busy && c.up() && !c.paused
+	ready := time.Since(w.lastWipe) > minWipeInterval
+	for _, c := range w.controlHosts() {
+		ready = ready && !c.restarting && c.running() && !c.paused
 	}
-	if !allWell {
+	if !ready {
 		w.mu.Unlock()
 		return ""
 	}
-	w.wiped = time.Now()
+	w.lastWipe = time.Now()
 	w.mu.Unlock()
 	w.kill(h)
 	if err := os.RemoveAll(filepath.Join(w.Dir, h.Name)); err != nil {
-		w.Check.Problem("data folder of %s: %v", h.Name, err)
+		w.Checker.AddProblem("data folder of %s: %v", h.Name, err)
 	}
-	w.startAgain(h)
+	w.startExited(h)
 	return h.Name
 }
 
-// pauseFor stops a host's process by a signal, and wakes it later.
+// pauseFor suspends a host's process with SIGSTOP, and resumes it after wait.
 func (w *World) pauseFor(h *Host, wait time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.busy || h.paused || !h.up() {
+	if h.restarting || h.paused || !h.running() {
 		return ""
 	}
 	h.paused = true
 	w.signal(h, syscall.SIGSTOP)
-	w.after(wait, func() {
+	w.schedule(wait, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		h.paused = false
@@ -192,19 +194,19 @@
 	return h.Name
 }
 
-// cut cuts hosts off from all others that are not among them, in the chosen
-// directions, and joins them later.
-func (w *World) cut(wait time.Duration, in, out bool, inside []*Host) {
-	set := func(lost bool) {
-		w.each(inside, func(from, to string) {
+// partition blocks the traffic between the hosts inside and all others, in the chosen
+// directions, and unblocks it after wait.
+func (w *World) partition(wait time.Duration, in, out bool, inside []*Host) {
+	set := func(blocked bool) {
+		w.eachLink(inside, func(from, to string) {
 			incoming := containsHost(inside, to)
 			if (incoming && in) || (!incoming && out) {
-				w.Net.Set(from, to, Harm{Lost: lost})
+				w.Net.SetFault(from, to, LinkFault{Blocked: blocked})
 			}
 		})
 	}
 	set(true)
-	w.after(wait, func() { set(false) })
+	w.schedule(wait, func() { set(false) })
 }
 
 func containsHost(hosts []*Host, name string) bool {
@@ -216,8 +218,8 @@
 	return false
 }
 
-// each calls do with both directions between hosts and all others.
-func (w *World) each(inside []*Host, do func(from, to string)) {
+// eachLink calls do for both directions of each link between a host inside and one outside.
+func (w *World) eachLink(inside []*Host, do func(from, to string)) {
 	for _, h := range inside {
 		for _, o := range w.Hosts {
 			if !containsHost(inside, o.Name) {
@@ -228,20 +230,21 @@
 	}
 }
 
-// replaceEngine ends an engine, after it has said that it drains for so long, and
-// starts another of its service in its place.
+// replaceEngine starts an engine in place of a randomly drawn one. With a drain of 0 the
+// old engine stops at once; otherwise it announces that it drains and stops after that
+// time.
 func (w *World) replaceEngine(r *rand.Rand, drain time.Duration) string {
 	e := pick(r, w.liveEngines())
 	w.removeEngine(e)
 	region := int(e.Region[len(e.Region)-1] - '0')
 	if _, err := w.addEngine(e.Service, region); err != nil {
-		w.Check.Problem("engine: %v", err)
+		w.Checker.AddProblem("engine: %v", err)
 	}
 	if drain == 0 {
 		e.stop()
 		return e.ID
 	}
 	e.SetDraining()
-	w.after(drain, e.stop)
+	w.schedule(drain, e.stop)
 	return e.ID
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -19,23 +19,23 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Seed     uint64
-	Harms    map[string]int
-	Answers  map[string]int // by kind and status
-	Checks   int
-	Version  int64 // the newest that was accepted
-	SmallRan int   // requests that ran of the account that may ask for little
-	Crashed  int   // engines that the request crashed which crashes all
-	Needy    int   // requests within four seconds at the engine that names a limit
-	Rests    int   // that engines asked for
-	Problems []string
+	Seed              uint64
+	Faults            map[string]int
+	Answers           map[string]int // by kind and status
+	Checks            int
+	Version           int64 // the newest accepted version
+	SmallAccountRuns  int   // requests of the small account that ran
+	CrashedEngines    int   // engines that the poison request crashed
+	LimitedEnginePeak int   // most requests within limitWindow at the rate-limited engine, while calm
+	Backoffs          int   // backoffs that engines asked for
+	Problems          []string
 }
 
-// String gives the report as text.
+// String returns a summary line, the counts of faults and answers, and the problems.
 func (r Report) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "seed %d: %d checks, version %d, %d requests of the small account, %d engines crashed by a request, %d at the engine that takes few, %d rests asked for, %d problems\n", r.Seed, r.Checks, r.Version, r.SmallRan, r.Crashed, r.Needy, r.Rests, len(r.Problems))
-	for _, counts := range []map[string]int{r.Harms, r.Answers} {
+	fmt.Fprintf(&out, "seed %d: %d checks, version %d, %d requests of the small account, %d engines crashed by a request, %d at the engine that takes few, %d rests asked for, %d problems\n", r.Seed, r.Checks, r.Version, r.SmallAccountRuns, r.CrashedEngines, r.LimitedEnginePeak, r.Backoffs, len(r.Problems))
+	for _, counts := range []map[string]int{r.Faults, r.Answers} {
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
 			fmt.Fprintf(&out, "  %-22s %d\n", name, counts[name])
 		}
@@ -48,27 +48,29 @@
 
 // Timing of a run.
 const (
-	// startPatience is how long a world may take until it serves, and
-	// healPatience until it does again after all harm has ended.
-	startPatience = 30 * time.Second
-	healPatience  = 40 * time.Second
-	// callPause is the wait of each caller between two requests.
+	// startTimeout is how long a world may take until it serves all requests, and
+	// recoveryTimeout how long until it does so again after fault injection has ended.
+	startTimeout    = 30 * time.Second
+	recoveryTimeout = 40 * time.Second
+	// callPause is the pause of each caller between two requests.
 	callPause = 40 * time.Millisecond
-	// changeEvery and readEvery are the pauses of the operator.
-	changeEvery = 700 * time.Millisecond
-	readEvery   = 250 * time.Millisecond
+	// changeInterval and readInterval are the operator's pauses between changes and
+	// between reads.
+	changeInterval = 700 * time.Millisecond
+	readInterval   = 250 * time.Millisecond
 )
 
-// Versions rise by uneven steps, at most mostStep; the last one by lastStep, which
-// is more than all that may be undecided.
+// Versions rise by random steps of at most maxVersionStep. The last step is
+// finalVersionStep, which puts the last version above all those whose outcome is unknown.
 const (
-	mostStep = 3
-	lastStep = 100
+	maxVersionStep   = 3
+	finalVersionStep = 100
 )
 
-// Run does harm for so long, ends it, and waits until everything is served
-// again. The error says that it could not be run.
-func Run(ctx context.Context, opts Options, harming time.Duration) (Report, error) {
+// Run starts a world, injects faults into it for injectFor, ends them, and waits until
+// the world serves all requests again. Violated guarantees are in the report; the error
+// only says that the run could not be made.
+func Run(ctx context.Context, opts Options, injectFor time.Duration) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group := new(conc.WaitGroup)
@@ -81,156 +83,158 @@
 	if err != nil {
 		return Report{}, errors.Trace(err)
 	}
-	report := Report{Seed: opts.Seed, Harms: make(map[string]int)}
-	if !w.put(1, startPatience) || !w.allServed(startPatience) {
-		return report, errors.New("the world didn't begin to serve; see its logs in " + opts.Dir)
+	report := Report{Seed: opts.Seed, Faults: make(map[string]int)}
+	if !w.putVersion(1, startTimeout) || !w.waitServed(startTimeout) {
+		return report, errors.New("the hosts did not begin to serve all requests in time; see their logs in " + opts.Dir)
 	}
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
 	work := pool.New()
 	changing, stopChanging := context.WithCancel(busy)
 	defer stopChanging()
-	w.traffic(busy, changing, work)
-	for until := time.Now().Add(harming); time.Now().Before(until) && ctx.Err() == nil; {
-		h := draw(w.random)
-		if done := h.do(w, w.random); done != "" {
-			report.Harms[h.name]++
-			w.Times.Note("fault injected", "kind=%q on=%q", h.name, done)
+	w.startTraffic(busy, changing, work)
+	for until := time.Now().Add(injectFor); time.Now().Before(until) && ctx.Err() == nil; {
+		f := drawFault(w.random)
+		if target := f.inject(w, w.random); target != "" {
+			report.Faults[f.name]++
+			w.Timeline.Record("fault injected", "kind=%q on=%q", f.name, target)
 		}
-		time.Sleep(span(w.random, 50, 900))
+		time.Sleep(randomDuration(w.random, 50, 900))
 	}
 	stopChanging()
-	w.mend()
-	// A version that got no clear answer may be in force or not. The last one is
-	// above all of them, and must be accepted now that everybody is well.
-	if !w.put(w.Check.Newest()+lastStep, healPatience) {
-		w.Check.Problem("no version is accepted %v after all harm ended", healPatience)
+	w.endFaults()
+	// A version whose outcome is unknown may or may not be effective. The last version is
+	// above all of those, and must be accepted now that there are no faults.
+	if !w.putVersion(w.Checker.NewestVersion()+finalVersionStep, recoveryTimeout) {
+		w.Checker.AddProblem("no version is accepted %v after all harm ended", recoveryTimeout)
 	}
-	if !w.allServed(healPatience) {
-		w.Check.Problem("not everything is served %v after all harm ended: %s", healPatience, w.unserved())
+	if !w.waitServed(recoveryTimeout) {
+		w.Checker.AddProblem("not everything is served %v after all harm ended: %s", recoveryTimeout, w.firstUnserved())
 	}
-	w.calmDrain()
+	w.drainWhileCalm()
 	stop()
 	work.Wait()
-	w.readsEverywhere()
-	w.Check.Engines()
-	report.SmallRan, report.Crashed, report.Needy, report.Rests = w.Check.SmallRan, w.Check.PoisonRan, w.Check.NeedyMost, w.Check.Rests
-	report.Answers, report.Checks, report.Version, report.Problems = w.Check.Answers, w.Check.Checks, w.Check.Newest(), w.Check.Problems()
+	w.readAllControlHosts()
+	w.Checker.CheckEngines()
+	report.SmallAccountRuns, report.CrashedEngines, report.LimitedEnginePeak, report.Backoffs = w.Checker.SmallAccountRuns, w.Checker.PoisonRuns, w.Checker.LimitedEnginePeak, w.Checker.Backoffs
+	report.Answers, report.Checks, report.Version, report.Problems = w.Checker.Answers, w.Checker.Checks, w.Checker.NewestVersion(), w.Checker.Problems()
 	return report, nil
 }
 
-// traffic starts callers at every gateway, and an operator who makes changes
-// until changing ends.
-func (w *World) traffic(ctx, changing context.Context, work *pool.Pool) {
+// startTraffic starts callers at every gateway, the poison and pushback loops, and an
+// operator. Pushback and the operator's changes end with changing, all else with ctx.
+func (w *World) startTraffic(ctx, changing context.Context, work *pool.Pool) {
 	for i, h := range w.gateways("") {
 		for j, k := range kinds {
-			work.Go(func() { w.call(ctx, h, k, rand.New(rand.NewPCG(w.Seed, uint64(i*100+j)))) })
+			work.Go(func() { w.sendRequests(ctx, h, k, rand.New(rand.NewPCG(w.Seed, uint64(i*100+j)))) })
 		}
-		work.Go(func() { w.showKeys(ctx, h, rand.New(rand.NewPCG(w.Seed, uint64(i*100+50)))) })
-		work.Go(func() { w.askTooMuch(ctx, h) })
+		work.Go(func() { w.callWithRotatingKeys(ctx, h, rand.New(rand.NewPCG(w.Seed, uint64(i*100+50)))) })
+		work.Go(func() { w.exceedAllowance(ctx, h) })
 	}
 	work.Go(func() { w.sendPoison(ctx, rand.New(rand.NewPCG(w.Seed, 17))) })
-	work.Go(func() { w.pushBack(changing, rand.New(rand.NewPCG(w.Seed, 23))) })
-	work.Go(func() { w.operate(changing) })
-	work.Go(func() { w.read(ctx) })
+	work.Go(func() { w.injectPushback(changing, rand.New(rand.NewPCG(w.Seed, 23))) })
+	work.Go(func() { w.runOperator(changing) })
+	work.Go(func() { w.readDeclarations(ctx) })
 }
 
-// call sends requests of one kind to one gateway. Connections are kept until the
-// other side ends them.
-func (w *World) call(ctx context.Context, h *Host, k kind, r *rand.Rand) {
+// sendRequests sends requests of one kind to one gateway. It reuses each connection until
+// the gateway closes it.
+func (w *World) sendRequests(ctx context.Context, h *Host, k requestKind, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
 		request := platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model, Parts: fmt.Sprintf("a:400,b%d:600,c:50", r.IntN(5)), Deadline: 3 * time.Second}
 		result, err := caller.Do(ctx, h.settings.Listen.Callers, request)
 		if err == nil {
-			w.Check.Answer(k, h.Name, result)
+			w.Checker.CheckAnswer(k, h.Name, result)
 		}
 		pause(ctx, callPause)
 	}
 }
 
-// operate declares newer versions, and evacuates a data centre now and then.
-func (w *World) operate(ctx context.Context) {
+// runOperator declares newer versions, and at random intervals evacuates a data centre.
+func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 5))
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for ctx.Err() == nil {
-		w.put(w.Check.Newest()+1+r.Int64N(mostStep), 2*time.Second)
+		w.putVersion(w.Checker.NewestVersion()+1+r.Int64N(maxVersionStep), 2*time.Second)
 		if r.IntN(6) == 0 {
-			control, dataCentre := pick(r, w.controls()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
+			control, dataCentre := pick(r, w.controlHosts()).settings.Listen.Operators, fmt.Sprintf("dc%d", r.IntN(w.Regions))
 			for _, on := range []bool{true, false} {
-				_, _ = o.Evacuate(ctx, control, dataCentre, on) // it is ended for all in the end
-				time.Sleep(readEvery)
+				_, _ = o.Evacuate(ctx, control, dataCentre, on) // endFaults ends all evacuations
+				time.Sleep(readInterval)
 			}
 		}
-		pause(ctx, changeEvery)
+		pause(ctx, changeInterval)
 	}
 }
 
-// read reads the declaration at one control host after the other.
-func (w *World) read(ctx context.Context) {
+// readDeclarations reads the declaration from each control host in turn, and checks its
+// version.
+func (w *World) readDeclarations(ctx context.Context) {
 	o := platformtest.Operator{Client: http.Client{Timeout: 1500 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
-		c, newest := w.controls()[i%len(w.controls())], w.Check.Newest()
+		c, newest := w.controlHosts()[i%len(w.controlHosts())], w.Checker.NewestVersion()
 		got, status, err := o.Read(ctx, c.settings.Listen.Operators)
-		w.Times.Note("read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
+		w.Timeline.Record("read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err == nil && status == http.StatusOK {
-			w.Check.Read(c.Name, newest, got.ConfigVersion)
+			w.Checker.CheckRead(c.Name, newest, got.ConfigVersion)
 		}
-		time.Sleep(readEvery)
+		time.Sleep(readInterval)
 	}
 }
 
-// mend ends all harm: ways are joined, processes run, engines answer rightly and
-// no data centre is evacuated.
-func (w *World) mend() {
-	w.Net.Heal()
+// endFaults removes the faults of links and engines, waits until all processes run, and
+// ends all evacuations.
+func (w *World) endFaults() {
+	w.Net.ClearFaults()
 	for _, e := range w.liveEngines() {
 		e.SetFaults(platformtest.NewFaultPlan(platformtest.FaultNone, 0))
 		e.SetRest("")
 	}
-	for until := time.Now().Add(healPatience); time.Now().Before(until) && !w.allUp(); {
-		time.Sleep(lookEvery)
+	for until := time.Now().Add(recoveryTimeout); time.Now().Before(until) && !w.allRunning(); {
+		time.Sleep(pollInterval)
 	}
-	w.Net.Heal() // what was undone meanwhile has undone itself
+	w.Net.ClearFaults() // the scheduled ends of faults have run by now
 	o := platformtest.Operator{Client: http.Client{Timeout: time.Second}}
 	for dataCentre := range w.regions {
-		for until := time.Now().Add(healPatience); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-			if status, err := o.Evacuate(w.ctx, w.controls()[0].settings.Listen.Operators, dataCentre, false); err == nil && status == http.StatusOK {
+		for until := time.Now().Add(recoveryTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+			if status, err := o.Evacuate(w.ctx, w.controlHosts()[0].settings.Listen.Operators, dataCentre, false); err == nil && status == http.StatusOK {
 				break
 			}
 		}
 	}
-	w.Check.SetCalm(true)
-	w.Times.Note("calm", "")
+	w.Checker.SetCalm(true)
+	w.Timeline.Record("calm", "")
 }
 
-func (w *World) allUp() bool {
+func (w *World) allRunning() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, h := range w.Hosts {
-		if h.busy || h.paused || !h.up() {
+		if h.restarting || h.paused || !h.running() {
 			return false
 		}
 	}
 	return true
 }
 
-// allServed waits until every gateway serves every kind, under the newest
-// version.
-func (w *World) allServed(patience time.Duration) bool {
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if w.unserved() == "" {
+// waitServed waits until every gateway serves every kind of request and the newest
+// version's own route. It returns false on a timeout.
+func (w *World) waitServed(timeout time.Duration) bool {
+	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+		if w.firstUnserved() == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// unserved names the first gateway and kind that is not served; "" for none.
-func (w *World) unserved() string {
+// firstUnserved describes the first gateway and kind of request that isn't served; "" if
+// all are.
+func (w *World) firstUnserved() string {
 	var caller platformtest.Caller
 	defer caller.Client.CloseIdleConnections()
-	newest := kind{name: fmt.Sprintf("v%d", w.Check.Newest())}
+	newest := requestKind{name: fmt.Sprintf("v%d", w.Checker.NewestVersion())}
 	for _, h := range w.gateways("") {
 		for _, k := range append(slices.Clone(kinds), newest) {
 			result, err := caller.Do(w.ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model})
@@ -242,9 +246,9 @@
 	return ""
 }
 
-// calmDrain lets engines drain while nothing else happens: they get nothing any
-// more, which Engines checks.
-func (w *World) calmDrain() {
+// drainWhileCalm drains two engines while no faults are injected. CheckEngines then
+// checks that they receive no requests after drainTime.
+func (w *World) drainWhileCalm() {
 	time.Sleep(drainTime + time.Second)
 	for _, e := range w.liveEngines()[:2] {
 		e.SetDraining()
@@ -253,16 +257,16 @@
 	time.Sleep(drainTime + 2*time.Second)
 }
 
-// readsEverywhere reads the newest version at every control host.
-func (w *World) readsEverywhere() {
+// readAllControlHosts checks that every control host returns the newest version.
+func (w *World) readAllControlHosts() {
 	o := platformtest.Operator{Client: http.Client{Timeout: 2 * time.Second}}
-	for _, c := range w.controls() {
+	for _, c := range w.controlHosts() {
 		got, status, err := o.Read(w.ctx, c.settings.Listen.Operators)
-		w.Times.Note("last read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
+		w.Timeline.Record("last read", "host=%s version=%d status=%d error=%q", c.Name, got.ConfigVersion, status, fmt.Sprint(err))
 		if err != nil || status != http.StatusOK {
-			w.Check.Problem("%s shows no declaration in the end: status %d, %v", c.Name, status, err)
+			w.Checker.AddProblem("%s shows no declaration in the end: status %d, %v", c.Name, status, err)
 			continue
 		}
-		w.Check.Read(c.Name, w.Check.Newest(), got.ConfigVersion)
+		w.Checker.CheckRead(c.Name, w.Checker.NewestVersion(), got.ConfigVersion)
 	}
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -18,65 +18,67 @@
 	"github.com/linenscale/linenscale/relay"
 )
 
-// Fault is something that an engine does wrong on command.
+// Fault is a fault that an engine or plain service shows on command.
 type Fault string
 
-// The faults.
+// The faults. A plain service shows only FaultStall, FaultDie, FaultCut, FaultTwice and
+// FaultLate.
 const (
 	FaultNone     Fault = ""
-	FaultCut      Fault = "cut"      // break the connection in mid-answer; the stream can be resumed
-	FaultDie      Fault = "die"      // break it, and forget the stream
-	FaultEnd      Fault = "end"      // end a stream cleanly before its last event
-	FaultStall    Fault = "stall"    // stop sending in mid-answer
-	FaultRefuse   Fault = "refuse"   // refuse as not run
-	FaultError    Fault = "error"    // fail after having taken the request
-	FaultLate     Fault = "late"     // answer long after the request
+	FaultCut      Fault = "cut"      // break the connection halfway; the stream can be resumed
+	FaultDie      Fault = "die"      // break the connection halfway; the stream can't be resumed
+	FaultEnd      Fault = "end"      // end a stream cleanly, but halfway and without its last event
+	FaultStall    Fault = "stall"    // stop sending halfway, with the connection open
+	FaultRefuse   Fault = "refuse"   // reject the request as not run
+	FaultError    Fault = "error"    // answer with status 500 after running the request
+	FaultLate     Fault = "late"     // answer after lateDelay
 	FaultTwice    Fault = "twice"    // send the answer twice
-	FaultCrossed  Fault = "crossed"  // answer with another attempt's identity
-	FaultGarbage  Fault = "garbage"  // send something that is not JSON
+	FaultCrossed  Fault = "crossed"  // answer with the ID of another attempt
+	FaultGarbage  Fault = "garbage"  // send data that isn't JSON
 	FaultShortLen Fault = "shortlen" // announce more bytes than are sent
 )
 
-// EngineOptions shapes a stand-in engine. Zero fields take the defaults.
+// EngineOptions configures a stand-in engine. Zero fields take the defaults.
 type EngineOptions struct {
 	Name        string
-	Slots       int           // requests in the batch; default 8
-	Queue       int           // requests that may wait; default 16
-	FirstToken  time.Duration // for a prompt that is cached; default 2ms
+	Slots       int           // requests that run at once, in one batch; default 8
+	Queue       int           // requests that may wait for a slot; default 16
+	FirstToken  time.Duration // time to the first token if the whole prompt is cached; default 2ms
 	TokenTime   time.Duration // between tokens of a stream; default 1ms
-	Tokens      int           // of an answer where the request doesn't say; default 8
-	PrefillByte time.Duration // for each byte of prompt that isn't cached
-	CacheBlocks int           // prompt blocks that the cache holds; default 4096
-	ReportLag   time.Duration // age of the load that is reported
-	EventGap    float64       // share of cache events that are lost
+	Tokens      int           // length of an answer if the request names none; default 8
+	PrefillByte time.Duration // prefill time for each byte of the prompt that isn't cached
+	CacheBlocks int           // capacity of the prefix cache in prompt blocks; default 4096
+	ReportLag   time.Duration // age of the load in a load report
+	EventGap    float64       // share of cache events that are lost, 0 to 1
 	Seed        uint64
 }
 
-// Engine is a stand-in model engine. NewEngine makes one; it is an
-// http.Handler.
+// Engine is a stand-in model engine with a bounded queue, a fixed number of slots and a
+// prefix cache. It is an http.Handler and is safe for concurrent use. NewEngine makes one.
 type Engine struct {
 	opts   EngineOptions
 	router *httprouter.Router
 	slots  chan struct{}
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	waiting int
-	running int
-	fault   Fault
-	faults  int // how many more requests the fault hits; negative for all
-	loads   []loadSample
-	cache   *blockcache.Cache
-	events  []uint64 // blocks evicted since the last poll
-	streams map[string]*stream
-	stats   EngineStats
-	orders  orders
-	limit   string // that its answers name; "" for none
-	rest    string // that it asks for as it refuses all; "" while it takes requests
-	leaving bool   // its answers say so
-}
-
-// EngineStats counts what an engine has done.
+	mu          sync.Mutex
+	random      *rand.Rand
+	waiting     int
+	running     int
+	fault       Fault
+	faultsLeft  int // how many more requests the fault affects; negative for all
+	loadHistory []loadSample
+	cache       *blockcache.Cache
+	events      []uint64 // blocks evicted since the last poll
+	streams     map[string]*stream
+	stats       EngineStats
+	orders      orders
+	limit       string // rate limit that its answers announce, in requests a second; "" for none
+	backoff     string // Retry-After of its rejections, while it rejects all requests; else ""
+	draining    bool   // its answers announce that it drains
+}
+
+// EngineStats counts the requests of an engine, and how many blocks of their prompts were
+// cached.
 type EngineStats struct {
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
@@ -91,7 +93,7 @@
 	running, waiting int
 }
 
-// NewEngine makes an engine.
+// NewEngine returns an engine without load, cached blocks or faults.
 func NewEngine(opts EngineOptions) *Engine {
 	opts = opts.withDefaults()
 	e := &Engine{
@@ -102,14 +104,14 @@
 		streams: make(map[string]*stream),
 	}
 	r := httprouter.New()
-	r.POST("/v1/chat/completions", e.complete)
-	r.POST("/v1/completions", e.complete)
-	r.GET("/engine/streams/:id", e.resume)
-	r.GET("/engine/load", e.load)
-	r.GET("/engine/events", e.cacheEvents)
-	r.GET("/engine/stats", e.statistics)
-	r.POST("/engine/fault", e.setFault)
-	r.POST("/engine/order", e.order)
+	r.POST("/v1/chat/completions", e.handleCompletion)
+	r.POST("/v1/completions", e.handleCompletion)
+	r.GET("/engine/streams/:id", e.handleResume)
+	r.GET("/engine/load", e.handleLoad)
+	r.GET("/engine/events", e.handleCacheEvents)
+	r.GET("/engine/stats", e.handleStats)
+	r.POST("/engine/fault", e.handleFault)
+	r.POST("/engine/order", e.handleOrder)
 	e.router = r
 	return e
 }
@@ -139,7 +141,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	limit, leaving := e.limit, e.leaving
+	limit, leaving := e.limit, e.draining
 	e.mu.Unlock()
 	if limit != "" {
 		w.Header().Set(relay.HeaderRateLimit, limit)
@@ -150,49 +152,51 @@
 	e.router.ServeHTTP(w, r)
 }
 
-// SetLimit makes answers name how many requests a second the engine takes; "" for none.
+// SetLimit makes answers announce a rate limit in requests a second; "" for none.
 func (e *Engine) SetLimit(limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limit = limit
 }
 
-// SetRest makes the engine refuse all requests and ask for that rest; "" to take them again.
+// SetRest makes the engine reject all requests and ask for backoff, where rest is the
+// value of the Retry-After header. With "" it accepts requests again.
 func (e *Engine) SetRest(rest string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rest = rest
+	e.backoff = rest
 }
 
-// SetLeaving makes answers say, or no longer say, that the engine leaves.
+// SetLeaving sets whether answers announce that the engine drains.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = leaving
+	e.draining = leaving
 }
 
-// Stats gives what the engine has done so far.
+// Stats returns the counts so far.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// SetFault makes the next n requests fail; all of them where n is negative.
+// SetFault injects a fault into the next n requests, or into all further ones if n is
+// negative.
 func (e *Engine) SetFault(fault Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault, e.faults = fault, n
+	e.fault, e.faultsLeft = fault, n
 }
 
-func (e *Engine) takeFault() Fault {
+func (e *Engine) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults == 0 {
+	if e.faultsLeft == 0 {
 		return FaultNone
 	}
-	if e.faults > 0 {
-		e.faults--
+	if e.faultsLeft > 0 {
+		e.faultsLeft--
 	}
 	return e.fault
 }
@@ -205,20 +209,20 @@
 	Prompt    json.RawMessage `json:"prompt"`
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	w.Header().Set(relay.HeaderAttempt, r.Header.Get(relay.HeaderAttempt))
-	fault := e.takeFault()
-	if rest := e.asksForRest(); rest != "" {
-		e.refuse(w, rest)
+	fault := e.nextFault()
+	if retryAfter := e.backoffAsked(); retryAfter != "" {
+		e.reject(w, retryAfter)
 		return
 	}
-	if fault == FaultRefuse || !e.enter() {
-		e.refuse(w, fullRest)
+	if fault == FaultRefuse || !e.enqueue() {
+		e.reject(w, queueFullBackoff)
 		return
 	}
 	var req completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		e.leave()
+		e.dequeue()
 		http.Error(w, `{"error":{"message":"bad request"}}`, http.StatusBadRequest)
 		return
 	}
@@ -226,19 +230,19 @@
 	select {
 	case e.slots <- struct{}{}:
 	case <-r.Context().Done():
-		e.leave()
+		e.dequeue()
 		return
 	}
-	e.started()
-	defer e.ended(r.Context())
+	e.markStarted()
+	defer e.markEnded(r.Context())
 	if !sleep(r.Context(), e.prefill(req)) {
 		return
 	}
 	e.answer(w, r, req, fault)
 }
 
-// enter takes a place in the queue.
-func (e *Engine) enter() bool {
+// enqueue adds a request to the queue; false if the queue is full.
+func (e *Engine) enqueue() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.waiting >= e.opts.Queue {
@@ -246,27 +250,27 @@
 		return false
 	}
 	e.waiting++
-	e.sample()
+	e.recordLoad()
 	return true
 }
 
-func (e *Engine) leave() {
+func (e *Engine) dequeue() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting--
-	e.sample()
+	e.recordLoad()
 }
 
-func (e *Engine) started() {
+func (e *Engine) markStarted() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting--
 	e.running++
 	e.stats.Started++
-	e.sample()
+	e.recordLoad()
 }
 
-func (e *Engine) ended(ctx context.Context) {
+func (e *Engine) markEnded(ctx context.Context) {
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -276,10 +280,10 @@
 	} else {
 		e.stats.Finished++
 	}
-	e.sample()
+	e.recordLoad()
 }
 
-// prefill gives the time to the first token and updates the cache.
+// prefill returns the time to the first token, and adds the prompt to the prefix cache.
 func (e *Engine) prefill(req completionRequest) time.Duration {
 	prompt := req.Messages
 	if len(prompt) == 0 {
@@ -303,26 +307,27 @@
 	return e.opts.FirstToken + time.Duration(coldBytes)*e.opts.PrefillByte
 }
 
-// fullRest is what an engine asks for whose queue is full, in seconds.
-const fullRest = "1"
+// queueFullBackoff is the Retry-After of an engine whose queue is full, in seconds.
+const queueFullBackoff = "1"
 
-// asksForRest gives the rest that it asks for, counting the request that it refuses.
-func (e *Engine) asksForRest() string {
+// backoffAsked returns the backoff to ask for, "" for none. If there is one, it counts a
+// rejected request.
+func (e *Engine) backoffAsked() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rest != "" {
+	if e.backoff != "" {
 		e.stats.Refused++
 	}
-	return e.rest
+	return e.backoff
 }
 
-func (e *Engine) refuse(w http.ResponseWriter, rest string) {
+func (e *Engine) reject(w http.ResponseWriter, retryAfter string) {
 	w.Header().Set(relay.HeaderNotRun, "true")
-	w.Header().Set("Retry-After", rest)
+	w.Header().Set("Retry-After", retryAfter)
 	w.WriteHeader(http.StatusTooManyRequests)
 }
 
-// answer writes the answer, or breaks in the way of the fault.
+// answer writes the answer, with the effects of the fault.
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, req completionRequest, fault Fault) {
 	switch fault {
 	case FaultError:
@@ -331,7 +336,7 @@
 	case FaultCrossed:
 		w.Header().Set(relay.HeaderAttempt, "another-attempt")
 	case FaultLate:
-		if !sleep(r.Context(), lateTime) {
+		if !sleep(r.Context(), lateDelay) {
 			return
 		}
 	}
@@ -346,8 +351,8 @@
 	e.answerWhole(w, r, req, tokens, fault)
 }
 
-// lateTime is how late FaultLate answers.
-const lateTime = 3 * time.Second
+// lateDelay is by how much FaultLate delays an answer.
+const lateDelay = 3 * time.Second
 
 func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, req completionRequest, tokens int, fault Fault) {
 	if !sleep(r.Context(), time.Duration(tokens)*e.opts.TokenTime) {
@@ -374,31 +379,31 @@
 	_, _ = w.Write(body)
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	e.mu.Lock()
 	sample := loadSample{at: time.Now(), running: e.running, waiting: e.waiting}
 	if e.opts.ReportLag > 0 {
-		sample = e.lagging(sample.at.Add(-e.opts.ReportLag))
+		sample = e.loadAt(sample.at.Add(-e.opts.ReportLag))
 	}
 	e.mu.Unlock()
 	writeJSON(w, map[string]any{"running": sample.running, "waiting": sample.waiting, "at": sample.at})
 }
 
-// sample remembers the load, for reports that lag. The lock is held.
-func (e *Engine) sample() {
+// recordLoad stores the current load for reports that lag by ReportLag. e.mu is held.
+func (e *Engine) recordLoad() {
 	if e.opts.ReportLag == 0 {
 		return
 	}
 	now := time.Now()
-	e.loads = append(e.loads, loadSample{now, e.running, e.waiting})
-	for len(e.loads) > 1 && now.Sub(e.loads[1].at) > e.opts.ReportLag {
-		e.loads = e.loads[1:]
+	e.loadHistory = append(e.loadHistory, loadSample{now, e.running, e.waiting})
+	for len(e.loadHistory) > 1 && now.Sub(e.loadHistory[1].at) > e.opts.ReportLag {
+		e.loadHistory = e.loadHistory[1:]
 	}
 }
 
-func (e *Engine) lagging(at time.Time) loadSample {
+func (e *Engine) loadAt(at time.Time) loadSample {
 	found := loadSample{at: at}
-	for _, sample := range e.loads {
+	for _, sample := range e.loadHistory {
 		if sample.at.After(at) {
 			break
 		}
@@ -407,7 +412,7 @@
 	return found
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	e.mu.Lock()
 	events := e.events
 	e.events = nil
@@ -415,11 +420,11 @@
 	writeJSON(w, map[string]any{"evicted": events})
 }
 
-func (e *Engine) statistics(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (e *Engine) handleStats(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	writeJSON(w, e.Stats())
 }
 
-func (e *Engine) setFault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleFault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	n, err := strconv.Atoi(r.URL.Query().Get("n"))
 	if err != nil {
 		http.Error(w, "n must be a number", http.StatusBadRequest)
@@ -458,8 +463,8 @@
 	}
 }
 
-// answerText is the text of an answer: its tokens count up, so that a reader
-// sees whether one is missing or twice.
+// answerText returns the text of an answer. Its tokens are numbered, so that missing and
+// duplicate ones can be seen.
 func answerText(engine string, tokens int) string {
 	text := engine + ":"
 	for i := range tokens {
--- a/standin/order.go
+++ b/standin/order.go
@@ -1,6 +1,6 @@
-// This file defines the orders that engines accept: to load a model, adapter
-// or version, or to change role. An order carries a fence; an engine that
-// checks it refuses one older than the newest it has seen.
+// This file defines the orders that engines accept: to load a model, adapter or version,
+// or to change role. An order carries a fencing token; the engine rejects an order whose
+// token is lower than the highest it has accepted.
 
 package standin
 
@@ -11,7 +11,8 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Order is what an engine is told to do.
+// Order tells an engine which model, adapter and version to serve, and in which role.
+// Fence is its fencing token.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
@@ -21,12 +22,12 @@
 }
 
 type orders struct {
-	newest uint64
-	loaded Order
-	count  int
+	newestFence uint64
+	last        Order
+	count       int
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var order Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -34,19 +35,19 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if order.Fence < e.orders.newest {
+	if order.Fence < e.orders.newestFence {
 		http.Error(w, "old fence", http.StatusConflict)
 		return
 	}
-	e.orders.newest = order.Fence
-	e.orders.loaded = order
+	e.orders.newestFence = order.Fence
+	e.orders.last = order
 	e.orders.count++
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Loaded gives the last order and how many have been taken.
-func (e *Engine) Loaded() (Order, int) {
+// LastOrder returns the last accepted order, and how many orders the engine has accepted.
+func (e *Engine) LastOrder() (Order, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.orders.loaded, e.orders.count
+	return e.orders.last, e.orders.count
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,59 +10,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Plain is a stand-in plain service. It counts the calls that it has run, by
-// the value of the call's Order header or else by its path, and answers with
-// the count. It is an http.Handler; NewPlain makes one.
+// Plain is a stand-in plain service. It counts the calls that it has run, by the value of
+// the call's Order header or, without one, by its path, and answers with the count. It is
+// an http.Handler and is safe for concurrent use. NewPlain makes one.
 type Plain struct {
 	name string
 
-	mu     sync.Mutex
-	ran    map[string]int
-	bytes  int64
-	fault  Fault
-	faults int
-	wait   time.Duration
+	mu          sync.Mutex
+	runs        map[string]int
+	bytes       int64
+	fault       Fault
+	faultsLeft  int
+	serviceTime time.Duration
 }
 
-// HeaderOrder names what a call does, for counting.
+// HeaderOrder is the header under whose value Plain counts a call.
 const HeaderOrder = "Order"
 
-// NewPlain makes a service that takes wait for each call.
-func NewPlain(name string, wait time.Duration) *Plain {
-	return &Plain{name: name, ran: make(map[string]int), wait: wait}
+// NewPlain returns a service that takes serviceTime for each call.
+func NewPlain(name string, serviceTime time.Duration) *Plain {
+	return &Plain{name: name, runs: make(map[string]int), serviceTime: serviceTime}
 }
 
-// Ran gives how often the call has run.
+// Ran returns how often calls with this Order header, or this path, have run.
 func (p *Plain) Ran(order string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ran[order]
+	return p.runs[order]
 }
 
-// Bytes gives the number of body bytes taken in.
+// Bytes returns the number of bytes of all request bodies read so far.
 func (p *Plain) Bytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes
 }
 
-// SetFault makes the next n calls fail; all of them where n is negative.
+// SetFault injects a fault into the next n calls, or into all further ones if n is
+// negative.
 func (p *Plain) SetFault(fault Fault, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fault, p.faults = fault, n
+	p.fault, p.faultsLeft = fault, n
 }
 
-func (p *Plain) take(order string) (int, Fault) {
+func (p *Plain) recordRun(order string) (int, Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ran[order]++
+	p.runs[order]++
 	fault := FaultNone
-	if p.faults != 0 {
+	if p.faultsLeft != 0 {
 		fault = p.fault
-		p.faults--
+		p.faultsLeft--
 	}
-	return p.ran[order], fault
+	return p.runs[order], fault
 }
 
 // ServeHTTP implements http.Handler.
@@ -82,15 +83,16 @@
 	if order == "" {
 		order = r.URL.Path
 	}
-	count, fault := p.take(order)
-	if !sleep(r.Context(), p.wait) {
+	count, fault := p.recordRun(order)
+	if !sleep(r.Context(), p.serviceTime) {
 		return
 	}
 	answer := p.name + " ran " + order + " " + strconv.Itoa(count) + " times, " + strconv.FormatInt(n, 10) + " bytes, hash " + strconv.FormatUint(hash.Sum64(), 16) + "\n"
 	p.answer(w, r, answer, fault)
 }
 
-// serveControl answers what a test or the demo asks of the stand-in itself.
+// serveControl serves the paths with which tests and the demo control the stand-in. It
+// returns false for any other path.
 func (p *Plain) serveControl(w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/engine/load":
@@ -122,7 +124,7 @@
 		p.answerTwice(w, answer)
 		return
 	case FaultLate:
-		if !sleep(r.Context(), lateTime) {
+		if !sleep(r.Context(), lateDelay) {
 			return
 		}
 	}
@@ -131,14 +133,14 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// answerTwice writes two whole HTTP answers to one request.
+// answerTwice writes two whole HTTP responses to one request.
 func (p *Plain) answerTwice(w http.ResponseWriter, answer string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	one := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n" + answer
-	_, _ = io.WriteString(conn, one+one)
+	response := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(answer)) + "\r\n\r\n" + answer
+	_, _ = io.WriteString(conn, response+response)
 	time.Sleep(50 * time.Millisecond)
 }
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -1,6 +1,5 @@
-// This file defines the stand-in for the network between regions: connections
-// to a host's wide-area address are passed on after a delay, and a region can
-// be cut off.
+// This file defines the stand-in for the network between regions. It forwards connections
+// to a host's wide-area address with a delay, and can partition a region.
 
 package standin
 
@@ -19,51 +18,54 @@
 	"github.com/linenscale/linenscale/internal/width"
 )
 
-// Link is one address that is reached over the wide area.
+// Link forwards one wide-area address to the host that it belongs to.
 type Link struct {
 	Listen string // the wide-area address
 	Target string // the host's own address
-	Region string // of the host
+	Region string // region of the host
 }
 
-// WAN passes connections on between regions. NewWAN makes one.
+// WAN forwards connections between regions. NewWAN makes one. It is safe for concurrent
+// use.
 type WAN struct {
-	delay    time.Duration
-	ways     *width.Ways
-	links    []Link
-	regionOf func(ip string) string // of a connection's source
+	delay     time.Duration
+	bandwidth *width.Ways
+	links     []Link
+	regionOf  func(ip string) string // region of the IP address that a connection comes from
 
-	mu  sync.Mutex
-	cut map[string]bool
+	mu          sync.Mutex
+	partitioned map[string]bool
 }
 
-// NewWAN makes a network with a one-way delay, and a width for all that goes between two regions.
-func NewWAN(delay time.Duration, ways *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
-	return &WAN{delay: delay, ways: ways, links: links, regionOf: regionOf, cut: make(map[string]bool)}
+// NewWAN returns a network with a one-way delay and with a limit on the bandwidth between
+// two regions.
+func NewWAN(delay time.Duration, bandwidth *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
+	return &WAN{delay: delay, bandwidth: bandwidth, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
-// Cut cuts a region off from the others, or joins it again. While it is cut
-// off, bytes on open connections are held back, as by a network that drops
-// every packet without a word.
+// Cut partitions a region from the others, or ends the partition. Meanwhile, bytes on open
+// connections are held back and nothing is reset, as in a network that silently drops every
+// packet.
 func (n *WAN) Cut(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[region] = cut
+	n.partitioned[region] = cut
 }
 
-func (n *WAN) isCut(a, b string) bool {
+func (n *WAN) isPartitioned(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a != b && (n.cut[a] || n.cut[b])
+	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
-// Run listens on every link until ctx ends.
+// Run listens on the wide-area address of every link until ctx ends. It returns an error
+// if one can't be listened on.
 func (n *WAN) Run(ctx context.Context) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	for _, link := range n.links {
 		listener, err := net.Listen("tcp", link.Listen)
 		if err != nil {
-			return errors.Annotate(err, "wide-area link")
+			return errors.Annotate(err, "listen on wide-area link")
 		}
 		group.Go(func(ctx context.Context) error {
 			stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -83,16 +85,16 @@
 		if err != nil {
 			return
 		}
-		conns.Go(func() { n.pass(ctx, conn, link) })
+		conns.Go(func() { n.forward(ctx, conn, link) })
 	}
 }
 
-// pass carries one connection, each direction with its delay.
-func (n *WAN) pass(ctx context.Context, conn net.Conn, link Link) {
+// forward forwards one connection, each direction with its own delay.
+func (n *WAN) forward(ctx context.Context, conn net.Conn, link Link) {
 	defer conn.Close()
 	ip, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	from := n.regionOf(ip)
-	if !n.hold(ctx, from, link.Region) {
+	if !n.waitPartition(ctx, from, link.Region) {
 		return
 	}
 	target, err := net.DialTimeout("tcp", link.Target, time.Second)
@@ -106,32 +108,32 @@
 	})
 	defer stop()
 	both := pool.New()
-	both.Go(func() { n.carry(ctx, conn, target, from, link.Region) })
-	both.Go(func() { n.carry(ctx, target, conn, from, link.Region) })
+	both.Go(func() { n.copyDelayed(ctx, conn, target, from, link.Region) })
+	both.Go(func() { n.copyDelayed(ctx, target, conn, from, link.Region) })
 	both.Wait()
 }
 
-type parcel struct {
+type chunk struct {
 	data []byte
-	at   time.Time
+	due  time.Time
 }
 
-// carryQueue bounds the parcels on their way in one direction.
-const carryQueue = 1024
+// maxQueuedChunks bounds the chunks in flight in one direction of a connection.
+const maxQueuedChunks = 1024
 
-func (n *WAN) carry(ctx context.Context, from, to net.Conn, a, b string) {
-	parcels := make(chan parcel, carryQueue)
+func (n *WAN) copyDelayed(ctx context.Context, from, to net.Conn, a, b string) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	both := pool.New()
 	both.Go(func() {
-		defer close(parcels)
+		defer close(chunks)
 		for {
 			data := make([]byte, 16<<10)
 			got, err := from.Read(data)
 			if got > 0 {
-				if n.ways.Pass(ctx, a, b, got) != nil {
+				if n.bandwidth.Pass(ctx, a, b, got) != nil {
 					return
 				}
-				parcels <- parcel{data[:got], time.Now().Add(n.delay)}
+				chunks <- chunk{data[:got], time.Now().Add(n.delay)}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
@@ -141,38 +143,40 @@
 			}
 		}
 	})
-	for p := range parcels {
-		time.Sleep(time.Until(p.at))
-		if !n.hold(ctx, a, b) {
+	for c := range chunks {
+		time.Sleep(time.Until(c.due))
+		if !n.waitPartition(ctx, a, b) {
 			break
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			from.Close()
 			break
 		}
 	}
-	if half, ok := to.(*net.TCPConn); ok {
-		_ = half.CloseWrite()
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
-	for range parcels { // let the reader end
+	for range chunks { // lets the reader finish if it blocks on a full queue
 	}
 	both.Wait()
 }
 
-// holdStep is how often a held connection looks whether the cut is over.
-const holdStep = 5 * time.Millisecond
+// partitionPollInterval is how often a blocked connection checks whether its partition
+// has ended.
+const partitionPollInterval = 5 * time.Millisecond
 
-// hold waits while the regions are cut off from each other.
-func (n *WAN) hold(ctx context.Context, a, b string) bool {
-	for n.isCut(a, b) {
-		if !sleep(ctx, holdStep) {
+// waitPartition waits while the regions are partitioned from each other; false if ctx has
+// ended.
+func (n *WAN) waitPartition(ctx context.Context, a, b string) bool {
+	for n.isPartitioned(a, b) {
+		if !sleep(ctx, partitionPollInterval) {
 			return false
 		}
 	}
 	return ctx.Err() == nil
 }
 
-// ServeHTTP takes POST /cut?region=…&cut=true|false.
+// ServeHTTP starts or ends a partition: POST /cut?region=…&cut=true|false.
 func (n *WAN) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	cut, err := strconv.ParseBool(r.URL.Query().Get("cut"))
 	if err != nil {
