--- a/agent/agent.go
+++ b/agent/agent.go
@@ -181,7 +181,7 @@
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
-	a.Metrics.Revision(int64(view.Config.Revision()))
+	a.Metrics.RecordRevision(int64(view.Config.Revision()))
 	a.Log.Info("view", zap.Uint64("seq", view.Seq), zap.Uint64("revision", view.Config.Revision()), zap.Bool("pending", view.Pending != nil))
 	return nil
 }
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -203,7 +203,7 @@
 		return
 	}
 	if err := a.applyChanges(reply); err != nil {
-		a.Log.Warn("view from peer not applied", zap.String("peer", peer), telemetry.Cause(err))
+		a.Log.Warn("view from peer not applied", zap.String("peer", peer), telemetry.ErrorField(err))
 	}
 }
 
@@ -228,7 +228,7 @@
 			err = a.applyChanges(reply)
 		}
 		if err != nil {
-			a.Log.Debug("watch", telemetry.Cause(err))
+			a.Log.Debug("watch", telemetry.ErrorField(err))
 			duty.Pause(ctx, retryInterval)
 		}
 	}
--- a/cmd/linenscaled/main.go
+++ b/cmd/linenscaled/main.go
@@ -91,7 +91,7 @@
 		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryPercent / 100)
 	}
 	debug.SetGCPercent(gcPercent)
-	out := telemetry.NewBounded(os.Stdout)
+	out := telemetry.NewBoundedWriter(os.Stdout)
 	log, err := telemetry.NewLogger(out, level)
 	if err != nil {
 		fail(exitUsage, err)
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -25,7 +25,7 @@
 		return ledger.Result{}, err
 	}
 	result, err := c.submit(ctx, ledger.PutCatalog{Catalog: next, Source: source})
-	c.Log.Info("catalog put", zap.Int64("version", next.Version), zap.Int("routes", len(next.Routes)), zap.Bool("changed", result.Changed), zap.Int64("held", result.Version), telemetry.Cause(err))
+	c.Log.Info("catalog put", zap.Int64("version", next.Version), zap.Int("routes", len(next.Routes)), zap.Bool("changed", result.Changed), zap.Int64("held", result.Version), telemetry.ErrorField(err))
 	return result, err
 }
 
@@ -41,7 +41,7 @@
 	for err == nil && result.Stale {
 		result, err = c.setEvacuation(ctx, ledger.SetEvacuation{DataCentre: dataCentre, On: on})
 	}
-	c.Log.Info("evacuation", zap.String("data_centre", dataCentre), zap.Bool("on", on), zap.Bool("changed", result.Changed), telemetry.Cause(err))
+	c.Log.Info("evacuation", zap.String("data_centre", dataCentre), zap.Bool("on", on), zap.Bool("changed", result.Changed), telemetry.ErrorField(err))
 	return err
 }
 
@@ -91,7 +91,7 @@
 		}
 		duty.Pause(ctx, leaderRetryInterval)
 	}
-	c.Log.Warn("leader unreachable, request given up", telemetry.Cause(lastErr))
+	c.Log.Warn("leader unreachable, request given up", telemetry.ErrorField(lastErr))
 	return ErrUnavailable
 }
 
@@ -120,7 +120,7 @@
 	if err == nil && state.Catalog.Version == 0 {
 		err = ErrNoCatalog
 	}
-	c.Log.Info("catalog read", zap.Int64("version", state.Catalog.Version), zap.Uint64("index", state.Index), telemetry.Cause(err))
+	c.Log.Info("catalog read", zap.Int64("version", state.Catalog.Version), zap.Uint64("index", state.Index), telemetry.ErrorField(err))
 	return state, err
 }
 
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -63,7 +63,7 @@
 	defer cancel()
 	args := follow.TellArgs{Engine: follow.NewEngineUpdates([]registry.Engine{e}, c.Clock())[0]}
 	if err := c.Commands.Call(ctx, host.Peer, follow.Service+".Tell", args, &follow.Empty{}); err != nil {
-		c.Log.Warn("engine answered before all gateways acknowledged its state", zap.String("engine", engine), zap.String("through", host.Name), telemetry.Cause(err))
+		c.Log.Warn("engine answered before all gateways acknowledged its state", zap.String("engine", engine), zap.String("through", host.Name), telemetry.ErrorField(err))
 		return
 	}
 	c.Log.Info("gateways of another control host acknowledged the engine's state", zap.String("engine", engine), zap.String("through", host.Name))
--- a/controller/freshness.go
+++ b/controller/freshness.go
@@ -46,7 +46,7 @@
 		err := c.confirmOnce(ctx)
 		if failed := err != nil; failed != wasFailing {
 			wasFailing = failed
-			c.Log.Info("ledger freshness changed", zap.Bool("sure", !failed), telemetry.Cause(err))
+			c.Log.Info("ledger freshness changed", zap.Bool("sure", !failed), telemetry.ErrorField(err))
 		}
 		wait := confirmInterval
 		if err != nil {
--- a/controller/saved_engines.go
+++ b/controller/saved_engines.go
@@ -35,7 +35,7 @@
 	}
 	var saved []follow.EngineUpdate
 	if err := ledger.DecodeCompressed(data, &saved); err != nil {
-		c.Log.Warn("saved engines are unreadable, starting without them", telemetry.Cause(err))
+		c.Log.Warn("saved engines are unreadable, starting without them", telemetry.ErrorField(err))
 		return
 	}
 	engines := make([]registry.Engine, len(saved))
@@ -74,6 +74,6 @@
 		err = c.savedEngines.Write(data)
 	}
 	if err != nil {
-		c.Log.Warn("saving engines failed", telemetry.Cause(err))
+		c.Log.Warn("saving engines failed", telemetry.ErrorField(err))
 	}
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -187,7 +187,7 @@
 		}
 		s, err := settings.ReadMember(m.path)
 		if err != nil {
-			m.log.Error("settings reload failed, keeping previous seeds", telemetry.Cause(err))
+			m.log.Error("settings reload failed, keeping previous seeds", telemetry.ErrorField(err))
 			continue
 		}
 		seeds := s.SeedPeerAddresses()
@@ -222,7 +222,7 @@
 	duty.Every(ctx, rollup.ReportInterval, func() {
 		for _, out := range d.Outgoing() {
 			if err := datagrams.Send(out.Message, out.To); err != nil {
-				m.log.Debug("load report not sent", telemetry.Cause(err))
+				m.log.Debug("load report not sent", telemetry.ErrorField(err))
 			}
 		}
 	})
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -94,7 +94,7 @@
 	d.Log.Warn("engine crashed", zap.String("engine", incarnation), zap.String("sign", evidence), zap.Int("requests", len(requests)),
 		zap.String("fingerprints", formatFingerprints(requests)))
 	if d.Metrics != nil {
-		d.Metrics.EngineCrash(len(requests))
+		d.Metrics.CountEngineCrash(len(requests))
 	}
 	for _, f := range requests {
 		if d.quarantine.RecordCrash(f, incarnation, now) {
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -52,7 +52,7 @@
 
 func (d *Dispatcher) countLimited(e *engine, event string) {
 	if d.Metrics != nil {
-		d.Metrics.Limited(e.ID, event)
+		d.Metrics.CountLimitEvent(e.ID, event)
 	}
 }
 
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -96,6 +96,6 @@
 
 func (d *Dispatcher) countPushback(e *engine, event string) {
 	if d.Metrics != nil {
-		d.Metrics.Pushback(e.ID, event)
+		d.Metrics.CountPushbackEvent(e.ID, event)
 	}
 }
--- a/dispatch/regions.go
+++ b/dispatch/regions.go
@@ -106,7 +106,7 @@
 	}
 	body, err := cbor.Marshal(digests)
 	if err != nil {
-		d.Log.Error("region report not sent: encoding failed", telemetry.Cause(err))
+		d.Log.Error("region report not sent: encoding failed", telemetry.ErrorField(err))
 		return rollup.Message{}, false
 	}
 	return rollup.Message{From: d.Name, Remote: []rollup.RegionReport{{Region: d.Region, Digests: body, Accounts: d.regionUsage(now), Crashes: d.quarantine.OutgoingRemote(now)}}}, true
@@ -169,7 +169,7 @@
 	}
 	var digests []Digest
 	if err := cbor.Unmarshal(r.Digests, &digests); err != nil {
-		d.Log.Warn("region report ignored: decoding failed", zap.String("region", r.Region), telemetry.Cause(err))
+		d.Log.Warn("region report ignored: decoding failed", zap.String("region", r.Region), telemetry.ErrorField(err))
 		return
 	}
 	remote.applyDigests(digests, d.roundTrip(r.Region), now.Add(-r.Age))
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -201,7 +201,7 @@
 	l.lost = l.lost || first
 	f.mu.Unlock()
 	if first {
-		f.Log.Warn("control host lost", zap.String("address", l.address), zap.Duration("silent_for", age), telemetry.Cause(err))
+		f.Log.Warn("control host lost", zap.String("address", l.address), zap.Duration("silent_for", age), telemetry.ErrorField(err))
 	}
 }
 
@@ -265,12 +265,12 @@
 func (f *Follower) fetchState(ctx context.Context, l *link) {
 	var reply StateReply
 	if err := f.Client.CallTimeout(ctx, fetchTimeout, l.address, Service+".State", StateArgs{}, &reply); err != nil {
-		f.Log.Warn("ledger state not fetched, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
+		f.Log.Warn("ledger state not fetched, retrying with the next poll", zap.String("address", l.address), telemetry.ErrorField(err))
 		return
 	}
 	var state ledger.State
 	if err := ledger.DecodeCompressed(reply.State, &state); err != nil {
-		f.Log.Error("ledger state can't be decoded, retrying with the next poll", zap.String("address", l.address), telemetry.Cause(err))
+		f.Log.Error("ledger state can't be decoded, retrying with the next poll", zap.String("address", l.address), telemetry.ErrorField(err))
 		return
 	}
 	f.mu.Lock()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -195,7 +195,7 @@
 	d := s.deliver(x, p, resp, "http://"+ticket.Address, sentAt, ticket.Waited)
 	if d.err == nil {
 		ticket.Done(fleet.Result{Outcome: fleet.Answered, TimeToFirstByte: d.timeToFirstByte})
-		s.Metrics.Attempt(x.req.Service, "answered")
+		s.Metrics.CountAttempt(x.req.Service, "answered")
 		return false, nil
 	}
 	mayRetry, err = s.recordAttemptFailure(x, p, state, ticket, d.err)
@@ -278,8 +278,8 @@
 		outcome = fleet.Broken
 	}
 	ticket.Done(fleet.Result{Outcome: outcome})
-	s.Metrics.Attempt(x.req.Service, "failed")
-	s.Log.Warn("attempt failed", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Bool("not_run", notRun), zap.Bool("broken", outcome == fleet.Broken), zap.Stringer("fingerprint", p.fingerprint), telemetry.Cause(err))
+	s.Metrics.CountAttempt(x.req.Service, "failed")
+	s.Log.Warn("attempt failed", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Bool("not_run", notRun), zap.Bool("broken", outcome == fleet.Broken), zap.Stringer("fingerprint", p.fingerprint), telemetry.ErrorField(err))
 	if !notRun {
 		state.mayHaveRun = true
 	}
@@ -301,7 +301,7 @@
 	writer := &deferredWriter{ResponseWriter: x.w, writeHeader: func() {
 		d.started = true
 		d.timeToFirstByte = time.Since(sentAt)
-		s.Metrics.First(x.req.Service, time.Since(x.receivedAt), queued)
+		s.Metrics.RecordFirstByte(x.req.Service, time.Since(x.receivedAt), queued)
 		copyAnswerHeaders(x.w.Header(), resp)
 		x.w.WriteHeader(resp.StatusCode)
 	}}
@@ -314,7 +314,7 @@
 		d.err = s.deliverUnbuffered(writer, p, resp)
 	}
 	if d.err == nil {
-		s.Metrics.Request(x.req.Service, "answered")
+		s.Metrics.CountRequest(x.req.Service, "answered")
 	}
 	return d
 }
@@ -394,8 +394,8 @@
 // abortAnswer ends an answer that failed after its first byte. It writes an error event
 // into an event stream, and in all cases aborts the connection.
 func (s *Server) abortAnswer(x *exchange, resp *http.Response, cause error) {
-	s.Metrics.Request(x.req.Service, "broken")
-	s.Log.Warn("answer failed after its first byte, aborting connection", zap.String("request", x.req.ID), zap.String("service", x.req.Service), telemetry.Cause(cause))
+	s.Metrics.CountRequest(x.req.Service, "broken")
+	s.Log.Warn("answer failed after its first byte, aborting connection", zap.String("request", x.req.ID), zap.String("service", x.req.Service), telemetry.ErrorField(cause))
 	if isStream(resp) {
 		data, err := json.Marshal(errorBodyOf(&request.OutcomeUnknown{Message: "the answer broke off"}))
 		if err == nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -134,7 +134,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Shutdown(stopCtx); err != nil {
-			s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
+			s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.ErrorField(err))
 			server.Close()
 		}
 	}
@@ -147,7 +147,7 @@
 		ReadHeaderTimeout: s.Limits.HeaderTime,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
-		ErrorLog:          telemetry.HTTPErrors(s.Log),
+		ErrorLog:          telemetry.HTTPErrorLogger(s.Log),
 	}
 }
 
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -52,7 +52,7 @@
 	}
 	d := s.deliver(x, p, resp, "", sentAt, 0)
 	if d.err == nil {
-		s.Metrics.Attempt(x.req.Service, "away")
+		s.Metrics.CountAttempt(x.req.Service, "away")
 		return false, nil
 	}
 	mayRetry, err = s.recordHandoverFailure(x, state, host, d.err)
@@ -70,8 +70,8 @@
 	if !notRun {
 		state.mayHaveRun = true
 	}
-	s.Metrics.Attempt(x.req.Service, "away_failed")
-	s.Log.Warn("hand-over failed", zap.String("request", x.req.ID), zap.String("host", host.Name), zap.Bool("not_run", notRun), telemetry.Cause(err))
+	s.Metrics.CountAttempt(x.req.Service, "away_failed")
+	s.Log.Warn("hand-over failed", zap.String("request", x.req.ID), zap.String("host", host.Name), zap.Bool("not_run", notRun), telemetry.ErrorField(err))
 	return notRun || x.req.Repeatable, err
 }
 
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -34,10 +34,10 @@
 		ticket.Accepted()
 	}
 	if _, isBackoff := signal.(pushback.Backoff); isBackoff {
-		s.Metrics.Pushback(ticket.Engine, "rest_asked")
+		s.Metrics.CountPushbackEvent(ticket.Engine, "rest_asked")
 	}
 	if draining {
-		s.Metrics.Pushback(ticket.Engine, "leaving_said")
+		s.Metrics.CountPushbackEvent(ticket.Engine, "leaving_said")
 	}
 	if _, noSignal := signal.(pushback.NoSignal); !noSignal || draining {
 		s.Log.Info("received pushback from engine", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("rest", signal), zap.Bool("leaving", draining))
@@ -51,6 +51,6 @@
 	if _, unlimited := signal.(ratelimit.Unlimited); unlimited {
 		return
 	}
-	s.Metrics.Limited(ticket.Engine, "answered")
+	s.Metrics.CountLimitEvent(ticket.Engine, "answered")
 	s.Log.Info("engine announced a rate limit", zap.String("request", x.req.ID), zap.String("engine", ticket.Engine), zap.Stringer("limit", signal))
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -149,7 +149,7 @@
 		recordErr = s.IdempotencyStore.MarkUnknown(ctx, call)
 	}
 	if recordErr != nil {
-		s.Log.Warn("failed to record outcome of call with idempotency key", zap.String("request", x.req.ID), telemetry.Cause(recordErr))
+		s.Log.Warn("failed to record outcome of call with idempotency key", zap.String("request", x.req.ID), telemetry.ErrorField(recordErr))
 	}
 }
 
@@ -175,7 +175,7 @@
 	}
 	x.w.WriteHeader(answer.Status)
 	_, _ = x.w.Write(answer.Body)
-	s.Metrics.Request(x.req.Service, "replayed")
+	s.Metrics.CountRequest(x.req.Service, "replayed")
 }
 
 // requestDigest returns a digest that differs between different requests with the same
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -61,7 +61,7 @@
 // serve runs the filters. It always either writes a complete answer or aborts the
 // connection.
 func (s *Server) serve(x *exchange) {
-	defer s.Metrics.Begin(x.req.Service)()
+	defer s.Metrics.RequestStarted(x.req.Service)()
 	if s.inFlight.Add(1) > int64(s.Limits.InFlight) {
 		s.inFlight.Add(-1)
 		s.writeError(x.w, x.r, x.req, &request.NotRun{Reason: request.ReasonOverload, Message: "this host has too many requests in flight", RetryAfter: time.Second})
@@ -138,9 +138,9 @@
 	switch r := refusal.(type) {
 	case *request.NotRun:
 		s.Log.Info("not run", append(fields, zap.String("reason", string(r.Reason)), zap.String("why", r.Message), zap.String("location", r.Location))...)
-		s.Metrics.Request(req.Service, string(r.Reason))
+		s.Metrics.CountRequest(req.Service, string(r.Reason))
 	case *request.OutcomeUnknown:
 		s.Log.Warn("outcome unknown", append(fields, zap.String("why", r.Message))...)
-		s.Metrics.Request(req.Service, "outcome_unknown")
+		s.Metrics.CountRequest(req.Service, "outcome_unknown")
 	}
 }
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -189,16 +189,16 @@
 func (s *Server) finishAttempt(x *exchange, p *progress, ticket *dispatch.Ticket, err error) (retry bool) {
 	outcome, notRun := s.classifyOutcome(x, p, err)
 	ticket.Done(outcome)
-	s.Metrics.Attempt(x.service, outcome.String())
+	s.Metrics.CountAttempt(x.service, outcome.String())
 	if err == nil {
 		s.countOutcome(x, "answered")
-		s.Metrics.First(x.service, x.firstByteAfter, 0)
-		s.Metrics.Predicted(x.service, x.firstByteAfter-ticket.ExpectedWait)
+		s.Metrics.RecordFirstByte(x.service, x.firstByteAfter, 0)
+		s.Metrics.RecordPredictionError(x.service, x.firstByteAfter-ticket.ExpectedWait)
 		s.Log.Info("answered", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("expected", ticket.ExpectedWait), zap.Duration("first", x.firstByteAfter), zap.Duration("longest_pause", x.longestPause), zap.Duration("took", s.Clock().Sub(x.startedAt)))...)
 		return false
 	}
 	s.Log.Warn("attempt failed", x.logFields(zap.String("engine", ticket.Engine), zap.String("outcome", outcome.String()),
-		zap.Bool("not_run", notRun), zap.Int("sends", p.sends), zap.String("last_event", p.lastEventID), zap.Stringer("fingerprint", x.fingerprint), telemetry.Cause(err))...)
+		zap.Bool("not_run", notRun), zap.Int("sends", p.sends), zap.String("last_event", p.lastEventID), zap.Stringer("fingerprint", x.fingerprint), telemetry.ErrorField(err))...)
 	if outcome == dispatch.Abandoned {
 		return false
 	}
--- a/ingress/handover.go
+++ b/ingress/handover.go
@@ -100,7 +100,7 @@
 		s.countOutcome(x, "answered_elsewhere")
 		return false, nil
 	}
-	s.Log.Warn("hand-over failed", x.logFields(zap.String("gateway", gateway.Name), zap.Bool("started", x.answerStarted), telemetry.Cause(err))...)
+	s.Log.Warn("hand-over failed", x.logFields(zap.String("gateway", gateway.Name), zap.Bool("started", x.answerStarted), telemetry.ErrorField(err))...)
 	pathBroken, err = x.classifyHandOverError(err, sendsBefore)
 	var unknown *request.OutcomeUnknown
 	x.progress.mayHaveRun = x.progress.mayHaveRun || errors.As(err, &unknown)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -95,7 +95,7 @@
 	table := catalog.NewTable(state.Catalog)
 	s.Dispatcher.ApplyState(state, table)
 	s.catalog.Store(&catalogSnapshot{state.Index, table})
-	s.Metrics.Revision(state.Catalog.Version)
+	s.Metrics.RecordRevision(state.Catalog.Version)
 }
 
 // Ready reports whether the gateway accepts requests: it has a catalog and isn't stopping.
@@ -166,7 +166,7 @@
 	for _, server := range servers {
 		group.Go(func() {
 			if err := server.Shutdown(stopCtx); err != nil {
-				s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.Cause(err))
+				s.Log.Warn("stop timeout reached, closing connections with requests in flight", zap.Int64("in_flight", s.inFlight.Load()), telemetry.ErrorField(err))
 				server.Close()
 			}
 		})
@@ -180,7 +180,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          telemetry.HTTPErrors(s.Log),
+		ErrorLog:          telemetry.HTTPErrorLogger(s.Log),
 		ConnContext:       withConn,
 	}
 }
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithTimeout(r.Context(), s.remaining(x))
 		defer cancel()
 		x.r = r.WithContext(ctx)
-		defer s.Metrics.Begin(x.service)()
+		defer s.Metrics.RequestStarted(x.service)()
 		err = s.runInBestRegion(x)
 	}
 	if err != nil {
--- a/ingress/rejection.go
+++ b/ingress/rejection.go
@@ -38,9 +38,9 @@
 // countOutcome counts a finished request in the metrics. Only the entry host counts it for
 // the account.
 func (s *Server) countOutcome(x *exchange, outcome string) {
-	s.Metrics.Request(x.service, outcome)
+	s.Metrics.CountRequest(x.service, outcome)
 	if x.account.Name != "" && !x.handedOver {
-		s.Metrics.Account(x.account.Name, outcome)
+		s.Metrics.CountAccountRequest(x.account.Name, outcome)
 	}
 }
 
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -34,7 +34,7 @@
 	}
 	switch signal := answer.Pushback.(type) {
 	case pushback.Backoff:
-		s.Metrics.Pushback(ticket.Engine, "rest_asked")
+		s.Metrics.CountPushbackEvent(ticket.Engine, "rest_asked")
 		s.Log.Info("answer asks for backoff", x.logFields(zap.String("engine", ticket.Engine), zap.Duration("for", signal.Duration), zap.Int("status", resp.StatusCode))...)
 	case pushback.Malformed:
 		s.Log.Warn("ignoring malformed Retry-After of engine", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("word", signal))...)
@@ -42,7 +42,7 @@
 	}
 	if answer.Draining {
 		ticket.ApplyDraining()
-		s.Metrics.Pushback(ticket.Engine, "leaving_said")
+		s.Metrics.CountPushbackEvent(ticket.Engine, "leaving_said")
 		s.Log.Info("answer announces that the engine is draining", x.logFields(zap.String("engine", ticket.Engine), zap.Int("status", resp.StatusCode))...)
 	}
 }
@@ -57,6 +57,6 @@
 	if _, unlimited := answer.Limit.(ratelimit.Unlimited); unlimited {
 		return
 	}
-	s.Metrics.Limited(ticket.Engine, "answered")
+	s.Metrics.CountLimitEvent(ticket.Engine, "answered")
 	s.Log.Info("answer states the engine's rate limit", x.logFields(zap.String("engine", ticket.Engine), zap.Stringer("limit", answer.Limit))...)
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -400,7 +400,7 @@
 		change.Puts = append(change.Puts, declare.Envelope{Object: object})
 	}
 	out, err := l.proposeOnce(ctx, change)
-	l.opts.Log.Info("first configuration proposed", zap.String("status", string(out.Status)), zap.String("why", out.Why), telemetry.Cause(err))
+	l.opts.Log.Info("first configuration proposed", zap.String("status", string(out.Status)), zap.String("why", out.Why), telemetry.ErrorField(err))
 }
 
 // decidePending commits the decision on the pending change, once there is one.
@@ -422,10 +422,10 @@
 	}
 	out, err := l.proposeCommand(ctx, control.Command{Decide: &decide})
 	if err != nil {
-		l.opts.Log.Warn("decision not committed", zap.String("change", decide.ID), telemetry.Cause(err))
+		l.opts.Log.Warn("decision not committed", zap.String("change", decide.ID), telemetry.ErrorField(err))
 		return
 	}
-	l.opts.Metrics.Change(string(out.Status))
+	l.opts.Metrics.CountChange(string(out.Status))
 	l.opts.Log.Info("change decided", zap.String("change", decide.ID), zap.String("status", string(out.Status)),
 		zap.Uint64("revision", out.Revision), zap.Strings("cut", decision.Unreachable), zap.Duration("after", now.Sub(view.Pending.At)))
 }
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -108,7 +108,7 @@
 		p.fleet.ConnectionRefused(e.Engine)
 	}
 	if err != nil {
-		p.log.Debug("probe failed", zap.String("engine", e.Engine), telemetry.Cause(err))
+		p.log.Debug("probe failed", zap.String("engine", e.Engine), telemetry.ErrorField(err))
 		return
 	}
 	p.fleet.ApplyLoadReport(e.Service, e.Engine, report)
@@ -164,7 +164,7 @@
 func (p *Prober) fetchHostList(ctx context.Context) {
 	var list List
 	if _, err := p.get(ctx, p.platformURL+"/hosts", &list); err != nil {
-		p.log.Debug("host list request failed", telemetry.Cause(err))
+		p.log.Debug("host list request failed", telemetry.ErrorField(err))
 		return
 	}
 	p.ApplyList(list, time.Now())
--- a/replica/mark.go
+++ b/replica/mark.go
@@ -64,7 +64,7 @@
 			return
 		case commit := <-s.pending:
 			if err := s.pair.Write(binary.LittleEndian.AppendUint64(nil, commit)); err != nil {
-				s.log.Warn("commit index not written, keeping the previous one", zap.Uint64("index", commit), telemetry.Cause(err))
+				s.log.Warn("commit index not written, keeping the previous one", zap.Uint64("index", commit), telemetry.ErrorField(err))
 			}
 		}
 		select {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -291,7 +291,7 @@
 			return nil
 		}
 		if failures++; failures == 1 {
-			r.opts.Log.Error("disk refuses writes", telemetry.Cause(err))
+			r.opts.Log.Error("disk refuses writes", telemetry.ErrorField(err))
 		}
 		select {
 		case <-ctx.Done():
@@ -386,7 +386,7 @@
 	if err := r.log.Replace(raft.State{Hard: r.node.Hard(), Snapshot: snapshot, Entries: r.node.Entries()}); err != nil {
 		// The durable log keeps all its entries. The next snapshot is due after another
 		// SnapshotEvery entries.
-		r.opts.Log.Warn("snapshot not written, keeping the longer log", telemetry.Cause(err))
+		r.opts.Log.Warn("snapshot not written, keeping the longer log", telemetry.ErrorField(err))
 	}
 	return nil
 }
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounds of a Bounded writer.
+// Bounds of a BoundedWriter writer.
 const (
 	// flushInterval is how long a line may stay in the buffer. Together with
 	// maxBufferedBytes it bounds the output to 1.25 MB per second.
@@ -18,10 +18,10 @@
 	maxBufferedBytes = 128 << 10
 )
 
-// Bounded is a writer for log lines that never blocks on a slow reader of the log. It
+// BoundedWriter is a writer for log lines that never blocks on a slow reader of the log. It
 // buffers the lines; Run flushes them. Lines that don't fit into the buffer before the
-// next flush are dropped and counted. NewBounded creates one.
-type Bounded struct {
+// next flush are dropped and counted. NewBoundedWriter creates one.
+type BoundedWriter struct {
 	out io.Writer
 
 	mu      sync.Mutex
@@ -30,13 +30,13 @@
 	dropped int
 }
 
-var _ zapcore.WriteSyncer = (*Bounded)(nil)
+var _ zapcore.WriteSyncer = (*BoundedWriter)(nil)
 
-// NewBounded returns a Bounded that flushes to out.
-func NewBounded(out io.Writer) *Bounded { return &Bounded{out: out} }
+// NewBoundedWriter returns a BoundedWriter that flushes to out.
+func NewBoundedWriter(out io.Writer) *BoundedWriter { return &BoundedWriter{out: out} }
 
 // Write implements io.Writer. line is one log line. It never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.buffer)+len(line) > maxBufferedBytes {
@@ -48,7 +48,7 @@
 }
 
 // Sync implements zapcore.WriteSyncer: it flushes the buffer and reports dropped lines.
-func (b *Bounded) Sync() error {
+func (b *BoundedWriter) Sync() error {
 	b.mu.Lock()
 	out, dropped := b.buffer, b.dropped
 	b.buffer, b.spare, b.dropped = b.spare[:0], nil, 0
@@ -67,7 +67,7 @@
 }
 
 // Run flushes the buffer at regular intervals until ctx ends, and then once more.
-func (b *Bounded) Run(ctx context.Context) error {
+func (b *BoundedWriter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -17,7 +17,7 @@
 
 func TestFullLogBufferDropsAndCountsLines(t *testing.T) {
 	var out bytes.Buffer
-	b := telemetry.NewBounded(&out)
+	b := telemetry.NewBoundedWriter(&out)
 	log, err := telemetry.NewLogger(b, "info")
 	must.NoError(t, err)
 	for range 5000 {
@@ -34,7 +34,7 @@
 
 func TestLoggingDoesNotBlockOnASlowReader(t *testing.T) {
 	stuck := make(chan struct{})
-	b := telemetry.NewBounded(writer(func(p []byte) (int, error) {
+	b := telemetry.NewBoundedWriter(writer(func(p []byte) (int, error) {
 		<-stuck
 		return len(p), nil
 	}))
@@ -64,8 +64,8 @@
 	var out bytes.Buffer
 	log, err := telemetry.NewLogger(&out, "info")
 	must.NoError(t, err)
-	log.Info("failed", telemetry.Cause(errors.Annotate(errors.New("no way"), "open")))
-	log.Info("fine", telemetry.Cause(nil))
+	log.Info("failed", telemetry.ErrorField(errors.Annotate(errors.New("no way"), "open")))
+	log.Info("fine", telemetry.ErrorField(nil))
 	must.StrContains(t, out.String(), `error="open: no way"`)
 	must.StrNotContains(t, out.String(), "errorVerbose")
 	must.StrNotContains(t, strings.Split(out.String(), "\n")[1], "error=")
--- a/telemetry/http.go
+++ b/telemetry/http.go
@@ -6,10 +6,10 @@
 	"go.uber.org/zap"
 )
 
-// HTTPErrors returns a logger for net/http's own errors, such as handlers that panic and
+// HTTPErrorLogger returns a logger for net/http's own errors, such as handlers that panic and
 // connections that can't be accepted. It logs each as a warning, so that it stands out
 // among the lines of routing decisions.
-func HTTPErrors(logger *zap.Logger) *log.Logger {
+func HTTPErrorLogger(logger *zap.Logger) *log.Logger {
 	named := logger.Named("http")
 	std, err := zap.NewStdLogAt(named, zap.WarnLevel)
 	if err != nil { // happens only for an unknown level
--- a/telemetry/http_test.go
+++ b/telemetry/http_test.go
@@ -17,7 +17,7 @@
 func TestHandlerPanicsAreLoggedAsWarnings(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("lost") }))
-	server.Config.ErrorLog = telemetry.HTTPErrors(zap.New(core))
+	server.Config.ErrorLog = telemetry.HTTPErrorLogger(zap.New(core))
 	server.Start()
 	_, err := http.Get(server.URL)
 	server.Close()
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -29,9 +29,9 @@
 	return zap.New(core), nil
 }
 
-// Cause returns the log field of an error, without the stack trace that juju/errors would
+// ErrorField returns the log field of an error, without the stack trace that juju/errors would
 // add to each line. For a nil error it adds no field.
-func Cause(err error) zap.Field {
+func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -72,9 +72,9 @@
 // predictionErrorBuckets holds the bucket bounds of prediction errors, in seconds.
 var predictionErrorBuckets = []float64{-1, -0.3, -0.1, -0.03, 0, 0.03, 0.1, 0.3, 1, 3}
 
-// Predicted records the error of a predicted time to the first byte of an engine's answer:
+// RecordPredictionError records the error of a predicted time to the first byte of an engine's answer:
 // later is the actual less the predicted time, negative for an early answer.
-func (m *Metrics) Predicted(service string, later time.Duration) {
+func (m *Metrics) RecordPredictionError(service string, later time.Duration) {
 	m.predictionError.Record(context.Background(), later.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 }
 
@@ -84,58 +84,58 @@
 // Close flushes and shuts down the instruments.
 func (m *Metrics) Close(ctx context.Context) error { return m.provider.Shutdown(ctx) }
 
-// Begin adds a request to those in flight, and returns the function that removes it.
-func (m *Metrics) Begin(service string) func() {
+// RequestStarted adds a request to those in flight, and returns the function that removes it.
+func (m *Metrics) RequestStarted(service string) func() {
 	attrs := metric.WithAttributes(attribute.String("service", service))
 	m.inFlight.Add(context.Background(), 1, attrs)
 	return func() { m.inFlight.Add(context.Background(), -1, attrs) }
 }
 
-// Request counts a request that has ended.
-func (m *Metrics) Request(service, outcome string) {
+// CountRequest counts a request that has ended.
+func (m *Metrics) CountRequest(service, outcome string) {
 	m.requests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("outcome", outcome)))
 }
 
-// Account counts a request of a client account that has ended.
-func (m *Metrics) Account(account, outcome string) {
+// CountAccountRequest counts a request of a client account that has ended.
+func (m *Metrics) CountAccountRequest(account, outcome string) {
 	m.accountRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("account", m.accountLabels.label(account)), attribute.String("outcome", outcome)))
 }
 
-// Attempt counts an attempt that has ended.
-func (m *Metrics) Attempt(service, outcome string) {
+// CountAttempt counts an attempt that has ended.
+func (m *Metrics) CountAttempt(service, outcome string) {
 	m.attempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("outcome", outcome)))
 }
 
-// First records the time to the first byte of an answer, and how much of it the request
+// RecordFirstByte records the time to the first byte of an answer, and how much of it the request
 // waited for a slot.
-func (m *Metrics) First(service string, total, queued time.Duration) {
+func (m *Metrics) RecordFirstByte(service string, total, queued time.Duration) {
 	attrs := metric.WithAttributes(attribute.String("service", service))
 	m.firstByte.Record(context.Background(), total.Seconds(), attrs)
 	m.queueTime.Record(context.Background(), queued.Seconds(), attrs)
 }
 
-// EngineCrash counts an engine that crashed, and this host's requests in flight on it.
-func (m *Metrics) EngineCrash(requests int) {
+// CountEngineCrash counts an engine that crashed, and this host's requests in flight on it.
+func (m *Metrics) CountEngineCrash(requests int) {
 	m.engineCrashes.Add(context.Background(), 1)
 	m.crashedRequests.Add(context.Background(), int64(requests))
 }
 
-// Limited counts an event of an engine that announces a rate limit.
-func (m *Metrics) Limited(engine, event string) {
+// CountLimitEvent counts an event of an engine that announces a rate limit.
+func (m *Metrics) CountLimitEvent(engine, event string) {
 	m.limitEvents.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engineLabels.label(engine)), attribute.String("event", event)))
 }
 
-// Pushback counts an event of an engine that asks for backoff or announces draining.
-func (m *Metrics) Pushback(engine, event string) {
+// CountPushbackEvent counts an event of an engine that asks for backoff or announces draining.
+func (m *Metrics) CountPushbackEvent(engine, event string) {
 	m.pushbackEvents.Add(context.Background(), 1, metric.WithAttributes(attribute.String("engine", m.engineLabels.label(engine)), attribute.String("event", event)))
 }
 
-// Change counts a decided change.
-func (m *Metrics) Change(outcome string) {
+// CountChange counts a decided change.
+func (m *Metrics) CountChange(outcome string) {
 	m.changes.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Revision records the revision of the effective configuration on this host.
-func (m *Metrics) Revision(revision int64) {
+// RecordRevision records the revision of the effective configuration on this host.
+func (m *Metrics) RecordRevision(revision int64) {
 	m.revision.Record(context.Background(), revision)
 }
--- a/telemetry/metrics_test.go
+++ b/telemetry/metrics_test.go
@@ -19,7 +19,7 @@
 	m, err := telemetry.NewMetrics()
 	must.NoError(t, err)
 	for i := range 1000 {
-		m.Account(fmt.Sprint("account-", i), "answered")
+		m.CountAccountRequest(fmt.Sprint("account-", i), "answered")
 	}
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -111,7 +111,7 @@
 	if errors.Is(err, raft.ErrMembershipChangeRejected) {
 		return
 	}
-	r.log.Info("membership change proposed", zap.String("why", reason), zap.Strings("voters", idStrings(next.Voters)), zap.Strings("learners", idStrings(next.Learners)), telemetry.Cause(err))
+	r.log.Info("membership change proposed", zap.String("why", reason), zap.Strings("voters", idStrings(next.Voters)), zap.Strings("learners", idStrings(next.Learners)), telemetry.ErrorField(err))
 }
 
 // idStrings converts replica identities to strings: zap.Strings accepts no slices of
