--- a/cmd/linenscale/read.go
+++ b/cmd/linenscale/read.go
@@ -66,7 +66,7 @@
 		}
 		if t.output == "table" {
 			fmt.Printf("revision %d, leader %s (reached: %t), term %d, pending change: %q\nvoters %v, learners %v\n\n",
-				status.Revision, status.Leader, status.Reached, status.Term, status.Pending, status.Voters, status.Learners)
+				status.Revision, status.Leader, status.LeaderReached, status.Term, status.Pending, status.Voters, status.Learners)
 		}
 		return t.print(status, []string{"REGION", "DATA CENTRE", "HOST", "READY", "REVISION", "IN FLIGHT", "KEYS", "AGE"}, hostRows(status.Hosts))
 	}}
@@ -146,7 +146,7 @@
 			return err
 		}
 		if t.output == "table" {
-			fmt.Printf("revision %d; lease: %q; this region: %q\n", e.Revision, e.Lease, e.Here)
+			fmt.Printf("revision %d; lease: %q; this region: %q\n", e.Revision, e.LeaseDenial, e.RegionDenial)
 			for _, r := range e.Regions {
 				fmt.Printf("region %s: permitted %t, cut off %t, load %d of %d, round trip %v\n", r.Region, r.Permitted, r.Cut, r.Load, r.Slots, r.RoundTrip.Round(time.Microsecond))
 			}
--- a/operator/server.go
+++ b/operator/server.go
@@ -79,32 +79,32 @@
 	return r
 }
 
-// Status is the answer to GET /v1/status. Without a leader, Reached is false and Hosts is
+// Status is the answer to GET /v1/status. Without a leader, LeaderReached is false and Hosts is
 // the cached state of the queried host.
 type Status struct {
-	Asked    agent.LeaseStatus   `json:"asked"` // the host that answers
-	Reached  bool                `json:"leader_reached"`
-	Leader   string              `json:"leader,omitempty"`
-	Term     uint64              `json:"term,omitempty"`
-	Voters   []string            `json:"voters,omitempty"`
-	Learners []string            `json:"learners,omitempty"`
-	Revision uint64              `json:"revision"`
-	Pending  string              `json:"pending,omitempty"`
-	Hosts    []leader.HostStatus `json:"hosts"`
+	QueriedHost   agent.LeaseStatus   `json:"asked"` // the host that answers
+	LeaderReached bool                `json:"leader_reached"`
+	Leader        string              `json:"leader,omitempty"`
+	Term          uint64              `json:"term,omitempty"`
+	Voters        []string            `json:"voters,omitempty"`
+	Learners      []string            `json:"learners,omitempty"`
+	Revision      uint64              `json:"revision"`
+	Pending       string              `json:"pending,omitempty"`
+	Hosts         []leader.HostStatus `json:"hosts"`
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
-	status := Status{Asked: s.agent.LeaseStatus()}
-	status.Revision = status.Asked.Revision
+	status := Status{QueriedHost: s.agent.LeaseStatus()}
+	status.Revision = status.QueriedHost.Revision
 	state, err := s.agent.State(ctx, leader.StateArgs{})
 	if err != nil {
 		status.Hosts = s.agent.HostStatuses()
 		reply(w, http.StatusOK, status)
 		return
 	}
-	status.Reached = true
+	status.LeaderReached = true
 	status.Leader, status.Term = voters.HostOf(state.Raft.Leader), state.Raft.Term
 	for _, id := range state.Raft.Members.Voters {
 		status.Voters = append(status.Voters, string(id))
@@ -210,11 +210,11 @@
 
 // Explanation is the answer to GET /v1/explain.
 type Explanation struct {
-	Revision uint64              `json:"revision"`
-	Lease    string              `json:"lease"` // why the host serves nothing, or empty
-	Here     string              `json:"here"`  // why the request isn't permitted in this region, or empty
-	Regions  []ExplainedRegion   `json:"regions"`
-	Engines  []route.EngineScore `json:"engines"` // the engines of this region
+	Revision     uint64              `json:"revision"`
+	LeaseDenial  string              `json:"lease"` // why the host serves nothing, or empty
+	RegionDenial string              `json:"here"`  // why the request isn't permitted in this region, or empty
+	Regions      []ExplainedRegion   `json:"regions"`
+	Engines      []route.EngineScore `json:"engines"` // the engines of this region
 }
 
 // ExplainedRegion is the state of a region, and whether the request is permitted there.
@@ -234,14 +234,14 @@
 	var out Explanation
 	guard, config, err := s.agent.Serving()
 	if err != nil {
-		out.Lease = err.Error()
+		out.LeaseDenial = err.Error()
 		reply(w, http.StatusOK, out)
 		return
 	}
 	out.Revision = config.Revision()
 	here := permit.Place{Region: s.agent.Host.Region, DataCentre: s.agent.Host.DataCentre}
 	if ok, why := guard.PermitsRegion(req, here); !ok {
-		out.Here = why
+		out.RegionDenial = why
 	}
 	for _, d := range s.agent.RegionDigests(req.Service) {
 		ok, _ := guard.PermitsRegion(req, permit.Place{Region: d.Region})
