--- a/agent/agent.go
+++ b/agent/agent.go
@@ -92,7 +92,7 @@
 func New(deps Deps) *Agent {
 	return &Agent{
 		Deps:          deps,
-		holder:        lease.New(deps.Host.Name, deps.Host.DataCentre, deps.Incarnation, deps.Settings.Control.Lease),
+		holder:        lease.New(deps.Host.Name, deps.Host.DataCentre, deps.Incarnation, deps.Settings.Control.LeaseTime),
 		changed:       make(chan struct{}),
 		excludedUntil: make(map[string]time.Time),
 		statuses:      make(map[string]receivedStatus),
@@ -262,7 +262,7 @@
 		Host: a.Host.Name, Seq: view.Seq, Revision: view.Config.Revision(), Pending: view.Pending != nil,
 		Serving: a.holder.MayServe(now), Established: a.holder.IsEstablished(), Lease: max(0, a.holder.ExpiresAt().Sub(now)), Leader: a.leader,
 	}
-	s.ByPeers = s.Serving && now.Sub(a.holder.LastLeaderRenewal()) > a.Settings.Control.Lease
+	s.ByPeers = s.Serving && now.Sub(a.holder.LastLeaderRenewal()) > a.Settings.Control.LeaseTime
 	return s
 }
 
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -30,7 +30,7 @@
 
 // reportInterval is the time between two reports. Several fit into a lease, so that one
 // lost message does not end it.
-func (a *Agent) reportInterval() time.Duration { return a.Settings.Control.Lease / 4 }
+func (a *Agent) reportInterval() time.Duration { return a.Settings.Control.LeaseTime / 4 }
 
 // peerRenewalInterval is the time between two checks whether the lease needs a renewal by
 // peers.
@@ -74,7 +74,7 @@
 func (a *Agent) reportOnce(ctx context.Context) bool {
 	sent := steady.Time()
 	report := a.ownReport(sent)
-	ctx, cancel := context.WithTimeout(ctx, a.Settings.Control.Lease/2)
+	ctx, cancel := context.WithTimeout(ctx, a.Settings.Control.LeaseTime/2)
 	defer cancel()
 	reply, err := a.forwardReports(ctx, leader.ReportArgs{Reports: []leader.Report{report}})
 	if err != nil {
@@ -139,7 +139,7 @@
 func (a *Agent) peerRenewalDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.ExpiresAt().Sub(steady.Time()) < a.Settings.Control.Lease/2
+	return a.holder.ExpiresAt().Sub(steady.Time()) < a.Settings.Control.LeaseTime/2
 }
 
 // requestPeerRenewal requests a renewal from the other hosts of the data centre and
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -113,7 +113,7 @@
 	if from.Region == to.Region {
 		return to.Control, localCallTimeout, true
 	}
-	return to.Object().Reach(to.Control), remoteCallTimeout, true
+	return to.Declaration().Reach(to.Control), remoteCallTimeout, true
 }
 
 // exclude excludes a host from the candidates for exclusionTime.
--- a/cmd/linenscaled/main.go
+++ b/cmd/linenscaled/main.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		fail(exitUsage, err)
 	}
-	if _, err := declare.LoadConfig(s.DeclarationsDir(), s.Objects()...); err != nil {
+	if _, err := declare.LoadConfig(s.DeclarationsDir(), s.HostDeclarations()...); err != nil {
 		fail(exitUsage, err)
 	}
 	if check {
@@ -87,8 +87,8 @@
 		fmt.Println("settings are sound")
 		return
 	}
-	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryPercent / 100)
+	if s.MemoryMiB > 0 {
+		debug.SetMemoryLimit(int64(s.MemoryMiB) << 20 * memoryPercent / 100)
 	}
 	debug.SetGCPercent(gcPercent)
 	out := telemetry.NewBoundedWriter(os.Stdout)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -159,7 +159,7 @@
 	if d.replicaID, err = b.resolveIdentity(ctx); err != nil {
 		return errors.Trace(err)
 	}
-	initial, err := declare.LoadConfig(d.settings.DeclarationsDir(), d.settings.Objects()...)
+	initial, err := declare.LoadConfig(d.settings.DeclarationsDir(), d.settings.HostDeclarations()...)
 	if err != nil {
 		return errors.Annotate(err, "declarations")
 	}
--- a/daemon/member_test.go
+++ b/daemon/member_test.go
@@ -75,8 +75,8 @@
 func (d *deployment) member(name, centre, ip string, role roster.Role) settings.Member {
 	m := settings.Member{
 		Name: name, Role: role, Region: dataCentres[centre], DataCentre: centre, IP: ip, Ports: []int{7660, 7675},
-		Seeds: d.seeds, Regions: dataCentres, Losses: 1, Heartbeat: 200 * time.Millisecond, StopTime: 4 * time.Second,
-		Listen: settings.Listen{Metrics: ip + ":9464"},
+		Seeds: d.seeds, Regions: dataCentres, MaxVoterLosses: 1, Heartbeat: 200 * time.Millisecond, StopTime: 4 * time.Second,
+		Listen: settings.ListenAddresses{Metrics: ip + ":9464"},
 	}
 	if role == roster.RoleControl {
 		m.DataDir = filepath.Join(d.dir, name)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -307,7 +307,7 @@
 	}}
 	switch {
 	case isStream(resp) && x.service.Type == declare.ServiceModel:
-		d.err = s.EngineClient.Stream(x.r.Context(), writer, resp, base, s.Limits.SlowCallerTime)
+		d.err = s.EngineClient.Stream(x.r.Context(), writer, resp, base, s.Limits.SlowCallerTimeout)
 	case x.service.Type == declare.ServiceModel:
 		d.err = s.deliverBuffered(writer, resp)
 	default:
@@ -381,7 +381,7 @@
 			source, observe = io.MultiReader(source, resp.Body), p.recorder.observe
 		}
 	}
-	_, err := relay.Copy(writer, source, s.Limits.SlowCallerTime, observe)
+	_, err := relay.Copy(writer, source, s.Limits.SlowCallerTimeout, observe)
 	if p.recorder != nil {
 		p.recorder.finish(resp, err)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -144,7 +144,7 @@
 func (s *Server) newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: s.Limits.HeaderTime,
+		ReadHeaderTimeout: s.Limits.HeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
 		ErrorLog:          telemetry.HTTPErrorLogger(s.Log),
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -122,7 +122,7 @@
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header,
 		ContentLength: int64(len(data)), Body: io.NopCloser(bytes.NewReader(data)), Close: true,
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(s.Limits.HeaderTime))
+	_ = conn.SetWriteDeadline(time.Now().Add(s.Limits.HeaderTimeout))
 	if resp.Write(conn) != nil {
 		return
 	}
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -182,7 +182,7 @@
 	must.NoError(t, err)
 	limits := settings.DefaultLimits
 	limits.RequestTime = 20 * time.Second
-	limits.SlowCallerTime = 500 * time.Millisecond
+	limits.SlowCallerTimeout = 500 * time.Millisecond
 	client := relay.New(&net.Dialer{Timeout: time.Second}, relay.Options{AnswerTimeout: limits.RequestTime})
 	t.Cleanup(client.Close)
 	var random atomic.Uint64
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -30,7 +30,7 @@
 
 // Run serves every stand-in until ctx ends.
 func Run(ctx context.Context, s settings.Settings, opts Options) error {
-	config, err := declare.LoadConfig(s.DeclarationsDir(), s.Objects()...)
+	config, err := declare.LoadConfig(s.DeclarationsDir(), s.HostDeclarations()...)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -24,7 +24,7 @@
 // Options configures a Leader.
 type Options struct {
 	ID            raft.ID
-	Timing        settings.Timing
+	Timing        settings.ControlTiming
 	Folder        disk.Folder
 	Send          func(raft.Envelope)
 	Clock         func() time.Time // must advance while the machine is suspended
@@ -69,7 +69,7 @@
 	}
 	var err error
 	l.replica, err = replica.Open(replica.Options{
-		ID: opts.ID, ElectionTimeout: opts.Timing.Election, HeartbeatInterval: opts.Timing.Heartbeat, Folder: opts.Folder,
+		ID: opts.ID, ElectionTimeout: opts.Timing.ElectionTimeout, HeartbeatInterval: opts.Timing.HeartbeatInterval, Folder: opts.Folder,
 		Machine: l.machine, Send: opts.Send, Clock: opts.Clock, SnapshotEvery: snapshotEntries, Log: opts.Log, Seed: opts.Seed,
 	})
 	l.tracker = control.NewAckTracker(l.timing())
@@ -77,7 +77,7 @@
 }
 
 func (l *Leader) timing() control.Timing {
-	return control.Timing{LeaseDuration: l.opts.Timing.Lease, DecideTimeout: l.opts.Timing.Decide}
+	return control.Timing{LeaseDuration: l.opts.Timing.LeaseTime, DecideTimeout: l.opts.Timing.DecideTimeout}
 }
 
 // Run runs the replica, the decisions and the replacement of lost voters until ctx ends.
--- a/settings/check.go
+++ b/settings/check.go
@@ -228,22 +228,22 @@
 		{"$.limits.header_bytes", l.HeaderBytes > 0},
 		{"$.limits.body_bytes", l.BodyBytes > 0},
 		{"$.limits.in_flight", l.InFlight > 0},
-		{"$.limits.header_time", l.HeaderTime > 0},
+		{"$.limits.header_time", l.HeaderTimeout > 0},
 		{"$.limits.request_time", l.RequestTime > 0},
-		{"$.limits.slow_caller_time", l.SlowCallerTime > 0},
+		{"$.limits.slow_caller_time", l.SlowCallerTimeout > 0},
 		{"$.limits.stop_time", l.StopTime > 0},
-		{"$.control.heartbeat", t.Heartbeat > 0},
-		{"$.control.decide", t.Decide > 0},
+		{"$.control.heartbeat", t.HeartbeatInterval > 0},
+		{"$.control.decide", t.DecideTimeout > 0},
 	}
 	for _, p := range positive {
 		if !p.ok {
 			c.addFault(p.path, "must be more than 0")
 		}
 	}
-	if t.Election < 3*t.Heartbeat {
+	if t.ElectionTimeout < 3*t.HeartbeatInterval {
 		c.addFault("$.control.election", "must be at least 3 heartbeats")
 	}
-	if t.Lease < 2*t.Heartbeat {
+	if t.LeaseTime < 2*t.HeartbeatInterval {
 		c.addFault("$.control.lease", "must be at least 2 heartbeats")
 	}
 }
--- a/settings/member.go
+++ b/settings/member.go
@@ -31,8 +31,8 @@
 	Bind string `yaml:"bind"`
 	// Ports holds the first and last port that hosts may use between themselves, the same
 	// on all hosts.
-	Ports  []int  `yaml:"ports"`
-	Listen Listen `yaml:"listen"`
+	Ports  []int           `yaml:"ports"`
+	Listen ListenAddresses `yaml:"listen"`
 	// Seeds holds the operators' addresses of some control hosts. Some of them may be
 	// down or out of date.
 	Seeds []string `yaml:"seeds"`
@@ -45,15 +45,15 @@
 	// Regions maps each data centre to its region.
 	Regions map[string]string `yaml:"regions"`
 	// Losses is how many voting control hosts may be down at the same time.
-	Losses int `yaml:"losses"`
+	MaxVoterLosses int `yaml:"losses"`
 	// Heartbeat is the interval at which engines renew their registration.
 	Heartbeat time.Duration `yaml:"heartbeat"`
 	// StopTime is how long the process may take to stop after SIGTERM, with its requests
 	// in flight.
 	StopTime time.Duration `yaml:"stop_time"`
-	// MemoryMB is the memory limit of the process, in units of 2^20 bytes; 0 for none.
-	MemoryMB int   `yaml:"memory_mb"`
-	Retries  Retry `yaml:"retries"`
+	// MemoryMiB is the memory limit of the process, in units of 2^20 bytes; 0 for none.
+	MemoryMiB int         `yaml:"memory_mb"`
+	Retries   RetryBudget `yaml:"retries"`
 	// KeysRevokedWithin bounds how long any host may still serve requests with a revoked
 	// key, counted from the acknowledgement of the catalog that removes the key; 0 for no
 	// bound.
@@ -71,9 +71,9 @@
 	Slack   float64       `yaml:"slack"`   // in the units of the allowances
 }
 
-// Listen holds the addresses that a host listens on, each an IP address and a port. An
+// ListenAddresses holds the addresses that a host listens on, each an IP address and a port. An
 // empty address disables the interface.
-type Listen struct {
+type ListenAddresses struct {
 	Callers   string `yaml:"callers"`   // requests
 	Ready     string `yaml:"ready"`     // the platform's readiness checks
 	Operators string `yaml:"operators"` // operators and engines
@@ -81,9 +81,9 @@
 	Metrics   string `yaml:"metrics"`   // the Prometheus scrape and the status pages
 }
 
-// Retry is the retry budget: it bounds the attempts after the first one of each request,
+// RetryBudget is the retry budget: it bounds the attempts after the first one of each request,
 // over all hosts together, within each window.
-type Retry struct {
+type RetryBudget struct {
 	Share  float64       `yaml:"share"` // of the requests in the window, as a fraction
 	Extra  float64       `yaml:"extra"` // attempts in each window beyond Share
 	Window time.Duration `yaml:"window"`
@@ -91,11 +91,11 @@
 
 // DefaultMember holds the values of settings that a member's file doesn't set.
 var DefaultMember = Member{
-	Losses:     1,
-	Heartbeat:  time.Second,
-	StopTime:   7 * time.Second,
-	Retries:    Retry{Share: 0.1, Extra: 10, Window: 10 * time.Second},
-	Allowances: Allowances{Window: 10 * time.Second, Overage: 0.1},
+	MaxVoterLosses: 1,
+	Heartbeat:      time.Second,
+	StopTime:       7 * time.Second,
+	Retries:        RetryBudget{Share: 0.1, Extra: 10, Window: 10 * time.Second},
+	Allowances:     Allowances{Window: 10 * time.Second, Overage: 0.1},
 }
 
 // ReadMember reads and checks a member's settings file. The error is a *FaultsError if the
@@ -115,7 +115,7 @@
 }
 
 func (m Member) withDefaults() Member {
-	setDefault(&m.Losses, DefaultMember.Losses)
+	setDefault(&m.MaxVoterLosses, DefaultMember.MaxVoterLosses)
 	setDefault(&m.Heartbeat, DefaultMember.Heartbeat)
 	setDefault(&m.StopTime, DefaultMember.StopTime)
 	setDefault(&m.Retries.Share, DefaultMember.Retries.Share)
@@ -171,8 +171,8 @@
 }
 
 // VoterCount returns the number of voting control hosts: with that many, a quorum remains
-// when Losses of them are down.
-func (m Member) VoterCount() int { return 2*m.Losses + 1 }
+// when MaxVoterLosses of them are down.
+func (m Member) VoterCount() int { return 2*m.MaxVoterLosses + 1 }
 
 // checkMember checks the values of a Member.
 func (c *checker) checkMember(m Member) {
--- a/settings/objects.go
+++ b/settings/objects.go
@@ -5,17 +5,17 @@
 
 import "github.com/linenscale/linenscale/declare"
 
-// Object returns the declaration of the host.
-func (h Host) Object() declare.Host {
+// Declaration returns the declaration of the host.
+func (h Host) Declaration() declare.Host {
 	return declare.Host{
 		Name: h.Name, DataCentre: h.DataCentre, Callers: h.Callers, Handover: h.Handover,
 		Control: h.Control, Operators: h.Operators, WideArea: h.WideArea,
 	}
 }
 
-// Objects returns the declarations of the regions, data centres and hosts of the
+// HostDeclarations returns the declarations of the regions, data centres and hosts of the
 // settings, each once.
-func (s Settings) Objects() []declare.Object {
+func (s Settings) HostDeclarations() []declare.Object {
 	var out []declare.Object
 	seen := map[declare.Ref]bool{}
 	add := func(object declare.Object) {
@@ -27,7 +27,7 @@
 	for _, h := range s.Hosts {
 		add(declare.Region{Name: h.Region})
 		add(declare.DataCentre{Name: h.DataCentre, Region: h.Region})
-		add(h.Object())
+		add(h.Declaration())
 	}
 	return out
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -30,10 +30,10 @@
 	// stores its data in a subfolder that has the host's name.
 	DataRoot string `yaml:"data_root"`
 	// Platform is the base URL of the platform's host list; empty for none.
-	Platform string `yaml:"platform"`
-	Hosts    []Host `yaml:"hosts"`
-	Limits   Limits `yaml:"limits"`
-	Control  Timing `yaml:"control"`
+	Platform string        `yaml:"platform"`
+	Hosts    []Host        `yaml:"hosts"`
+	Limits   Limits        `yaml:"limits"`
+	Control  ControlTiming `yaml:"control"`
 
 	dir string
 }
@@ -59,39 +59,39 @@
 
 // Limits bounds the requests that one process accepts. Sizes are in bytes.
 type Limits struct {
-	HeaderBytes    int           `yaml:"header_bytes"`
-	BodyBytes      int64         `yaml:"body_bytes"` // of a model request; plain uploads are streamed
-	InFlight       int           `yaml:"in_flight"`
-	HeaderTime     time.Duration `yaml:"header_time"`      // to read a request's headers
-	RequestTime    time.Duration `yaml:"request_time"`     // longest deadline of any request
-	SlowCallerTime time.Duration `yaml:"slow_caller_time"` // longest wait for a caller to read bytes
-	StopTime       time.Duration `yaml:"stop_time"`        // for requests in flight after SIGTERM
+	HeaderBytes       int           `yaml:"header_bytes"`
+	BodyBytes         int64         `yaml:"body_bytes"` // of a model request; plain uploads are streamed
+	InFlight          int           `yaml:"in_flight"`
+	HeaderTimeout     time.Duration `yaml:"header_time"`      // to read a request's headers
+	RequestTime       time.Duration `yaml:"request_time"`     // longest deadline of any request
+	SlowCallerTimeout time.Duration `yaml:"slow_caller_time"` // longest wait for a caller to read bytes
+	StopTime          time.Duration `yaml:"stop_time"`        // for requests in flight after SIGTERM
 }
 
-// Timing sets the intervals and timeouts of the control log and its leases.
-type Timing struct {
-	Heartbeat time.Duration `yaml:"heartbeat"` // between messages of the control log's leader
-	Election  time.Duration `yaml:"election"`  // shortest time without a leader before an election
-	Lease     time.Duration `yaml:"lease"`     // how long a host serves without a renewal
-	Decide    time.Duration `yaml:"decide"`    // longest wait for acknowledgements of a change
+// ControlTiming sets the intervals and timeouts of the control log and its leases.
+type ControlTiming struct {
+	HeartbeatInterval time.Duration `yaml:"heartbeat"` // between messages of the control log's leader
+	ElectionTimeout   time.Duration `yaml:"election"`  // shortest time without a leader before an election
+	LeaseTime         time.Duration `yaml:"lease"`     // how long a host serves without a renewal
+	DecideTimeout     time.Duration `yaml:"decide"`    // longest wait for acknowledgements of a change
 }
 
 // Default values of settings that the file doesn't set.
 var (
 	DefaultLimits = Limits{
-		HeaderBytes:    32 << 10,
-		BodyBytes:      16 << 20,
-		InFlight:       4096,
-		HeaderTime:     5 * time.Second,
-		RequestTime:    10 * time.Minute,
-		SlowCallerTime: 30 * time.Second,
-		StopTime:       20 * time.Second,
+		HeaderBytes:       32 << 10,
+		BodyBytes:         16 << 20,
+		InFlight:          4096,
+		HeaderTimeout:     5 * time.Second,
+		RequestTime:       10 * time.Minute,
+		SlowCallerTimeout: 30 * time.Second,
+		StopTime:          20 * time.Second,
 	}
-	DefaultTiming = Timing{
-		Heartbeat: 250 * time.Millisecond,
-		Election:  time.Second,
-		Lease:     2500 * time.Millisecond,
-		Decide:    5 * time.Second,
+	DefaultTiming = ControlTiming{
+		HeartbeatInterval: 250 * time.Millisecond,
+		ElectionTimeout:   time.Second,
+		LeaseTime:         2500 * time.Millisecond,
+		DecideTimeout:     5 * time.Second,
 	}
 )
 
@@ -149,15 +149,15 @@
 	setDefault(&l.HeaderBytes, DefaultLimits.HeaderBytes)
 	setDefault(&l.BodyBytes, DefaultLimits.BodyBytes)
 	setDefault(&l.InFlight, DefaultLimits.InFlight)
-	setDefault(&l.HeaderTime, DefaultLimits.HeaderTime)
+	setDefault(&l.HeaderTimeout, DefaultLimits.HeaderTimeout)
 	setDefault(&l.RequestTime, DefaultLimits.RequestTime)
-	setDefault(&l.SlowCallerTime, DefaultLimits.SlowCallerTime)
+	setDefault(&l.SlowCallerTimeout, DefaultLimits.SlowCallerTimeout)
 	setDefault(&l.StopTime, DefaultLimits.StopTime)
 	t := &s.Control
-	setDefault(&t.Heartbeat, DefaultTiming.Heartbeat)
-	setDefault(&t.Election, DefaultTiming.Election)
-	setDefault(&t.Lease, DefaultTiming.Lease)
-	setDefault(&t.Decide, DefaultTiming.Decide)
+	setDefault(&t.HeartbeatInterval, DefaultTiming.HeartbeatInterval)
+	setDefault(&t.ElectionTimeout, DefaultTiming.ElectionTimeout)
+	setDefault(&t.LeaseTime, DefaultTiming.LeaseTime)
+	setDefault(&t.DecideTimeout, DefaultTiming.DecideTimeout)
 	setDefault(&s.DataRoot, "data")
 	return s
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -169,10 +169,10 @@
 	h := &Host{Name: fmt.Sprintf("gateway%d-%d", region, number), Region: fmt.Sprintf("region%d", region), IsControl: number == 0, listenIP: listen}
 	h.settings = settings.Member{
 		Deployment: fmt.Sprintf("soak-%d-%s", w.Seed, w.publicNets[0].IP(1)), Role: roster.RoleGateway, Region: h.Region, DataCentre: fmt.Sprintf("dc%d", region), IP: public, Bind: listen,
-		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, Losses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
-		StopTime: 5 * time.Second, Retries: settings.Retry{Share: 0.2, Extra: 60, Window: 10 * time.Second},
+		Ports: []int{peerPort, lastPeerPort}, Seeds: w.seeds, FirstStart: true, Regions: w.regions, MaxVoterLosses: (w.Regions - 1) / 2, Heartbeat: heartbeat,
+		StopTime: 5 * time.Second, Retries: settings.RetryBudget{Share: 0.2, Extra: 60, Window: 10 * time.Second},
 		KeysRevokedWithin: keyRevocationBound, Allowances: allowanceBounds,
-		Listen: settings.Listen{Metrics: address(public, metricsPort)},
+		Listen: settings.ListenAddresses{Metrics: address(public, metricsPort)},
 	}
 	ports := []int{peerPort, peerPort + 1, callersPort, readyPort}
 	if h.IsControl {
