--- a/cmd/linenscale-lab/main.go
+++ b/cmd/linenscale-lab/main.go
@@ -23,7 +23,7 @@
 	serve := flaggy.NewSubcommand("serve")
 	serve.Description = "run every stand-in that the settings and declarations name"
 	path := ""
-	opts := lab.Options{Engine: standin.EngineOptions{PrefillByte: 2 * time.Microsecond}}
+	opts := lab.Options{Engine: standin.EngineOptions{PrefillPerByte: 2 * time.Microsecond}}
 	serve.String(&path, "s", "settings", "path of the YAML settings file")
 	serve.String(&opts.Control, "c", "control", "address that takes POST /cut?region=…&cut=true")
 	serve.Duration(&opts.Delay, "d", "delay", "one-way delay between regions")
--- a/daemon/cut_test.go
+++ b/daemon/cut_test.go
@@ -112,7 +112,7 @@
 	must.Eq(t, http.StatusOK, a.call("b1", "b", "before"))
 	ctx := context.Background()
 
-	wan.Cut("b", true)
+	wan.SetPartitioned("b", true)
 	for i := range 20 { // five seconds, longer than a lease
 		time.Sleep(250 * time.Millisecond)
 		must.Eq(t, http.StatusOK, a.call("b1", "b", fmt.Sprint("cut-", i)))
@@ -129,7 +129,7 @@
 	must.NoError(t, err)
 	must.Eq(t, control.StatusAccepted, out.Status, must.Sprint("the change doesn't affect region b"))
 
-	wan.Cut("b", false)
+	wan.SetPartitioned("b", false)
 	var retried control.Outcome
 	for i := range 30 { // until the leader receives reports from b again
 		retried, err = a.client().Change(ctx, declare.Change{ID: fmt.Sprint("only-a-", i), Base: 2, Puts: []declare.Envelope{selector("region=a")}})
@@ -139,11 +139,11 @@
 		}
 	}
 	must.Eq(t, control.StatusAccepted, retried.Status)
-	ran := portals["b"].Ran("forbidden")
+	ran := portals["b"].Runs("forbidden")
 	for range 20 {
 		for _, host := range []string{"b1", "b2"} {
 			must.NotEq(t, http.StatusOK, a.call(host, "b", "forbidden"), must.Sprint("an accepted change must be effective at once"))
 		}
 	}
-	must.Eq(t, 0, ran+portals["b"].Ran("forbidden"))
+	must.Eq(t, 0, ran+portals["b"].Runs("forbidden"))
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -188,7 +188,7 @@
 	must.Eq(t, 3, config.Revision(), must.Sprint("accepted changes must survive a restart of all hosts"))
 	_, replayed = a.order("h2", "k1")
 	must.True(t, replayed)
-	must.Eq(t, 1, portal.Ran("k1"))
+	must.Eq(t, 1, portal.Runs("k1"))
 }
 
 // TestVoterWithLostDiskIsReplacedAutomatically deletes a voter's data folder. The host
@@ -215,7 +215,7 @@
 	must.True(t, replaced)
 	_, replayed := a.order("h1", "k1")
 	must.True(t, replayed)
-	must.Eq(t, 1, portal.Ran("k1"))
+	must.Eq(t, 1, portal.Runs("k1"))
 }
 
 // TestHostOfAnotherAssociationIsRejected starts a host of another association at the
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -78,8 +78,8 @@
 	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(true)), true))
 	a := host.call(t, http.MethodPut, "/services/portal/drill/7", strings.Repeat("x", 3<<20), "Order", "o7")
 	must.Eq(t, http.StatusOK, a.status)
-	must.Eq(t, 3<<20, plain.Bytes())
-	must.Eq(t, 1, plain.Ran("o7"))
+	must.Eq(t, 3<<20, plain.BytesRead())
+	must.Eq(t, 1, plain.Runs("o7"))
 }
 
 func TestOpenAIClient(t *testing.T) {
@@ -111,8 +111,8 @@
 // answer or see that it failed.
 func TestBrokenAnswersAreVisible(t *testing.T) {
 	faults := []standin.Fault{
-		standin.FaultCut, standin.FaultDie, standin.FaultEnd, standin.FaultStall, standin.FaultRefuse, standin.FaultError,
-		standin.FaultTwice, standin.FaultCrossed, standin.FaultShortLen, standin.FaultGarbage, standin.FaultLate,
+		standin.FaultDisconnect, standin.FaultCrash, standin.FaultTruncate, standin.FaultStall, standin.FaultReject, standin.FaultError,
+		standin.FaultDuplicate, standin.FaultWrongAttempt, standin.FaultShortBody, standin.FaultGarbage, standin.FaultLate,
 	}
 	for _, fault := range faults {
 		for _, stream := range []bool{false, true} {
@@ -125,7 +125,7 @@
 				engine.SetFault(fault, -1)
 				a := host.call(t, http.MethodPost, chatPath, chatBody(stream), request.HeaderDeadline, "1s")
 				complete := isComplete(a, stream)
-				resumable := stream && (fault == standin.FaultCut || fault == standin.FaultTwice)
+				resumable := stream && (fault == standin.FaultDisconnect || fault == standin.FaultDuplicate)
 				must.Eq(t, resumable, complete, must.Sprintf("%+v", a))
 				if !complete {
 					must.True(t, a.err != nil || a.status >= 400, must.Sprintf("incomplete answer ended without an error: %+v", a))
@@ -137,7 +137,7 @@
 
 func TestStreamResumesAfterLastByte(t *testing.T) {
 	host, engine, _ := newHostWithEngines(t)
-	engine.SetFault(standin.FaultCut, 1)
+	engine.SetFault(standin.FaultDisconnect, 1)
 	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(true)), true))
 	must.Eq(t, 1, engine.Stats().Started, must.Sprint("the engine must run the request only once"))
 }
@@ -145,7 +145,7 @@
 func TestRequestRejectedByOneEngineRunsOnAnother(t *testing.T) {
 	first := standin.NewEngine(standin.EngineOptions{Name: "e1"})
 	second := standin.NewEngine(standin.EngineOptions{Name: "e2"})
-	first.SetFault(standin.FaultRefuse, -1)
+	first.SetFault(standin.FaultReject, -1)
 	host := newTestHost(t, "a", declarations(bothRegions, newEngine("e1", modelService, "da", serveLoopback(t, first)), newEngine("e2", modelService, "da", serveLoopback(t, second))))
 	for range 5 {
 		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
@@ -224,8 +224,8 @@
 	must.True(t, isComplete(a.call(t, http.MethodPost, chatPath, chatBody(false), request.HeaderHome, "b"), false))
 	upload := a.call(t, http.MethodPut, "/services/portal/x", strings.Repeat("y", 1<<20), request.HeaderHome, "b", "Order", "up")
 	must.Eq(t, http.StatusOK, upload.status)
-	must.Eq(t, 1<<20, plain.Bytes())
-	engine.SetFault(standin.FaultDie, -1)
+	must.Eq(t, 1<<20, plain.BytesRead())
+	engine.SetFault(standin.FaultCrash, -1)
 	broken := a.call(t, http.MethodPost, chatPath, chatBody(true), request.HeaderHome, "b")
 	must.True(t, broken.err != nil || broken.status >= 400, must.Sprintf("%+v", broken))
 }
@@ -241,7 +241,7 @@
 func TestSecondAnswerIsDiscarded(t *testing.T) {
 	host, _, plain := newHostWithEngines(t)
 	for i := range 20 {
-		plain.SetFault(standin.FaultTwice, 1)
+		plain.SetFault(standin.FaultDuplicate, 1)
 		first := host.call(t, http.MethodGet, fmt.Sprintf("/services/portal/first-%d", i), "")
 		must.StrContains(t, first.body, fmt.Sprintf("first-%d", i))
 		second := host.call(t, http.MethodGet, fmt.Sprintf("/services/portal/second-%d", i), "")
@@ -273,12 +273,12 @@
 }
 
 func TestUnrepeatableCallIsSentOnce(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.FaultDie, standin.FaultCut, standin.FaultStall} {
+	for _, fault := range []standin.Fault{standin.FaultCrash, standin.FaultDisconnect, standin.FaultStall} {
 		host, _, plain := newHostWithEngines(t)
 		plain.SetFault(fault, -1)
 		a := host.call(t, http.MethodPost, "/services/portal/orders", "order", "Order", "o1", request.HeaderDeadline, "500ms")
 		must.True(t, a.err != nil || a.header.Get(request.HeaderOutcome) == request.OutcomeValueUnknown, must.Sprintf("%s: %+v", fault, a))
-		must.Eq(t, 1, plain.Ran("o1"), must.Sprint(fault))
+		must.Eq(t, 1, plain.Runs("o1"), must.Sprint(fault))
 	}
 }
 
@@ -304,20 +304,20 @@
 	must.Eq(t, "true", again.header.Get("Idempotency-Replayed"))
 	other := order("three boards")
 	must.Eq(t, http.StatusConflict, other.status)
-	must.Eq(t, 1, plain.Ran("o1"))
+	must.Eq(t, 1, plain.Runs("o1"))
 	otherAccount := host.call(t, http.MethodPost, "/services/portal/orders", "two boards", request.HeaderIdempotencyKey, "k1", request.HeaderAccount, "other", "Order", "o2")
 	must.Eq(t, "", otherAccount.header.Get("Idempotency-Replayed"), must.Sprint("a key is valid for one account only"))
 }
 
 func TestKeyedCallWithBrokenAnswerStaysUnknown(t *testing.T) {
 	host, _, plain := newHostWithEngines(t)
-	plain.SetFault(standin.FaultDie, 1)
+	plain.SetFault(standin.FaultCrash, 1)
 	order := func() answer {
 		return host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1")
 	}
 	must.Eq(t, request.OutcomeValueUnknown, order().header.Get(request.HeaderOutcome))
 	must.Eq(t, request.OutcomeValueUnknown, order().header.Get(request.HeaderOutcome))
-	must.Eq(t, 1, plain.Ran("o1"))
+	must.Eq(t, 1, plain.Runs("o1"))
 }
 
 func TestKeyedCallIsNotRunWithoutItsHomeRegion(t *testing.T) {
@@ -325,7 +325,7 @@
 	host.keys.unavailable.Store(true)
 	a := host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1")
 	must.Eq(t, request.OutcomeValueNotRun, a.header.Get(request.HeaderOutcome))
-	must.Eq(t, 0, plain.Ran("o1"))
+	must.Eq(t, 0, plain.Runs("o1"))
 	host.keys.unavailable.Store(false)
 	must.Eq(t, http.StatusOK, host.call(t, http.MethodPost, "/services/portal/orders", "x", request.HeaderIdempotencyKey, "k1", "Order", "o1").status)
 }
@@ -368,7 +368,7 @@
 		})
 	}
 	must.Eq(t, 0, engine.Stats().Started)
-	must.Eq(t, 0, plain.Bytes())
+	must.Eq(t, 0, plain.BytesRead())
 }
 
 func TestTruncatedBodyIsNotRun(t *testing.T) {
@@ -458,7 +458,7 @@
 	first := order()
 	must.Eq(t, http.StatusOK, first.status, must.Sprintf("%+v", first))
 	must.Eq(t, first.body, order().body)
-	must.Eq(t, 1, plain.Ran("o1"))
+	must.Eq(t, 1, plain.Runs("o1"))
 	must.Eq(t, 1, b.handovers.Load())
 }
 
@@ -467,7 +467,7 @@
 // Retry-After.
 func TestEngineRateLimitIsRespected(t *testing.T) {
 	host, engine, _ := newHostWithEngines(t)
-	engine.SetLimit("0.25")
+	engine.SetRateLimit("0.25")
 	must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	a := host.call(t, http.MethodPost, chatPath, chatBody(false))
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
@@ -481,12 +481,12 @@
 // until the first backoff ends as Retry-After.
 func TestEngineInBackoffGetsNoRequests(t *testing.T) {
 	host, first, second := newHostWithTwoModelEngines(t)
-	first.SetRest("60")
+	first.SetBackoff("60")
 	for range 20 {
 		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
 	must.LessEq(t, 1, first.Stats().Refused)
-	second.SetRest("30.5")
+	second.SetBackoff("30.5")
 	must.Eq(t, http.StatusServiceUnavailable, host.call(t, http.MethodPost, chatPath, chatBody(false)).status)
 	last := host.call(t, http.MethodPost, chatPath, chatBody(false))
 	must.Eq(t, http.StatusServiceUnavailable, last.status)
@@ -502,7 +502,7 @@
 	for draining.Stats().Started == 0 {
 		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
-	draining.SetLeaving(true)
+	draining.SetDraining(true)
 	for range 20 {
 		must.True(t, isComplete(host.call(t, http.MethodPost, chatPath, chatBody(false)), false))
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -21,36 +21,36 @@
 // Fault is a fault that an engine or plain service shows on command.
 type Fault string
 
-// The faults. A plain service shows only FaultStall, FaultDie, FaultCut, FaultTwice and
+// The faults. A plain service shows only FaultStall, FaultCrash, FaultDisconnect, FaultDuplicate and
 // FaultLate.
 const (
-	FaultNone     Fault = ""
-	FaultCut      Fault = "cut"      // break the connection halfway; the stream can be resumed
-	FaultDie      Fault = "die"      // break the connection halfway; the stream can't be resumed
-	FaultEnd      Fault = "end"      // end a stream cleanly, but halfway and without its last event
-	FaultStall    Fault = "stall"    // stop sending halfway, with the connection open
-	FaultRefuse   Fault = "refuse"   // reject the request as not run
-	FaultError    Fault = "error"    // answer with status 500 after running the request
-	FaultLate     Fault = "late"     // answer after lateDelay
-	FaultTwice    Fault = "twice"    // send the answer twice
-	FaultCrossed  Fault = "crossed"  // answer with the ID of another attempt
-	FaultGarbage  Fault = "garbage"  // send data that isn't JSON
-	FaultShortLen Fault = "shortlen" // announce more bytes than are sent
+	FaultNone         Fault = ""
+	FaultDisconnect   Fault = "cut"      // break the connection halfway; the stream can be resumed
+	FaultCrash        Fault = "die"      // break the connection halfway; the stream can't be resumed
+	FaultTruncate     Fault = "end"      // end a stream cleanly, but halfway and without its last event
+	FaultStall        Fault = "stall"    // stop sending halfway, with the connection open
+	FaultReject       Fault = "refuse"   // reject the request as not run
+	FaultError        Fault = "error"    // answer with status 500 after running the request
+	FaultLate         Fault = "late"     // answer after lateDelay
+	FaultDuplicate    Fault = "twice"    // send the answer twice
+	FaultWrongAttempt Fault = "crossed"  // answer with the ID of another attempt
+	FaultGarbage      Fault = "garbage"  // send data that isn't JSON
+	FaultShortBody    Fault = "shortlen" // announce more bytes than are sent
 )
 
 // EngineOptions configures a stand-in engine. Zero fields take the defaults.
 type EngineOptions struct {
-	Name        string
-	Slots       int           // requests that run at once, in one batch; default 8
-	Queue       int           // requests that may wait for a slot; default 16
-	FirstToken  time.Duration // time to the first token if the whole prompt is cached; default 2ms
-	TokenTime   time.Duration // between tokens of a stream; default 1ms
-	Tokens      int           // length of an answer if the request names none; default 8
-	PrefillByte time.Duration // prefill time for each byte of the prompt that isn't cached
-	CacheBlocks int           // capacity of the prefix cache in prompt blocks; default 4096
-	ReportLag   time.Duration // age of the load in a load report
-	EventGap    float64       // share of cache events that are lost, 0 to 1
-	Seed        uint64
+	Name           string
+	Slots          int           // requests that run at once, in one batch; default 8
+	QueueLimit     int           // requests that may wait for a slot; default 16
+	FirstToken     time.Duration // time to the first token if the whole prompt is cached; default 2ms
+	TokenTime      time.Duration // between tokens of a stream; default 1ms
+	Tokens         int           // length of an answer if the request names none; default 8
+	PrefillPerByte time.Duration // prefill time for each byte of the prompt that isn't cached
+	CacheBlocks    int           // capacity of the prefix cache in prompt blocks; default 4096
+	ReportLag      time.Duration // age of the load in a load report
+	EventLoss      float64       // share of cache events that are lost, 0 to 1
+	Seed           uint64
 }
 
 // Engine is a stand-in model engine with a bounded queue, a fixed number of slots and a
@@ -120,8 +120,8 @@
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
-	if o.Queue == 0 {
-		o.Queue = 16
+	if o.QueueLimit == 0 {
+		o.QueueLimit = 16
 	}
 	if o.FirstToken == 0 {
 		o.FirstToken = 2 * time.Millisecond
@@ -152,23 +152,23 @@
 	e.router.ServeHTTP(w, r)
 }
 
-// SetLimit makes answers announce a rate limit in requests a second; "" for none.
-func (e *Engine) SetLimit(limit string) {
+// SetRateLimit makes answers announce a rate limit in requests a second; "" for none.
+func (e *Engine) SetRateLimit(limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limit = limit
 }
 
-// SetRest makes the engine reject all requests and ask for backoff, where rest is the
+// SetBackoff makes the engine reject all requests and ask for backoff, where rest is the
 // value of the Retry-After header. With "" it accepts requests again.
-func (e *Engine) SetRest(rest string) {
+func (e *Engine) SetBackoff(rest string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.backoff = rest
 }
 
-// SetLeaving sets whether answers announce that the engine drains.
-func (e *Engine) SetLeaving(leaving bool) {
+// SetDraining sets whether answers announce that the engine drains.
+func (e *Engine) SetDraining(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = leaving
@@ -216,7 +216,7 @@
 		e.reject(w, retryAfter)
 		return
 	}
-	if fault == FaultRefuse || !e.enqueue() {
+	if fault == FaultReject || !e.enqueue() {
 		e.reject(w, queueFullBackoff)
 		return
 	}
@@ -245,7 +245,7 @@
 func (e *Engine) enqueue() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.waiting >= e.opts.Queue {
+	if e.waiting >= e.opts.QueueLimit {
 		e.stats.Refused++
 		return false
 	}
@@ -296,7 +296,7 @@
 	e.stats.HitBlocks += hit
 	e.stats.Blocks += len(chain)
 	for _, block := range evicted {
-		if e.random.Float64() >= e.opts.EventGap {
+		if e.random.Float64() >= e.opts.EventLoss {
 			e.events = append(e.events, block)
 		}
 	}
@@ -304,7 +304,7 @@
 	if len(chain) > 0 {
 		coldBytes = len(prompt) * (len(chain) - hit) / len(chain)
 	}
-	return e.opts.FirstToken + time.Duration(coldBytes)*e.opts.PrefillByte
+	return e.opts.FirstToken + time.Duration(coldBytes)*e.opts.PrefillPerByte
 }
 
 // queueFullBackoff is the Retry-After of an engine whose queue is full, in seconds.
@@ -333,7 +333,7 @@
 	case FaultError:
 		http.Error(w, `{"error":{"message":"engine fault"}}`, http.StatusInternalServerError)
 		return
-	case FaultCrossed:
+	case FaultWrongAttempt:
 		w.Header().Set(relay.HeaderAttempt, "another-attempt")
 	case FaultLate:
 		if !sleep(r.Context(), lateDelay) {
@@ -363,9 +363,9 @@
 	switch fault {
 	case FaultGarbage:
 		body = append([]byte("\x00not json"), body...)
-	case FaultTwice:
+	case FaultDuplicate:
 		body = append(body, body...)
-	case FaultCut, FaultDie, FaultEnd, FaultShortLen:
+	case FaultDisconnect, FaultCrash, FaultTruncate, FaultShortBody:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		panic(http.ErrAbortHandler)
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -32,15 +32,15 @@
 	return &Plain{name: name, runs: make(map[string]int), serviceTime: serviceTime}
 }
 
-// Ran returns how often calls with this Order header, or this path, have run.
-func (p *Plain) Ran(order string) int {
+// Runs returns how often calls with this Order header, or this path, have run.
+func (p *Plain) Runs(order string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[order]
 }
 
-// Bytes returns the number of bytes of all request bodies read so far.
-func (p *Plain) Bytes() int64 {
+// BytesRead returns the number of bytes of all request bodies read so far.
+func (p *Plain) BytesRead() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes
@@ -98,7 +98,7 @@
 	case "/engine/load":
 		writeJSON(w, map[string]any{"running": 0, "waiting": 0, "at": time.Now()})
 	case "/engine/ran":
-		writeJSON(w, map[string]int{"ran": p.Ran(r.URL.Query().Get("order"))})
+		writeJSON(w, map[string]int{"ran": p.Runs(r.URL.Query().Get("order"))})
 	case "/engine/fault":
 		n, _ := strconv.Atoi(r.URL.Query().Get("n"))
 		p.SetFault(Fault(r.URL.Query().Get("fault")), n)
@@ -113,14 +113,14 @@
 	case FaultStall:
 		<-r.Context().Done()
 		return
-	case FaultDie:
+	case FaultCrash:
 		panic(http.ErrAbortHandler)
-	case FaultCut:
+	case FaultDisconnect:
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 		_, _ = io.WriteString(w, answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case FaultTwice:
+	case FaultDuplicate:
 		p.answerTwice(w, answer)
 		return
 	case FaultLate:
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -86,7 +86,7 @@
 		_ = http.NewResponseController(w).Flush()
 	}
 	e.forgetStream(id)
-	if fault == FaultTwice {
+	if fault == FaultDuplicate {
 		for _, event := range s.events {
 			_, _ = w.Write(event)
 		}
@@ -97,14 +97,14 @@
 // fault ends the answer, and panics with http.ErrAbortHandler to break the connection.
 func (e *Engine) injectStreamFault(w http.ResponseWriter, r *http.Request, id string, fault Fault, event []byte) bool {
 	switch fault {
-	case FaultCut, FaultDie, FaultShortLen:
-		if fault != FaultCut {
+	case FaultDisconnect, FaultCrash, FaultShortBody:
+		if fault != FaultDisconnect {
 			e.forgetStream(id)
 		}
 		_, _ = w.Write(event[:len(event)/2]) // break in the middle of an event
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case FaultEnd:
+	case FaultTruncate:
 		e.forgetStream(id)
 		return true
 	case FaultStall:
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -43,10 +43,10 @@
 	return &WAN{delay: delay, bandwidth: bandwidth, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
-// Cut partitions a region from the others, or ends the partition. Meanwhile, bytes on open
+// SetPartitioned partitions a region from the others, or ends the partition. Meanwhile, bytes on open
 // connections are held back and nothing is reset, as in a network that silently drops every
 // packet.
-func (n *WAN) Cut(region string, cut bool) {
+func (n *WAN) SetPartitioned(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned[region] = cut
@@ -183,6 +183,6 @@
 		http.Error(w, "cut must be true or false", http.StatusBadRequest)
 		return
 	}
-	n.Cut(r.URL.Query().Get("region"), cut)
+	n.SetPartitioned(r.URL.Query().Get("region"), cut)
 	w.WriteHeader(http.StatusNoContent)
 }
