--- a/cmd/linenscale-lab/load.go
+++ b/cmd/linenscale-lab/load.go
@@ -23,7 +23,7 @@
 
 func newLoadCommand() *loadCommand {
 	c := &loadCommand{command: flaggy.NewSubcommand("load"), opts: load.Options{
-		Rate: 50, Duration: 5 * time.Second, Tokens: 16, Prompt: 256, Stream: true, Parallel: 512,
+		Rate: 50, Duration: 5 * time.Second, AnswerTokens: 16, PromptBytes: 256, Stream: true, MaxInFlight: 512,
 	}}
 	c.command.Description = "send requests at a fixed rate, to an engine directly and through the gateway, and compare"
 	c.command.String(&c.direct, "d", "direct", "URL of an engine's completions; empty to leave out")
@@ -32,10 +32,10 @@
 	c.command.String(&c.opts.Home, "o", "home", "home region of the callers")
 	c.command.Float64(&c.opts.Rate, "r", "rate", "requests a second")
 	c.command.Duration(&c.opts.Duration, "t", "time", "how long to send")
-	c.command.Int(&c.opts.Tokens, "k", "tokens", "tokens of each answer")
-	c.command.Int(&c.opts.Prompt, "p", "prompt", "bytes of each prompt")
+	c.command.Int(&c.opts.AnswerTokens, "k", "tokens", "tokens of each answer")
+	c.command.Int(&c.opts.PromptBytes, "p", "prompt", "bytes of each prompt")
 	c.command.Bool(&c.opts.Stream, "e", "stream", "ask for event streams")
-	c.command.Int(&c.opts.Parallel, "c", "parallel", "most requests in flight")
+	c.command.Int(&c.opts.MaxInFlight, "c", "parallel", "most requests in flight")
 	c.command.Bool(&c.json, "j", "json", "print JSON")
 	return c
 }
--- a/load/load.go
+++ b/load/load.go
@@ -27,15 +27,15 @@
 
 // Options configures a load.
 type Options struct {
-	URL      string // completions endpoint
-	Model    string
-	Home     string  // home region of the requests
-	Rate     float64 // requests a second
-	Duration time.Duration
-	Tokens   int // length of each answer
-	Prompt   int // length of each prompt in bytes
-	Stream   bool
-	Parallel int // limit on the requests in flight; at the limit, requests are sent late
+	URL          string // completions endpoint
+	Model        string
+	Home         string  // home region of the requests
+	Rate         float64 // requests a second
+	Duration     time.Duration
+	AnswerTokens int // length of each answer
+	PromptBytes  int // length of each prompt in bytes
+	Stream       bool
+	MaxInFlight  int // limit on the requests in flight; at the limit, requests are sent late
 }
 
 // Result holds the measurements of one load. Times are in microseconds and cover only the
@@ -71,14 +71,14 @@
 // answers. It returns the measurements so far and an error if ctx ends.
 func Run(ctx context.Context, name string, opts Options) (Result, error) {
 	client := &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: opts.Parallel, MaxConnsPerHost: opts.Parallel, DisableCompression: true,
+		MaxIdleConnsPerHost: opts.MaxInFlight, MaxConnsPerHost: opts.MaxInFlight, DisableCompression: true,
 	}}
 	defer client.CloseIdleConnections()
 	rec := &recorder{first: hdrhistogram.New(1, maxRecorded, 3), total: hdrhistogram.New(1, maxRecorded, 3)}
 	body := opts.requestBody()
 	began := time.Now()
 	interval := time.Duration(float64(time.Second) / opts.Rate)
-	group := pool.New().WithMaxGoroutines(opts.Parallel)
+	group := pool.New().WithMaxGoroutines(opts.MaxInFlight)
 	for i := 0; ; i++ {
 		due := began.Add(time.Duration(i) * interval)
 		if due.Sub(began) >= opts.Duration || ctx.Err() != nil {
@@ -93,8 +93,8 @@
 }
 
 func (o Options) requestBody() []byte {
-	prompt := strings.Repeat("x", o.Prompt)
-	return fmt.Appendf(nil, `{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, o.Model, o.Stream, o.Tokens, prompt)
+	prompt := strings.Repeat("x", o.PromptBytes)
+	return fmt.Appendf(nil, `{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, o.Model, o.Stream, o.AnswerTokens, prompt)
 }
 
 func (r *recorder) sendRequest(ctx context.Context, client *http.Client, opts Options, body []byte, due time.Time) {
