--- a/catalog/account.go
+++ b/catalog/account.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Permits reports whether the account's requests may run in a region.
-func (a Account) Permits(region string) bool {
+// PermitsRegion reports whether the account's requests may run in a region.
+func (a Account) PermitsRegion(region string) bool {
 	return len(a.Homes) == 0 || slices.Contains(a.Homes, region)
 }
 
@@ -88,8 +88,8 @@
 // Accounts returns the catalog's accounts. The caller must not modify them.
 func (t *Table) Accounts() []Account { return t.catalog.Accounts }
 
-// AccountOf returns the account that a key belongs to.
-func (t *Table) AccountOf(key KeyDigest) (Account, bool) {
+// AccountByKey returns the account that a key belongs to.
+func (t *Table) AccountByKey(key KeyDigest) (Account, bool) {
 	i, ok := t.accountIndexByKey[key]
 	if !ok {
 		return Account{}, false
--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -34,14 +34,14 @@
 	must.False(t, catalog.Allowance{}.Limited())
 }
 
-func ExampleTable_AccountOf() {
+func ExampleTable_AccountByKey() {
 	urgent := 0
 	t := catalog.NewTable(catalog.Catalog{Accounts: []catalog.Account{
 		{Name: "club", Keys: []catalog.KeyDigest{catalog.DigestKey("k1")}, Priority: &urgent, Homes: []string{"lagos"}},
 	}})
-	a, ok := t.AccountOf(catalog.DigestKey("k1"))
-	fmt.Println(ok, a.Name, a.Permits("kano"), a.PriorityOn(catalog.Route{Priority: 2}))
-	_, ok = t.AccountOf(catalog.DigestKey("k2"))
+	a, ok := t.AccountByKey(catalog.DigestKey("k1"))
+	fmt.Println(ok, a.Name, a.PermitsRegion("kano"), a.PriorityOn(catalog.Route{Priority: 2}))
+	_, ok = t.AccountByKey(catalog.DigestKey("k2"))
 	fmt.Println(ok)
 	// Output:
 	// true club false 0
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -67,11 +67,11 @@
 		catalog.Route{Host: "a", Prefix: "/3/", Homes: []string{"abuja", "kano"}},
 		catalog.Route{Host: "b", Prefix: "/"},
 	)
-	must.Eq(t, map[string]int{"lagos": 1, "abuja": 2, "kano": 1}, routes.Homes("a"))
-	must.MapEmpty(t, routes.Homes("b"))
+	must.Eq(t, map[string]int{"lagos": 1, "abuja": 2, "kano": 1}, routes.BoundRoutesByRegion("a"))
+	must.MapEmpty(t, routes.BoundRoutesByRegion("b"))
 }
 
-// TestPickFollowsWeights calls Pick with each residue of the sum of the
+// TestPickFollowsWeights calls PickService with each residue of the sum of the
 // weights: each service must be drawn exactly as often as its weight.
 func TestPickFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -79,7 +79,7 @@
 		r := catalog.Route{Backends: []catalog.Backend{{Service: "a", Weight: a}, {Service: "b", Weight: b}}}
 		got := map[string]int{}
 		for random := range uint64(a + b) {
-			got[r.Pick(random)]++
+			got[r.PickService(random)]++
 		}
 		if got["a"] != a || got["b"] != b {
 			t.Fatalf("drew %v of %d and %d", got, a, b)
@@ -92,6 +92,6 @@
 		{Name: "reviews", Host: "board.example", Prefix: "/drc/", Kind: catalog.KindStream, Resumable: true, Homes: []string{"lagos"}},
 	}})
 	r, ok := t.Match("board.example", "/drc/17")
-	fmt.Println(ok, r.Name, r.Repeatable(), r.Permits("kano"))
+	fmt.Println(ok, r.Name, r.Repeatable(), r.PermitsRegion("kano"))
 	// Output: true reviews true false
 }
--- a/controller/entries.go
+++ b/controller/entries.go
@@ -20,7 +20,7 @@
 // for the host name, or none if this control host doesn't know enough gateways yet.
 func (c *Controller) Entries(name, region, dataCentre string) []string {
 	gateways := c.roster.Hosts(roster.RoleGateway)
-	homes := c.table.Load().Homes(name)
+	homes := c.table.Load().BoundRoutesByRegion(name)
 	chosen, why := ChooseGateways(gateways, homes, region, dataCentre)
 	if why == SameDataCentre || why == SameRegion {
 		return chosen
--- a/dispatch/transfer.go
+++ b/dispatch/transfer.go
@@ -33,7 +33,7 @@
 // time. The result is empty if no holder can serve the transfer, the service's engines
 // can't transfer, or the blocks are too small to be worth it.
 func (d *Dispatcher) transferSourceFor(p *pool, prompt Prompt, holders []*engine, now time.Time) transferSource {
-	if p.service.Model == nil || !p.service.Model.Copies() || prompt.sharedTokens() < minTransferTokens {
+	if p.service.Model == nil || !p.service.Model.CanTransferCache() || prompt.sharedTokens() < minTransferTokens {
 		return transferSource{}
 	}
 	hash := hashBlock(prompt.AffinityKey())
--- a/ingress/accounts.go
+++ b/ingress/accounts.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	age, fresh := s.KeyLease.checkFreshness(x.catalog.index)
-	x.account, x.keyValid = x.catalog.table.AccountOf(x.meta.Key)
+	x.account, x.keyValid = x.catalog.table.AccountByKey(x.meta.Key)
 	x.keyValid = x.keyValid && fresh
 	if x.route.Public {
 		if !x.keyValid {
--- a/ingress/receive.go
+++ b/ingress/receive.go
@@ -131,7 +131,7 @@
 	if !ok {
 		return &request.NotRun{Reason: request.ReasonUnknownService, Message: "no route for " + host + x.r.URL.Path}
 	}
-	x.route, x.service = route, route.Pick(s.Random())
+	x.route, x.service = route, route.PickService(s.Random())
 	return nil
 }
 
@@ -192,7 +192,7 @@
 // mayRunIn reports whether the request may run in a region. Both its route and its account
 // must permit the region.
 func (x *exchange) mayRunIn(region string) bool {
-	return x.route.Permits(region) && x.account.Permits(region)
+	return x.route.PermitsRegion(region) && x.account.PermitsRegion(region)
 }
 
 // logFields returns the fields that each log line about the request has, plus more.
