--- a/agent/duties.go
+++ b/agent/duties.go
@@ -306,9 +306,9 @@
 func (a *Agent) pingTargets() map[string]declare.Host {
 	view, _ := a.View()
 	hosts := map[string][]declare.Host{}
-	for _, h := range declare.Each[declare.Host](view.Config) {
+	for _, h := range declare.ObjectsOf[declare.Host](view.Config) {
 		region := view.Config.RegionOf(h.DataCentre)
-		if region != a.Host.Region && h.State != declare.HostGone {
+		if region != a.Host.Region && h.State != declare.HostTerminated {
 			hosts[region] = append(hosts[region], h)
 		}
 	}
@@ -322,7 +322,7 @@
 // pingOnce measures the round trip to a host and records the result for its region.
 func (a *Agent) pingOnce(ctx context.Context, region string, host declare.Host) {
 	sent := steady.Time()
-	err := a.ShortCalls.CallTimeout(ctx, pingTimeout, host.Reach(host.Control), "Host.Ping", Empty{}, &Empty{})
+	err := a.ShortCalls.CallTimeout(ctx, pingTimeout, host.AddressFromOtherRegion(host.Control), "Host.Ping", Empty{}, &Empty{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.links[region]
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -17,8 +17,8 @@
 func (a *Agent) KeyEndpoints(region string) []keyhome.Endpoint {
 	view, _ := a.View()
 	var leading, others []keyhome.Endpoint
-	for _, h := range declare.Each[declare.Host](view.Config) {
-		if view.Config.RegionOf(h.DataCentre) != region || h.State == declare.HostGone {
+	for _, h := range declare.ObjectsOf[declare.Host](view.Config) {
+		if view.Config.RegionOf(h.DataCentre) != region || h.State == declare.HostTerminated {
 			continue
 		}
 		place, ok := a.KeyEndpoint(h.Name)
--- a/agent/operate.go
+++ b/agent/operate.go
@@ -98,8 +98,8 @@
 	engine := object.(declare.Engine)
 	drain := DrainStatus{Engine: name, Stopping: engine.State == declare.EngineStopping}
 	region := view.Config.RegionOf(engine.DataCentre)
-	for _, host := range declare.Each[declare.Host](view.Config) {
-		if view.Config.RegionOf(host.DataCentre) != region || host.State == declare.HostGone {
+	for _, host := range declare.ObjectsOf[declare.Host](view.Config) {
+		if view.Config.RegionOf(host.DataCentre) != region || host.State == declare.HostTerminated {
 			continue
 		}
 		reply, err := a.queryInFlight(ctx, host.Name, name)
--- a/agent/peers.go
+++ b/agent/peers.go
@@ -130,8 +130,8 @@
 	defer a.mu.Unlock()
 	config := a.holder.View().Config
 	var out []declare.Host
-	for _, h := range declare.Each[declare.Host](config) {
-		if h.State == declare.HostGone || h.State == declare.HostLeaving {
+	for _, h := range declare.ObjectsOf[declare.Host](config) {
+		if h.State == declare.HostTerminated || h.State == declare.HostDraining {
 			continue
 		}
 		received, found := a.statuses[h.Name]
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -71,8 +71,8 @@
 // the lock.
 func (a *Agent) dataCentreHosts() []string {
 	var out []string
-	for _, h := range declare.Each[declare.Host](a.holder.View().Config) {
-		if h.DataCentre == a.Host.DataCentre && h.State != declare.HostGone {
+	for _, h := range declare.ObjectsOf[declare.Host](a.holder.View().Config) {
+		if h.DataCentre == a.Host.DataCentre && h.State != declare.HostTerminated {
 			out = append(out, h.Name)
 		}
 	}
@@ -98,7 +98,7 @@
 		if config.RegionOf(host.DataCentre) == a.Host.Region {
 			return host.Control, localCallTimeout, true
 		}
-		return host.Reach(host.Control), remoteCallTimeout, true
+		return host.AddressFromOtherRegion(host.Control), remoteCallTimeout, true
 	}
 	host, err := a.Settings.Host(name)
 	if err != nil {
@@ -113,7 +113,7 @@
 	if from.Region == to.Region {
 		return to.Control, localCallTimeout, true
 	}
-	return to.Declaration().Reach(to.Control), remoteCallTimeout, true
+	return to.Declaration().AddressFromOtherRegion(to.Control), remoteCallTimeout, true
 }
 
 // exclude excludes a host from the candidates for exclusionTime.
--- a/cmd/linenscale/change.go
+++ b/cmd/linenscale/change.go
@@ -32,7 +32,7 @@
 // plan is the change that would bring the configuration to a folder's content.
 type plan struct {
 	change declare.Change
-	loaded []declare.Loaded
+	loaded []declare.LoadedObject
 	lines  []string
 }
 
@@ -133,8 +133,8 @@
 	if err != nil {
 		return declare.Config{}, errors.Trace(err)
 	}
-	next, err := config.With(p.change)
-	return next, declare.Locate(err, p.loaded)
+	next, err := config.Apply(p.change)
+	return next, declare.WithPositions(err, p.loaded)
 }
 
 func deleteCommand() subcommand {
@@ -201,7 +201,7 @@
 }
 
 // send sends a change and tells what became of it, and what to do next.
-func (t *tool) send(ctx context.Context, change declare.Change, loaded []declare.Loaded) error {
+func (t *tool) send(ctx context.Context, change declare.Change, loaded []declare.LoadedObject) error {
 	out, err := t.client.Change(ctx, change)
 	if err != nil {
 		return errors.Annotatef(err, "the outcome of change %s isn't known; send it again with --id %s", change.ID, change.ID)
@@ -211,7 +211,7 @@
 		fmt.Printf("accepted as revision %d, in force everywhere\n", out.Revision)
 		return nil
 	case control.StatusInvalid:
-		if located := declare.Locate(&declare.FaultsError{Faults: out.Faults}, loaded); len(out.Faults) > 0 {
+		if located := declare.WithPositions(&declare.InvalidError{Faults: out.Faults}, loaded); len(out.Faults) > 0 {
 			fmt.Printf("not accepted, the configuration would not be sound:\n%v\n", located)
 			return errRejected
 		}
--- a/control/matters.go
+++ b/control/matters.go
@@ -61,7 +61,7 @@
 // addRegion adds the data centres that a region has in either configuration.
 func (i *impact) addRegion(name string) {
 	for _, config := range []declare.Config{i.before, i.after} {
-		for _, dc := range declare.Each[declare.DataCentre](config) {
+		for _, dc := range declare.ObjectsOf[declare.DataCentre](config) {
 			if dc.Region == name {
 				i.affected[dc.Name] = true
 			}
@@ -96,7 +96,7 @@
 	homeRegions := regionNames(i.before, i.after)
 	for _, config := range []declare.Config{i.before, i.after} {
 		rules, err := permit.Compile(config)
-		for _, dc := range declare.Each[declare.DataCentre](config) {
+		for _, dc := range declare.ObjectsOf[declare.DataCentre](config) {
 			place := permit.Place{Region: dc.Region, DataCentre: dc.Name}
 			if err != nil || rules.Fingerprint(service, place, homeRegions) != (permit.Rules{}).Fingerprint(service, place, homeRegions) {
 				i.affected[dc.Name] = true
@@ -108,7 +108,7 @@
 func (i *impact) allDataCentres() []string {
 	var out []string
 	for _, config := range []declare.Config{i.before, i.after} {
-		for _, dc := range declare.Each[declare.DataCentre](config) {
+		for _, dc := range declare.ObjectsOf[declare.DataCentre](config) {
 			out = append(out, dc.Name)
 		}
 	}
@@ -119,7 +119,7 @@
 func regionNames(configs ...declare.Config) []string {
 	var out []string
 	for _, config := range configs {
-		for _, r := range declare.Each[declare.Region](config) {
+		for _, r := range declare.ObjectsOf[declare.Region](config) {
 			out = append(out, r.Name)
 		}
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -97,7 +97,7 @@
 	v.Seq = e.Seq
 	switch e.Kind {
 	case EventProposed:
-		config, err := v.Config.With(*e.Change)
+		config, err := v.Config.Apply(*e.Change)
 		if err != nil {
 			return View{}, errors.Annotate(err, "proposed change does not apply to the view")
 		}
@@ -249,10 +249,10 @@
 	if p.Change.Base != revision {
 		return s.recordOutcome(p.Change.ID, digest, Outcome{Status: StatusStale, Revision: revision, Why: "the change was made from another revision", Since: s.History(p.Change.Base)})
 	}
-	next, err := s.view.Config.With(p.Change)
+	next, err := s.view.Config.Apply(p.Change)
 	if err != nil {
 		out := Outcome{Status: StatusInvalid, Revision: revision, Why: err.Error()}
-		var faults *declare.FaultsError
+		var faults *declare.InvalidError
 		if errors.As(err, &faults) {
 			out.Faults = faults.Faults
 		}
--- a/control/tally.go
+++ b/control/tally.go
@@ -212,8 +212,8 @@
 // HostsOf returns the names of a data centre's hosts, except those declared gone.
 func HostsOf(config declare.Config, dc string) []string {
 	var out []string
-	for _, h := range declare.Each[declare.Host](config) {
-		if h.DataCentre == dc && h.State != declare.HostGone {
+	for _, h := range declare.ObjectsOf[declare.Host](config) {
+		if h.DataCentre == dc && h.State != declare.HostTerminated {
 			out = append(out, h.Name)
 		}
 	}
@@ -222,5 +222,5 @@
 
 func isDeclaredGone(config declare.Config, host string) bool {
 	object, ok := config.Get(declare.Ref{Kind: declare.KindHost, Name: host})
-	return ok && object.(declare.Host).State == declare.HostGone
+	return ok && object.(declare.Host).State == declare.HostTerminated
 }
--- a/control/tally_test.go
+++ b/control/tally_test.go
@@ -132,7 +132,7 @@
 }
 
 func TestRemainingHostCanDeclareOthersGone(t *testing.T) {
-	s := stateWithPending(t, hostIn("b", "d", declare.HostGone), hostIn("c", "d", declare.HostGone))
+	s := stateWithPending(t, hostIn("b", "d", declare.HostTerminated), hostIn("c", "d", declare.HostTerminated))
 	view := s.View()
 	tracker, now := control.NewAckTracker(timing), time.Now()
 	reportCurrent(tracker, now, view, "a")
@@ -141,7 +141,7 @@
 }
 
 func TestLostDataCentreCanBeDeclaredGone(t *testing.T) {
-	s := stateWithPending(t, hostIn("z", "e", declare.HostGone))
+	s := stateWithPending(t, hostIn("z", "e", declare.HostTerminated))
 	tracker, now := control.NewAckTracker(timing), time.Now()
 	must.False(t, tracker.Decide(now, s.View()).Decided, must.Sprint("a lease may still run in the lost data centre"))
 	must.True(t, tracker.Decide(now.Add(timing.LeaseWait()), s.View()).Accept)
--- a/declare/check.go
+++ b/declare/check.go
@@ -12,11 +12,11 @@
 
 // Keys of the labels that the system itself sets on engines and requests.
 const (
-	KeyRegion     = "region"
-	KeyDataCentre = "data_centre"
-	KeyHome       = "home"
-	KeyAccount    = "account"
-	KeyClass      = "class"
+	LabelRegion     = "region"
+	LabelDataCentre = "data_centre"
+	LabelHome       = "home"
+	LabelAccount    = "account"
+	LabelClass      = "class"
 )
 
 // maxSlots bounds Engine.Slots. A larger number is assumed to be a typing error.
@@ -32,13 +32,13 @@
 // String returns "Kind/name: field: message".
 func (f Fault) String() string { return fmt.Sprintf("%s: %s: %s", f.Ref, f.Field, f.Message) }
 
-// FaultsError lists all validation errors of a configuration.
-type FaultsError struct {
+// InvalidError lists all validation errors of a configuration.
+type InvalidError struct {
 	Faults []Fault
 }
 
 // Error joins the faults with "; ".
-func (e *FaultsError) Error() string {
+func (e *InvalidError) Error() string {
 	parts := make([]string, len(e.Faults))
 	for i, f := range e.Faults {
 		parts[i] = f.String()
@@ -57,7 +57,7 @@
 // validate returns the faults of a configuration, sorted by object.
 func validate(c Config) []Fault {
 	ch := &checker{config: c, regions: map[string]bool{}}
-	for _, region := range Each[Region](c) {
+	for _, region := range ObjectsOf[Region](c) {
 		ch.regions[region.Name] = true
 	}
 	for _, object := range c.Objects() {
@@ -87,7 +87,7 @@
 		ch.checkAddress("handover", o.Handover)
 		ch.checkAddress("control", o.Control)
 		ch.checkAddress("operators", o.Operators)
-		ch.checkOneOf("state", string(o.State), "", string(HostServing), string(HostLeaving), string(HostGone))
+		ch.checkOneOf("state", string(o.State), "", string(HostServing), string(HostDraining), string(HostTerminated))
 	case Service:
 		ch.checkOneOf("type", string(o.Type), string(ServiceModel), string(ServicePlain))
 		ch.checkNotNegative("policy", o.Policy.Tail, o.Policy.Cost, o.Policy.Away)
@@ -106,7 +106,7 @@
 	if e.Slots < 1 || e.Slots > maxSlots {
 		ch.faultf("slots", "must be 1 to %d, is %d", maxSlots, e.Slots)
 	}
-	for _, key := range []string{KeyRegion, KeyDataCentre} {
+	for _, key := range []string{LabelRegion, LabelDataCentre} {
 		if e.Labels.Has(key) {
 			ch.faultf("labels", "%q is set by the system and can't be declared", key)
 		}
@@ -118,14 +118,14 @@
 	if match, err := labels.Parse(s.Match); err != nil {
 		ch.faultf("match", "%v", err)
 	} else {
-		ch.checkValuesDeclared("match", match, KeyHome, ch.regions)
+		ch.checkValuesDeclared("match", match, LabelHome, ch.regions)
 	}
 	allow, err := labels.Parse(s.Allow)
 	if err != nil {
 		ch.faultf("allow", "%v", err)
 		return
 	}
-	ch.checkValuesDeclared("allow", allow, KeyRegion, ch.regions)
+	ch.checkValuesDeclared("allow", allow, LabelRegion, ch.regions)
 }
 
 // checkValuesDeclared checks that every value that the expression lists for key is in
@@ -147,13 +147,13 @@
 // checkReachability checks that the Allow expression of every selector matches at least
 // one region. It considers only the requirements on the region label.
 func (ch *checker) checkReachability() {
-	for _, s := range Each[Selector](ch.config) {
+	for _, s := range ObjectsOf[Selector](ch.config) {
 		ch.current = s.Ref()
 		allow, err := labels.Parse(s.Allow)
 		if err != nil {
 			continue // checkSelector has reported the fault
 		}
-		regionSelector := restrictToKeys(allow, KeyRegion)
+		regionSelector := restrictToKeys(allow, LabelRegion)
 		if !ch.matchesAnyRegion(regionSelector) {
 			ch.faultf("allow", "%q leaves service %q no region", s.Allow, s.Service)
 		}
@@ -164,7 +164,7 @@
 // well if no regions are declared.
 func (ch *checker) matchesAnyRegion(selector labels.Selector) bool {
 	for region := range ch.regions {
-		if selector.Matches(NewLabels(Label{KeyRegion, region})) {
+		if selector.Matches(NewLabels(Label{LabelRegion, region})) {
 			return true
 		}
 	}
--- a/declare/config.go
+++ b/declare/config.go
@@ -62,8 +62,8 @@
 	return all
 }
 
-// Each returns all objects of type T, sorted by name.
-func Each[T Object](c Config) []T {
+// ObjectsOf returns all objects of type T, sorted by name.
+func ObjectsOf[T Object](c Config) []T {
 	var all []T
 	for _, object := range c.objects {
 		if typed, ok := object.(T); ok {
@@ -92,11 +92,11 @@
 	return object.(Service), true
 }
 
-// With returns the configuration after a change, at the next revision; c is not modified.
+// Apply returns the configuration after a change, at the next revision; c is not modified.
 // It applies deletes before puts. If the result is invalid, the whole change is rejected
-// with a *FaultsError that lists every fault. Deleting an object that doesn't exist is
+// with a *InvalidError that lists every fault. Deleting an object that doesn't exist is
 // errors.NotFound.
-func (c Config) With(change Change) (Config, error) {
+func (c Config) Apply(change Change) (Config, error) {
 	objects := make(map[Ref]Object, len(c.objects)+len(change.Puts))
 	for ref, object := range c.objects {
 		objects[ref] = object
@@ -112,7 +112,7 @@
 	}
 	next := Config{revision: c.revision + 1, objects: objects}
 	if faults := validate(next); len(faults) > 0 {
-		return Config{}, &FaultsError{Faults: faults}
+		return Config{}, &InvalidError{Faults: faults}
 	}
 	return next, nil
 }
--- a/declare/declare_test.go
+++ b/declare/declare_test.go
@@ -77,14 +77,14 @@
 }
 
 func TestChangeIsAtomic(t *testing.T) {
-	before, err := declare.Config{}.With(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "a"}}}})
+	before, err := declare.Config{}.Apply(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "a"}}}})
 	must.NoError(t, err)
-	_, err = before.With(declare.Change{Puts: []declare.Envelope{
+	_, err = before.Apply(declare.Change{Puts: []declare.Envelope{
 		{Object: declare.Region{Name: "b"}}, {Object: declare.DataCentre{Name: "d", Region: "nowhere"}},
 	}})
 	must.ErrorContains(t, err, `DataCentre/d: region: Region "nowhere" is not declared`)
 	must.SliceLen(t, 1, before.Objects())
-	_, err = before.With(declare.Change{Deletes: []declare.Ref{{Kind: declare.KindRegion, Name: "b"}}})
+	_, err = before.Apply(declare.Change{Deletes: []declare.Ref{{Kind: declare.KindRegion, Name: "b"}}})
 	must.True(t, errors.Is(err, errors.NotFound))
 }
 
@@ -98,7 +98,7 @@
 			}
 			change.Puts = append(change.Puts, declare.Envelope{Object: e})
 		}
-		config, err := declare.Config{}.With(change)
+		config, err := declare.Config{}.Apply(change)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,9 +138,9 @@
 	// Output: false gerber-review-14b
 }
 
-func ExampleConfig_With() {
-	first, _ := declare.Config{}.With(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "lagos"}}}})
-	second, _ := first.With(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "abuja"}}}})
+func ExampleConfig_Apply() {
+	first, _ := declare.Config{}.Apply(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "lagos"}}}})
+	second, _ := first.Apply(declare.Change{Puts: []declare.Envelope{{Object: declare.Region{Name: "abuja"}}}})
 	fmt.Println(first.Revision(), len(first.Objects()), second.Revision(), len(second.Objects()))
 	// Output: 1 1 2 2
 }
--- a/declare/file.go
+++ b/declare/file.go
@@ -26,8 +26,8 @@
 // String returns "file:line".
 func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Loaded is an object that was read from a file, and its position there.
-type Loaded struct {
+// LoadedObject is an object that was read from a file, and its position there.
+type LoadedObject struct {
 	Object   Object
 	Position Position
 }
@@ -44,13 +44,13 @@
 // ReadFolder reads the .yaml files of a folder in the order of their names. It reads all
 // of them even if some have errors, and returns all objects and all errors. An object that
 // is declared twice is an error.
-func ReadFolder(dir string) ([]Loaded, []error) {
+func ReadFolder(dir string) ([]LoadedObject, []error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil || len(names) == 0 {
 		return nil, []error{errors.NotFoundf("a .yaml file in %q", dir)}
 	}
 	sort.Strings(names)
-	var all []Loaded
+	var all []LoadedObject
 	var faults []error
 	for _, name := range names {
 		data, err := os.ReadFile(name)
@@ -66,7 +66,7 @@
 }
 
 // findDuplicates returns an error for each object whose kind and name were declared before.
-func findDuplicates(loaded []Loaded) []error {
+func findDuplicates(loaded []LoadedObject) []error {
 	seen := make(map[Ref]Position, len(loaded))
 	var faults []error
 	for _, l := range loaded {
@@ -83,12 +83,12 @@
 // Parse reads the YAML documents of one file. Each document has a kind and the fields of
 // that kind; an unknown field is an error. Parse skips documents with errors and returns
 // the objects of the others. name is the file name for error messages.
-func Parse(name string, data []byte) ([]Loaded, []error) {
+func Parse(name string, data []byte) ([]LoadedObject, []error) {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return nil, []error{newFileError(name, 0, err)}
 	}
-	var all []Loaded
+	var all []LoadedObject
 	var faults []error
 	for _, doc := range file.Docs {
 		if doc.Body == nil || doc.Body.Type() == ast.NullType {
@@ -104,10 +104,10 @@
 	return all, faults
 }
 
-func parseDoc(name string, body ast.Node) (Loaded, error) {
+func parseDoc(name string, body ast.Node) (LoadedObject, error) {
 	mapping, ok := body.(*ast.MappingNode)
 	if !ok {
-		return Loaded{}, newFileError(name, body.GetToken().Position.Line, errors.New("a declaration must be a mapping with a kind"))
+		return LoadedObject{}, newFileError(name, body.GetToken().Position.Line, errors.New("a declaration must be a mapping with a kind"))
 	}
 	line := firstLine(mapping)
 	kind, rest := splitKind(mapping)
@@ -115,9 +115,9 @@
 		return yaml.NewDecoder(bytes.NewReader(nil), yaml.Strict()).DecodeFromNode(rest, into)
 	})
 	if err != nil {
-		return Loaded{}, newFileError(name, line, err)
+		return LoadedObject{}, newFileError(name, line, err)
 	}
-	return Loaded{object, Position{name, line}}, nil
+	return LoadedObject{object, Position{name, line}}, nil
 }
 
 // firstLine returns the line on which a mapping begins. It uses the token of the first
--- a/declare/load.go
+++ b/declare/load.go
@@ -20,8 +20,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Puts wraps the loaded objects in envelopes, for Change.Puts.
-func Puts(loaded []Loaded) []Envelope {
+// Envelopes wraps the loaded objects in envelopes, for Change.Puts.
+func Envelopes(loaded []LoadedObject) []Envelope {
 	puts := make([]Envelope, len(loaded))
 	for i, l := range loaded {
 		puts[i] = Envelope{l.Object}
@@ -29,10 +29,10 @@
 	return puts
 }
 
-// Locate converts a *FaultsError into LoadErrors that begin with the file and line of the
+// WithPositions converts a *InvalidError into LoadErrors that begin with the file and line of the
 // object at fault, as far as loaded has it. It returns any other error unchanged.
-func Locate(err error, loaded []Loaded) error {
-	var faults *FaultsError
+func WithPositions(err error, loaded []LoadedObject) error {
+	var faults *InvalidError
 	if !errors.As(err, &faults) {
 		return err
 	}
@@ -58,13 +58,13 @@
 	if len(faults) > 0 {
 		return Config{}, LoadErrors(faults)
 	}
-	change := Change{Puts: Puts(loaded)}
+	change := Change{Puts: Envelopes(loaded)}
 	for _, object := range extra {
 		change.Puts = append(change.Puts, Envelope{object})
 	}
-	config, err := Config{}.With(change)
+	config, err := Config{}.Apply(change)
 	if err != nil {
-		return Config{}, Locate(err, loaded)
+		return Config{}, WithPositions(err, loaded)
 	}
 	return config, nil
 }
--- a/declare/object.go
+++ b/declare/object.go
@@ -57,11 +57,11 @@
 // The states of a host. The empty string means HostServing.
 const (
 	HostServing HostState = "serving"
-	// HostLeaving means that the host is draining.
-	HostLeaving HostState = "leaving"
-	// HostGone is an operator's assurance that the host has terminated and will not
+	// HostDraining means that the host is draining.
+	HostDraining HostState = "leaving"
+	// HostTerminated is an operator's assurance that the host has terminated and will not
 	// return under this name. The host no longer counts in any majority.
-	HostGone HostState = "gone"
+	HostTerminated HostState = "gone"
 )
 
 // Host is an entry host: it runs one linenscaled process.
@@ -284,9 +284,9 @@
 	return l
 }
 
-// Reach returns the address at which hosts of other regions connect to address, which is
+// AddressFromOtherRegion returns the address at which hosts of other regions connect to address, which is
 // one of the host's own: WideArea with the same port if WideArea is set, else address.
-func (h Host) Reach(address string) string {
+func (h Host) AddressFromOtherRegion(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if h.WideArea == "" || err != nil {
 		return address
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -72,7 +72,7 @@
 	defer f.mu.Unlock()
 	f.setLimitSharers(config)
 	byService := map[string][]declare.Engine{}
-	for _, e := range declare.Each[declare.Engine](config) {
+	for _, e := range declare.ObjectsOf[declare.Engine](config) {
 		if isHeld != nil && isHeld(e.Name) {
 			e = e.WithState(declare.EngineStopping)
 		}
@@ -80,7 +80,7 @@
 			byService[e.Service] = append(byService[e.Service], e)
 		}
 	}
-	for _, s := range declare.Each[declare.Service](config) {
+	for _, s := range declare.ObjectsOf[declare.Service](config) {
 		p, ok := f.pools[s.Name]
 		if !ok {
 			p = newPool(s.Name)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -29,7 +29,7 @@
 	for _, e := range engines {
 		change.Puts = append(change.Puts, declare.Envelope{Object: e})
 	}
-	c, err := declare.Config{}.With(change)
+	c, err := declare.Config{}.Apply(change)
 	must.NoError(t, err)
 	return c
 }
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -14,8 +14,8 @@
 // and so divide limits alike. f.mu must be held.
 func (f *Fleet) setLimitSharers(config declare.Config) {
 	f.limitSharers = f.limitSharers[:0]
-	for _, h := range declare.Each[declare.Host](config) {
-		if h.State != declare.HostGone && h.State != declare.HostLeaving && config.RegionOf(h.DataCentre) == f.region {
+	for _, h := range declare.ObjectsOf[declare.Host](config) {
+		if h.State != declare.HostTerminated && h.State != declare.HostDraining && config.RegionOf(h.DataCentre) == f.region {
 			f.limitSharers = append(f.limitSharers, h.Name)
 		}
 	}
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -31,7 +31,7 @@
 	for _, e := range engines {
 		change.Puts = append(change.Puts, declare.Envelope{Object: e})
 	}
-	config, err := declare.Config{}.With(change)
+	config, err := declare.Config{}.Apply(change)
 	must.NoError(t, err)
 	var fleets []*fleet.Fleet
 	for i, name := range names {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -150,7 +150,7 @@
 }
 
 func (s *Server) regionPermitted(x *exchange, region string) bool {
-	for _, dc := range declare.Each[declare.DataCentre](x.config) {
+	for _, dc := range declare.ObjectsOf[declare.DataCentre](x.config) {
 		if dc.Region != region {
 			continue
 		}
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -36,7 +36,7 @@
 	sentAt := time.Now()
 	resp, err := s.HandoverClient.Send(x.r.Context(), relay.Call{
 		Method:        x.r.Method,
-		URL:           "http://" + host.Reach(host.Handover) + x.r.URL.RequestURI(),
+		URL:           "http://" + host.AddressFromOtherRegion(host.Handover) + x.r.URL.RequestURI(),
 		Header:        header,
 		Body:          p.reader(),
 		BodyLength:    p.length,
--- a/gateway/system_test.go
+++ b/gateway/system_test.go
@@ -171,7 +171,7 @@
 		change.Puts = append(change.Puts, declare.Envelope{Object: o})
 	}
 	var err error
-	host.config, err = declare.Config{}.With(change)
+	host.config, err = declare.Config{}.Apply(change)
 	must.NoError(t, err)
 	rules, err := permit.Compile(host.config)
 	must.NoError(t, err)
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -140,7 +140,7 @@
 			change.Puts = append(change.Puts, declare.Envelope{Object: declare.Engine{Name: e.name, Service: service, DataCentre: "dc-" + r.Name, Address: "127.0.0.1:1", Slots: opts.Slots}})
 		}
 	}
-	config, err := declare.Config{}.With(change)
+	config, err := declare.Config{}.Apply(change)
 	if err != nil {
 		panic("bench: " + err.Error())
 	}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -100,7 +100,7 @@
 	for e := range engines {
 		put(engine(e, services, 0))
 	}
-	return declare.Config{}.With(c)
+	return declare.Config{}.Apply(c)
 }
 
 func engine(e, services int, cost float64) declare.Engine {
@@ -156,7 +156,7 @@
 		return 0, err
 	}
 	change := declare.Change{Puts: []declare.Envelope{{Object: engine(1, 25, 2)}}}
-	return best(func() { _, err = c.With(change) }), errors.Trace(err)
+	return best(func() { _, err = c.Apply(change) }), errors.Trace(err)
 }
 
 func compileTime(n int) (float64, error) {
@@ -176,7 +176,7 @@
 		one.Service, one.DataCentre = "s", "d"
 		c.Puts = append(c.Puts, declare.Envelope{Object: one})
 	}
-	full, err := declare.Config{}.With(c)
+	full, err := declare.Config{}.Apply(c)
 	if err != nil {
 		return 0, err
 	}
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -37,7 +37,7 @@
 	platform := standin.NewPlatform(opts.PlatformLag, time.Now)
 	wan := standin.NewWAN(opts.Delay, width.New(width.Usual), links(s), regionOf(s))
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	for i, e := range declare.Each[declare.Engine](config) {
+	for i, e := range declare.ObjectsOf[declare.Engine](config) {
 		ip, _, _ := net.SplitHostPort(e.Address)
 		platform.Set(ip, "live")
 		handler := back(config, e, opts, uint64(i))
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -278,7 +278,7 @@
 	old := s.hosts[index]
 	old.up = false
 	goneHost := newHost(old.name, old.dc)
-	goneHost.State = declare.HostGone
+	goneHost.State = declare.HostTerminated
 	name := fmt.Sprintf("%s-%d", old.dc, s.changeCount)
 	c.Puts = append(c.Puts, declare.Envelope{Object: goneHost}, declare.Envelope{Object: newHost(name, old.dc)})
 	h := &host{name: name, dc: old.dc, rate: old.rate}
@@ -413,7 +413,7 @@
 		{Object: newHost("b", "d")},
 		{Object: newHost("c", "d")},
 	}}
-	config, err := declare.Config{}.With(change)
+	config, err := declare.Config{}.Apply(change)
 	must.NoError(t, err)
 	return control.View{Seq: seq, Config: config}
 }
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -43,10 +43,10 @@
 // names the selector whose Match or Allow expression can't be parsed.
 func Compile(config declare.Config) (Rules, error) {
 	rules := Rules{revision: config.Revision(), rulesByService: map[string][]rule{}}
-	for _, s := range declare.Each[declare.Service](config) {
+	for _, s := range declare.ObjectsOf[declare.Service](config) {
 		rules.rulesByService[s.Name] = nil
 	}
-	for _, s := range declare.Each[declare.Selector](config) {
+	for _, s := range declare.ObjectsOf[declare.Selector](config) {
 		compiled, err := compileSelector(s)
 		if err != nil {
 			return Rules{}, errors.Annotatef(err, "selector %q", s.Name)
@@ -68,7 +68,7 @@
 	compiled := rule{name: s.Name, match: match, placeSelector: labels.NewSelector(), engineSelector: labels.NewSelector()}
 	requirements, _ := allow.Requirements()
 	for _, requirement := range requirements {
-		if requirement.Key() == declare.KeyRegion || requirement.Key() == declare.KeyDataCentre {
+		if requirement.Key() == declare.LabelRegion || requirement.Key() == declare.LabelDataCentre {
 			compiled.placeSelector = compiled.placeSelector.Add(requirement)
 			continue
 		}
@@ -78,7 +78,7 @@
 }
 
 // Place is the location of an engine or a host. As labels.Labels, it has the keys
-// declare.KeyRegion and declare.KeyDataCentre.
+// declare.LabelRegion and declare.LabelDataCentre.
 type Place struct {
 	Region     string
 	DataCentre string
@@ -87,9 +87,9 @@
 // Lookup implements labels.Labels.
 func (p Place) Lookup(key string) (string, bool) {
 	switch key {
-	case declare.KeyRegion:
+	case declare.LabelRegion:
 		return p.Region, true
-	case declare.KeyDataCentre:
+	case declare.LabelDataCentre:
 		return p.DataCentre, true
 	default:
 		return "", false
@@ -116,11 +116,11 @@
 
 func (l requestLabels) Lookup(key string) (string, bool) {
 	switch key {
-	case declare.KeyHome:
+	case declare.LabelHome:
 		return l.req.HomeRegion, true
-	case declare.KeyAccount:
+	case declare.LabelAccount:
 		return l.req.Account, true
-	case declare.KeyClass:
+	case declare.LabelClass:
 		return string(l.req.Class), true
 	default:
 		return "", false
@@ -251,7 +251,7 @@
 	for _, rule := range rs.rulesByService[service] {
 		requirements, _ := rule.match.Requirements()
 		for _, requirement := range requirements {
-			if requirement.Key() == declare.KeyAccount {
+			if requirement.Key() == declare.LabelAccount {
 				accounts = append(accounts, requirement.Values().List()...)
 			}
 		}
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -27,7 +27,7 @@
 		e := declare.Engine{Name: string(rune('a' + i)), Service: "s", DataCentre: "d", Address: ip + ":80", Slots: 1}
 		change.Puts = append(change.Puts, declare.Envelope{Object: e})
 	}
-	config, err := declare.Config{}.With(change)
+	config, err := declare.Config{}.Apply(change)
 	must.NoError(t, err)
 	f := fleet.New("h", "r", func() time.Time { return now }, route.Random{}, 1)
 	f.ApplyConfig(config, nil)
