--- a/daemon/member_test.go
+++ b/daemon/member_test.go
@@ -163,7 +163,7 @@
 // Result.
 func (d *deployment) send(centre, path string, model bool) platformtest.Result {
 	d.t.Helper()
-	result, err := d.caller.Do(context.Background(), d.hosts["front-"+centre].settings.Listen.Callers, platformtest.Request{Host: "h", Path: path, Model: model})
+	result, err := d.caller.Do(context.Background(), d.hosts["front-"+centre].settings.Listen.Callers, platformtest.Request{Host: "h", Path: path, IsPrompt: model})
 	if err != nil {
 		return platformtest.Result{}
 	}
@@ -176,7 +176,7 @@
 	var result platformtest.Result
 	d.eventually("served", func() bool {
 		result = d.send(centre, path, model)
-		return result.Status == http.StatusOK && result.Whole
+		return result.Status == http.StatusOK && result.Complete
 	})
 	return result
 }
@@ -204,7 +204,7 @@
 func TestDeploymentServesThroughOperations(t *testing.T) {
 	d := newDeployment(t)
 	early := d.send("ikeja", "/p/1", false)
-	must.True(t, early.Status == 0 || early.Promised(), must.Sprint("no declaration was accepted yet"))
+	must.True(t, early.Status == 0 || early.GuaranteesNotRun(), must.Sprint("no declaration was accepted yet"))
 	portal := map[string]*platformtest.Engine{}
 	for centre := range dataCentres {
 		portal[centre] = d.engine("portal", centre, 0)
@@ -213,7 +213,7 @@
 	d.declare(portalRoute, modelRoute, boundRoute)
 	for centre := range dataCentres {
 		must.NotEq(t, "", d.awaitServed(centre, "/p/1", false).Engine)
-		must.Eq(t, platformtest.Event(1), d.awaitServed(centre, "/m/1", true).Body[:len(platformtest.Event(1))])
+		must.Eq(t, platformtest.EventText(1), d.awaitServed(centre, "/m/1", true).Body[:len(platformtest.EventText(1))])
 		must.Eq(t, portal["wuse"].ID, d.awaitServed(centre, "/b/1", false).Engine, must.Sprint("the route's home region is abuja"))
 	}
 	must.Eq(t, http.StatusNotFound, d.send("ikeja", "/none/", false).Status)
@@ -261,7 +261,7 @@
 
 	t.Log("a draining engine gets no request once its drain is acknowledged")
 	portal["ikeja"].SetDraining()
-	d.eventually("acknowledged", func() bool { return !portal["ikeja"].DrainAcked().IsZero() })
+	d.eventually("acknowledged", func() bool { return !portal["ikeja"].DrainAckedAt().IsZero() })
 	for range 10 {
 		must.NotEq(t, portal["ikeja"].ID, d.send("ikeja", "/p/1", false).Engine)
 	}
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -64,8 +64,8 @@
 	group.Go(func(ctx context.Context) error { return server.Serve(ctx, listener) })
 	group.Go(sender.Run)
 	group.Go(c.Run)
-	m.serve(group, m.settings.Listen.Operators, platform.NewOperators(c, m.log))
-	m.serve(group, m.settings.Listen.Directory, platform.NewDirectory(c))
+	m.serve(group, m.settings.Listen.Operators, platform.NewControlHandler(c, m.log))
+	m.serve(group, m.settings.Listen.Directory, platform.NewDirectoryHandler(c))
 	group.Go(func(context.Context) error {
 		defer stopBackground()
 		<-ctx.Done()
@@ -149,7 +149,7 @@
 	}
 	group.Go(func(ctx context.Context) error { return datagrams.Run(ctx, dispatcher.Receive) })
 	group.Go(func(ctx context.Context) error { return m.sendLoadReports(ctx, dispatcher, datagrams) })
-	m.serve(group, m.settings.Listen.Ready, platform.NewReady(server.Ready))
+	m.serve(group, m.settings.Listen.Ready, platform.NewReadinessHandler(server.Ready))
 	m.serve(group, m.settings.Listen.Metrics, withStatusPages(m.metrics.Handler(), meter, dispatcher))
 	group.Go(func(context.Context) error {
 		defer stopBackground()
--- a/ingress/accounts_test.go
+++ b/ingress/accounts_test.go
@@ -38,7 +38,7 @@
 
 // requestWithKeys returns a request that carries API keys.
 func requestWithKeys(path string, keys ...string) platformtest.Request {
-	return platformtest.Request{Path: path, Header: platformtest.Showing(keys...)}
+	return platformtest.Request{Path: path, Header: platformtest.HeaderWithKeys(keys...)}
 }
 
 // TestKeysAreRequired checks the status for valid, missing and invalid keys, and that the
@@ -64,7 +64,7 @@
 			g, engines := setUp(t)
 			g.server.Regions = []string{"lagos", "kano"}
 			declareAccounts(g, accounts)
-			platformtest.Forge(c.request.Header, "forged", "again")
+			platformtest.ForgeAccounts(c.request.Header, "forged", "again")
 			result := do(t, g, c.request)
 			must.Eq(t, c.status, result.Status)
 			arrived := 0
@@ -147,7 +147,7 @@
 	declareAccounts(kano, accounts[:1])
 	kano.server.ApplyState(ledger.State{Index: 9, Catalog: catalog.Catalog{Version: 9, Routes: testCatalog.Routes, Services: testCatalog.Services, Accounts: accounts[:1]}})
 	result = do(t, lagos, requestWithKeys("/safe/1", "k-away"))
-	must.True(t, result.Promised(), must.Sprint("the key is revoked in the other gateway's catalog"))
+	must.True(t, result.GuaranteesNotRun(), must.Sprint("the key is revoked in the other gateway's catalog"))
 }
 
 // TestAllowanceIsRefundedIfNoEngineRan checks that a request that no engine ran doesn't
--- a/ingress/handover_test.go
+++ b/ingress/handover_test.go
@@ -84,7 +84,7 @@
 		must.Eq(t, http.StatusOK, do(t, lagos, platformtest.Request{Path: "/home/1"}).Status)
 	}
 	lagos.peers = []roster.Host{dead}
-	must.True(t, do(t, lagos, platformtest.Request{Path: "/home/1"}).Promised(), must.Sprint("no reachable gateway is left"))
+	must.True(t, do(t, lagos, platformtest.Request{Path: "/home/1"}).GuaranteesNotRun(), must.Sprint("no reachable gateway is left"))
 	_ = kano
 }
 
@@ -98,8 +98,8 @@
 			truncating := lagos.peers[0]
 			truncating.Name, truncating.Handover = "g3", startTruncatingProxy(t, hostPort(kano.handover), 330)
 			lagos.peers = append(lagos.peers, truncating) // the random number 1 picks the second of two
-			result := do(t, lagos, platformtest.Request{Path: path, Model: true, Deadline: 5 * time.Second})
-			must.Eq(t, resumable, result.Whole, must.Sprint(result.Status, result.Body))
+			result := do(t, lagos, platformtest.Request{Path: path, IsPrompt: true, Deadline: 5 * time.Second})
+			must.Eq(t, resumable, result.Complete, must.Sprint(result.Status, result.Body))
 			if resumable {
 				must.Eq(t, streamBody(5), result.Body)
 			}
@@ -118,14 +118,14 @@
 	second := lagos.peers[0]
 	second.Name = "g3"
 	lagos.peers = append(lagos.peers, second)
-	injectFault(engines, platformtest.FaultCut, 2)
-	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
-	must.False(t, result.Whole, must.Sprint(result.Status, result.Body))
+	injectFault(engines, platformtest.FaultTruncate, 2)
+	result := do(t, lagos, platformtest.Request{Path: "/review/1", IsPrompt: true, Deadline: 5 * time.Second})
+	must.False(t, result.Complete, must.Sprint(result.Status, result.Body))
 	_, arrived := countRuns(engines, result.ID)
 	must.Eq(t, 2, arrived)
 	for range 2 { // one pick for each gateway
-		result = do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
-		must.True(t, result.Whole)
+		result = do(t, lagos, platformtest.Request{Path: "/review/1", IsPrompt: true, Deadline: 5 * time.Second})
+		must.True(t, result.Complete)
 		must.Eq(t, "", result.Header.Get("Linenscale-Sends"), must.Sprint("headers between gateways must not reach callers"))
 	}
 	_ = kano
@@ -163,7 +163,7 @@
 	var caller platformtest.Caller
 	result, err := caller.Do(context.Background(), hostPort(kano.handover), platformtest.Request{Host: "h", Path: "/safe/1", Header: header})
 	must.NoError(t, err)
-	must.True(t, result.Promised(), must.Sprint(result.Status))
+	must.True(t, result.GuaranteesNotRun(), must.Sprint(result.Status))
 	must.SliceEmpty(t, healthy.Arrivals())
 }
 
@@ -177,7 +177,7 @@
 	lost.Name, lost.Handover = "g3", startTruncatingProxy(t, hostPort(kano.handover), announcement)
 	lagos.peers = append(lagos.peers, lost)
 	injectFault(engines, platformtest.FaultError, 1)
-	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true, Deadline: 5 * time.Second})
+	result := do(t, lagos, platformtest.Request{Path: "/review/1", IsPrompt: true, Deadline: 5 * time.Second})
 	_, arrived := countRuns(engines, result.ID)
 	must.LessEq(t, 2, arrived, must.Sprint(result.Status, result.Body))
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -132,7 +132,7 @@
 // one.
 func countRuns(engines []*platformtest.Engine, id string) (ran, arrived int) {
 	for _, e := range engines {
-		ran += e.Runs()[id]
+		ran += e.RunCounts()[id]
 		for _, a := range e.Arrivals() {
 			if a.Request == id {
 				arrived++
@@ -154,7 +154,7 @@
 func streamBody(events int) string {
 	body := ""
 	for n := 1; n <= events; n++ {
-		body += platformtest.Event(n)
+		body += platformtest.EventText(n)
 	}
 	return body
 }
@@ -163,9 +163,9 @@
 	g, engines := setUp(t)
 	plain := do(t, g, platformtest.Request{Path: "/safe/1?q=%2F", Method: http.MethodGet})
 	must.Eq(t, http.StatusOK, plain.Status)
-	must.Eq(t, platformtest.Answer(plain.Engine, plain.ID), plain.Body)
-	events := do(t, g, platformtest.Request{Path: "/chat/1", Model: true, Body: "a prompt"})
-	must.True(t, events.Whole)
+	must.Eq(t, platformtest.ResponseBody(plain.Engine, plain.ID), plain.Body)
+	events := do(t, g, platformtest.Request{Path: "/chat/1", IsPrompt: true, Body: "a prompt"})
+	must.True(t, events.Complete)
 	must.Eq(t, streamBody(5), events.Body)
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
@@ -176,14 +176,14 @@
 
 func TestReservedHeadersOfCallersAreRemoved(t *testing.T) {
 	g, engines := setUp(t)
-	forged := platformtest.Reserved()
+	forged := platformtest.ReservedHeaders()
 	forged["X-Other"], forged["Linenscale-Handover-Path"] = []string{"kept"}, []string{"g9"}
 	result := do(t, g, platformtest.Request{Path: "/safe/1", Header: forged})
 	must.Eq(t, http.StatusOK, result.Status)
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
-			must.Eq(t, "", a.Forged()+a.Header.Get("Linenscale-Handover-Path"))
-			must.Eq(t, e.ID, a.Target())
+			must.Eq(t, "", a.ForgedHeaders()+a.Header.Get("Linenscale-Handover-Path"))
+			must.Eq(t, e.ID, a.TargetEngine())
 			must.Eq(t, "kept", a.Header.Get("X-Other"))
 		}
 	}
@@ -202,33 +202,33 @@
 	}{
 		{platformtest.FaultError, "/safe/1", false, 200, 2, true},
 		{platformtest.FaultError, "/unsafe/1", false, 500, 1, true},
-		{platformtest.FaultShed, "/safe/1", false, 200, 1, true},
-		{platformtest.FaultShed, "/unsafe/1", false, 503, 0, true},
-		{platformtest.FaultShed, "/unsafe2/1", false, 200, 1, true},
+		{platformtest.FaultReject, "/safe/1", false, 200, 1, true},
+		{platformtest.FaultReject, "/unsafe/1", false, 503, 0, true},
+		{platformtest.FaultReject, "/unsafe2/1", false, 200, 1, true},
 		{platformtest.FaultReset, "/safe/1", false, 200, 2, true},
 		{platformtest.FaultReset, "/unsafe/1", false, 502, 1, true},
 		{platformtest.FaultReset, "/unsafe2/1", false, 502, 1, true},
-		{platformtest.FaultCut, "/safe/1", false, 200, 2, true},
-		{platformtest.FaultCut, "/unsafe2/1", false, 502, 1, true},
-		{platformtest.FaultCrossed, "/safe/1", false, 200, 2, true},
-		{platformtest.FaultCrossed, "/unsafe2/1", false, 502, 1, true},
-		{platformtest.FaultNoLen, "/unsafe/1", false, 200, 1, true},
-		{platformtest.FaultNoLenRS, "/safe/1", false, 200, 2, true},
-		{platformtest.FaultNoLenRS, "/unsafe2/1", false, 502, 1, true},
+		{platformtest.FaultTruncate, "/safe/1", false, 200, 2, true},
+		{platformtest.FaultTruncate, "/unsafe2/1", false, 502, 1, true},
+		{platformtest.FaultWrongID, "/safe/1", false, 200, 2, true},
+		{platformtest.FaultWrongID, "/unsafe2/1", false, 502, 1, true},
+		{platformtest.FaultNoLength, "/unsafe/1", false, 200, 1, true},
+		{platformtest.FaultNoLengthReset, "/safe/1", false, 200, 2, true},
+		{platformtest.FaultNoLengthReset, "/unsafe2/1", false, 502, 1, true},
 		{platformtest.FaultReset, "/chat/1", true, 502, 1, true},
-		{platformtest.FaultCut, "/chat/1", true, 200, 1, false},
+		{platformtest.FaultTruncate, "/chat/1", true, 200, 1, false},
 		{platformtest.FaultError, "/review/1", true, 200, 2, true},
-		{platformtest.FaultCut, "/review/1", true, 200, 2, true},
-		{platformtest.FaultCrossed, "/review/1", true, 200, 2, true},
+		{platformtest.FaultTruncate, "/review/1", true, 200, 2, true},
+		{platformtest.FaultWrongID, "/review/1", true, 200, 2, true},
 	}
 	for _, c := range cases {
 		t.Run(string(c.fault)+strings.ReplaceAll(c.path, "/", "-"), func(t *testing.T) {
 			g, engines := setUp(t)
 			// Only the first send meets the fault.
 			injectFault(engines, c.fault, 1)
-			result := do(t, g, platformtest.Request{Path: c.path, Model: c.model, Body: "x"})
+			result := do(t, g, platformtest.Request{Path: c.path, IsPrompt: c.model, Body: "x"})
 			must.Eq(t, c.status, result.Status)
-			must.Eq(t, c.whole, result.Whole)
+			must.Eq(t, c.whole, result.Complete)
 			ran, _ := countRuns(engines, result.ID)
 			must.Eq(t, c.ran, ran)
 			if c.model && c.status == 200 && c.whole {
@@ -245,9 +245,9 @@
 // caller gets complete events from the start, and no clean end.
 func TestFailedStreamIsVisiblyTruncated(t *testing.T) {
 	g, engines := setUp(t)
-	injectFault(engines, platformtest.FaultCut, -1)
-	result := do(t, g, platformtest.Request{Path: "/review/1", Model: true})
-	must.False(t, result.Whole)
+	injectFault(engines, platformtest.FaultTruncate, -1)
+	result := do(t, g, platformtest.Request{Path: "/review/1", IsPrompt: true})
+	must.False(t, result.Complete)
 	must.True(t, strings.HasPrefix(streamBody(5), result.Body), must.Sprint(result.Body))
 	must.StrHasSuffix(t, "\n\n", result.Body)
 	ran, _ := countRuns(engines, result.ID)
@@ -256,10 +256,10 @@
 
 func TestUnresponsiveEngineTimesOutWithTheRoute(t *testing.T) {
 	g, engines := setUp(t)
-	injectFault(engines, platformtest.FaultSilent, -1)
+	injectFault(engines, platformtest.FaultNoResponse, -1)
 	result := do(t, g, platformtest.Request{Path: "/unsafe/1", Deadline: 10 * time.Second})
 	must.Eq(t, http.StatusGatewayTimeout, result.Status)
-	must.False(t, result.Promised())
+	must.False(t, result.GuaranteesNotRun())
 	ran, _ := countRuns(engines, result.ID)
 	must.Eq(t, 1, ran)
 }
@@ -269,10 +269,10 @@
 	must.Eq(t, http.StatusNotFound, do(t, g, platformtest.Request{Path: "/none/"}).Status)
 	must.Eq(t, http.StatusRequestEntityTooLarge, do(t, g, platformtest.Request{Path: "/safe/", Body: strings.Repeat("x", 1001)}).Status)
 	empty := do(t, g, platformtest.Request{Path: "/empty/"})
-	must.True(t, empty.Promised())
+	must.True(t, empty.GuaranteesNotRun())
 	must.Positive(t, empty.RetryAfter)
 	starting := newGateway(t, "g2", "lagos")
-	must.True(t, do(t, starting, platformtest.Request{Path: "/none/"}).Promised(), must.Sprint("a gateway without a catalog rejects every request as not run"))
+	must.True(t, do(t, starting, platformtest.Request{Path: "/none/"}).GuaranteesNotRun(), must.Sprint("a gateway without a catalog rejects every request as not run"))
 	must.False(t, starting.server.Ready())
 	must.True(t, g.server.Ready())
 	for _, e := range engines {
@@ -289,7 +289,7 @@
 	earliest, latest := time.Hour, time.Duration(0)
 	for range 30 {
 		result := do(t, g, platformtest.Request{Path: "/patient/", Deadline: 30 * time.Second})
-		must.True(t, result.Promised())
+		must.True(t, result.GuaranteesNotRun())
 		earliest, latest = min(earliest, result.RetryAfter), max(latest, result.RetryAfter)
 	}
 	must.Between(t, 5*time.Second, earliest, 7*time.Second)
@@ -298,12 +298,12 @@
 
 func TestDisconnectedCallerCancelsTheEnginesWork(t *testing.T) {
 	g, engines := setUp(t)
-	injectFault(engines, platformtest.FaultSilent, -1)
+	injectFault(engines, platformtest.FaultNoResponse, -1)
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	group.Go(func() {
 		var c platformtest.Caller
-		_, err := c.Do(ctx, hostPort(g.callers), platformtest.Request{Host: "h", Path: "/chat/1", Model: true, Deadline: 20 * time.Second})
+		_, err := c.Do(ctx, hostPort(g.callers), platformtest.Request{Host: "h", Path: "/chat/1", IsPrompt: true, Deadline: 20 * time.Second})
 		must.Error(t, err)
 	})
 	eventually(t, "the engine runs the request", func() bool { return g.arrivals(engines) == 1 })
@@ -324,7 +324,7 @@
 	for n := range callers {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		must.NoError(t, err)
-		_, err = conn.Write([]byte(platformtest.Raw("/unsafe/1", fmt.Sprintf("left%d", n), 900)))
+		_, err = conn.Write([]byte(platformtest.RawRequest("/unsafe/1", fmt.Sprintf("left%d", n), 900)))
 		must.NoError(t, err)
 		must.NoError(t, conn.Close())
 	}
@@ -353,7 +353,7 @@
 
 func (g *gateway) idle(engines []*platformtest.Engine) bool {
 	for _, e := range engines {
-		if e.Busy() > 0 {
+		if e.RunningRequests() > 0 {
 			return false
 		}
 	}
@@ -390,11 +390,11 @@
 	for _, path := range []string{"/safe/1", "/unsafe/1", "/home/1"} {
 		result := do(t, lagos, platformtest.Request{Path: path, Body: "x"})
 		must.Eq(t, http.StatusOK, result.Status)
-		must.Eq(t, platformtest.Answer(result.Engine, result.ID), result.Body)
+		must.Eq(t, platformtest.ResponseBody(result.Engine, result.ID), result.Body)
 	}
-	result := do(t, lagos, platformtest.Request{Path: "/review/1", Model: true})
+	result := do(t, lagos, platformtest.Request{Path: "/review/1", IsPrompt: true})
 	must.Eq(t, streamBody(5), result.Body)
-	must.True(t, result.Whole)
+	must.True(t, result.Complete)
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
 			for name := range a.Header {
@@ -438,7 +438,7 @@
 func TestRequestRunsOnlyInItsHomeRegion(t *testing.T) {
 	g, engines := setUp(t)
 	result := do(t, g, platformtest.Request{Path: "/home/1"})
-	must.True(t, result.Promised())
+	must.True(t, result.GuaranteesNotRun())
 	_, arrived := countRuns(engines, result.ID)
 	must.Eq(t, 0, arrived)
 }
@@ -450,10 +450,10 @@
 	lagos.peers = append(lagos.peers, roster.Host{Name: "g1", Role: roster.RoleGateway, Region: "lagos"})
 	local := []*platformtest.Engine{lagos.start(t, "portal", "a"), lagos.start(t, "portal", "a")}
 	engines = append(engines, local...)
-	injectFault(engines, platformtest.FaultShed, -1)
+	injectFault(engines, platformtest.FaultReject, -1)
 	for path, want := range map[string]int{"/safe/1": 2, "/unsafe/1": 1, "/unsafe2/1": 2} {
 		result := do(t, lagos, platformtest.Request{Path: path})
-		must.True(t, result.Promised(), must.Sprint(path, result.Status))
+		must.True(t, result.GuaranteesNotRun(), must.Sprint(path, result.Status))
 		_, arrived := countRuns(engines, result.ID)
 		must.Eq(t, want, arrived, must.Sprint(path))
 	}
@@ -468,7 +468,7 @@
 	kano.peers = []roster.Host{{Name: "g1", Role: roster.RoleGateway, Region: "lagos", Handover: hostPort(lagos.handover)}}
 	lagos.declare()
 	kano.declare()
-	must.True(t, do(t, lagos, platformtest.Request{Path: "/safe/1"}).Promised())
+	must.True(t, do(t, lagos, platformtest.Request{Path: "/safe/1"}).GuaranteesNotRun())
 }
 
 // TestStartingGatewayServesOnceItHasACatalog sends a request before the gateway has a
@@ -510,7 +510,7 @@
 	var c platformtest.Caller
 	done := make(chan platformtest.Result, 1)
 	group.Go(func() {
-		result, err := c.Do(context.Background(), callers.Addr().String(), platformtest.Request{Host: "h", Path: "/chat/1", Model: true})
+		result, err := c.Do(context.Background(), callers.Addr().String(), platformtest.Request{Host: "h", Path: "/chat/1", IsPrompt: true})
 		must.NoError(t, err)
 		done <- result
 	})
@@ -518,6 +518,6 @@
 	group.Wait()
 	result := <-done
 	must.Eq(t, streamBody(5), result.Body)
-	must.True(t, result.Whole)
+	must.True(t, result.Complete)
 	must.False(t, g.server.Ready())
 }
--- a/ingress/quarantine_test.go
+++ b/ingress/quarantine_test.go
@@ -119,15 +119,15 @@
 	c := newCluster(t, 6)
 	rejected := 0
 	for i := range 12 {
-		result := do(t, c.gateways[i%3], platformtest.Request{Path: "/chat/1", Model: true, Body: crashingPrompt, Deadline: 5 * time.Second})
+		result := do(t, c.gateways[i%3], platformtest.Request{Path: "/chat/1", IsPrompt: true, Body: crashingPrompt, Deadline: 5 * time.Second})
 		must.NotEq(t, http.StatusOK, result.Status)
-		if result.Promised() {
+		if result.GuaranteesNotRun() {
 			rejected++
 		}
 		c.exchangeReports()
 	}
 	must.Eq(t, 3, c.arrived(crashingPrompt), must.Sprint("the request is quarantined after three crashes"))
 	must.Eq(t, 9, rejected)
-	result := do(t, c.gateways[0], platformtest.Request{Path: "/chat/1", Model: true, Body: "another", Deadline: 5 * time.Second})
+	result := do(t, c.gateways[0], platformtest.Request{Path: "/chat/1", IsPrompt: true, Body: "another", Deadline: 5 * time.Second})
 	must.Eq(t, streamBody(5), result.Body, must.Sprint("other requests are served"))
 }
--- a/ingress/simulated_region_test.go
+++ b/ingress/simulated_region_test.go
@@ -76,7 +76,7 @@
 		}
 		r.requests++
 		g := r.gateways[r.requests%len(r.gateways)]
-		if do(t, g, platformtest.Request{Path: "/chat/1", Model: true, Body: fmt.Sprint(r.requests), Deadline: 5 * time.Second}).Status == http.StatusOK {
+		if do(t, g, platformtest.Request{Path: "/chat/1", IsPrompt: true, Body: fmt.Sprint(r.requests), Deadline: 5 * time.Second}).Status == http.StatusOK {
 			served++
 		}
 		for _, e := range r.engines {
--- a/soak/accounts.go
+++ b/soak/accounts.go
@@ -51,7 +51,7 @@
 	for ctx.Err() == nil {
 		version := max(1, w.Checker.NewestVersion()-r.Int64N(maxKeyAge))
 		began := time.Now()
-		result, err := caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.Showing(rotatingKey(version)), Deadline: 3 * time.Second})
+		result, err := caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.HeaderWithKeys(rotatingKey(version)), Deadline: 3 * time.Second})
 		w.Checker.RecordKeyUse(result.ID, keyUse{began, version})
 		if err == nil && result.Status == 200 {
 			w.Checker.CheckAnswer(kinds[0], h.Name, result)
@@ -64,7 +64,7 @@
 func (w *World) exceedAllowance(ctx context.Context, h *Host) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
-		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.Showing(smallKey)}) // the checker counts what the engines ran
+		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/safe/1", Header: platformtest.HeaderWithKeys(smallKey)}) // the checker counts what the engines ran
 		pause(ctx, smallCallPause)
 	}
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -118,21 +118,21 @@
 	c.mu.Lock()
 	c.Checks++
 	c.Answers[fmt.Sprintf("%s %d", k.name, r.Status)]++
-	if r.Promised() {
+	if r.GuaranteesNotRun() {
 		c.notRun[r.ID] = gateway
 	}
 	c.mu.Unlock()
 	if r.Status != http.StatusOK {
 		return
 	}
-	want := platformtest.Answer(r.Engine, r.ID)
+	want := platformtest.ResponseBody(r.Engine, r.ID)
 	if k.model {
 		want = completeStream
 	}
 	switch {
 	case r.Engine == "":
 		c.AddProblem("request %s (%s) at %s: a success that no engine signed", r.ID, k.name, gateway)
-	case r.Whole && r.Body != want:
+	case r.Complete && r.Body != want:
 		c.AddProblem("request %s (%s) at %s: the answer ends as whole, but isn't its engine's: %q", r.ID, k.name, gateway, r.Body)
 	case !strings.HasPrefix(want, r.Body):
 		c.AddProblem("request %s (%s) at %s: the answer has other bytes than its engine's: %q", r.ID, k.name, gateway, r.Body)
@@ -143,7 +143,7 @@
 var completeStream = func() string {
 	all := ""
 	for n := 1; n <= 5; n++ {
-		all += platformtest.Event(n)
+		all += platformtest.EventText(n)
 	}
 	return all
 }()
@@ -178,7 +178,7 @@
 	c.checkPushback(engines)
 	ran, reached := make(map[string]int), make(map[string]int)
 	for _, e := range engines {
-		acked := e.DrainAcked()
+		acked := e.DrainAckedAt()
 		for _, a := range e.Arrivals() {
 			k, known := kindOfPath(a.Path)
 			if !known {
--- a/soak/harm.go
+++ b/soak/harm.go
@@ -72,8 +72,8 @@
 	{"engine goes wrong", 6, func(w *World, r *rand.Rand) string {
 		e := pick(r, w.liveEngines())
 		faults := []platformtest.Fault{
-			platformtest.FaultError, platformtest.FaultShed, platformtest.FaultCut, platformtest.FaultSilent,
-			platformtest.FaultReset, platformtest.FaultCrossed, platformtest.FaultNoLen, platformtest.FaultNoLenRS,
+			platformtest.FaultError, platformtest.FaultReject, platformtest.FaultTruncate, platformtest.FaultNoResponse,
+			platformtest.FaultReset, platformtest.FaultWrongID, platformtest.FaultNoLength, platformtest.FaultNoLengthReset,
 		}
 		e.SetFaults(platformtest.NewFaultPlan(pick(r, faults), 1+r.IntN(20)))
 		return e.ID
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -31,7 +31,7 @@
 	for ctx.Err() == nil {
 		h := pick(r, w.gateways(""))
 		_, _ = caller.Do(ctx, h.settings.Listen.Callers, platformtest.Request{
-			Host: "soak", Path: "/chat/1", Model: true, Body: poisonBody, Header: platformtest.Showing(memberKey),
+			Host: "soak", Path: "/chat/1", IsPrompt: true, Body: poisonBody, Header: platformtest.HeaderWithKeys(memberKey),
 		}) // checkPoison counts what the engines received
 		pause(ctx, poisonInterval)
 	}
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -28,8 +28,8 @@
 			w.drainByAnswer(e)
 			continue
 		}
-		e.SetRest(fmt.Sprint(backoffTime.Seconds()))
-		w.schedule(randomDuration(r, 200, 5000), func() { e.SetRest("") })
+		e.SetRetryAfter(fmt.Sprint(backoffTime.Seconds()))
+		w.schedule(randomDuration(r, 200, 5000), func() { e.SetRetryAfter("") })
 	}
 }
 
@@ -40,7 +40,7 @@
 	if _, err := w.addEngine(e.Service, int(e.Region[len(e.Region)-1]-'0')); err != nil {
 		w.Checker.AddProblem("engine: %v", err)
 	}
-	e.SetLeaving()
+	e.SetServerLeaving()
 	w.schedule(drainTime+2*time.Second, e.stop)
 }
 
@@ -71,11 +71,11 @@
 	for _, e := range engines {
 		arrivals := e.Arrivals()
 		for i, a := range arrivals {
-			if a.Rest != "" {
+			if a.RetryAfter != "" {
 				c.Backoffs++
 				c.checkBackoff(e, a, arrivals[i:])
 			}
-			if a.Leaving {
+			if a.ServerLeaving {
 				c.checkDraining(e, a, arrivals[i:])
 			}
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -142,7 +142,7 @@
 func (w *World) sendRequests(ctx context.Context, h *Host, k requestKind, r *rand.Rand) {
 	var caller platformtest.Caller
 	for ctx.Err() == nil {
-		request := platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model, Parts: fmt.Sprintf("a:400,b%d:600,c:50", r.IntN(5)), Deadline: 3 * time.Second}
+		request := platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.HeaderWithKeys(memberKey), IsPrompt: k.model, PromptBlocks: fmt.Sprintf("a:400,b%d:600,c:50", r.IntN(5)), Deadline: 3 * time.Second}
 		result, err := caller.Do(ctx, h.settings.Listen.Callers, request)
 		if err == nil {
 			w.Checker.CheckAnswer(k, h.Name, result)
@@ -189,7 +189,7 @@
 	w.Net.ClearFaults()
 	for _, e := range w.liveEngines() {
 		e.SetFaults(platformtest.NewFaultPlan(platformtest.FaultNone, 0))
-		e.SetRest("")
+		e.SetRetryAfter("")
 	}
 	for until := time.Now().Add(recoveryTimeout); time.Now().Before(until) && !w.allRunning(); {
 		time.Sleep(pollInterval)
@@ -237,8 +237,8 @@
 	newest := requestKind{name: fmt.Sprintf("v%d", w.Checker.NewestVersion())}
 	for _, h := range w.gateways("") {
 		for _, k := range append(slices.Clone(kinds), newest) {
-			result, err := caller.Do(w.ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.Showing(memberKey), Model: k.model})
-			if err != nil || result.Status != http.StatusOK || !result.Whole {
+			result, err := caller.Do(w.ctx, h.settings.Listen.Callers, platformtest.Request{Host: "soak", Path: "/" + k.name + "/1", Header: platformtest.HeaderWithKeys(memberKey), IsPrompt: k.model})
+			if err != nil || result.Status != http.StatusOK || !result.Complete {
 				return fmt.Sprintf("%s at %s: status %d, %v", k.name, h.Name, result.Status, err)
 			}
 		}
