--- a/internal/blockcache/blockcache.go
+++ b/internal/blockcache/blockcache.go
@@ -1,37 +1,38 @@
-// Package blockcache holds a bounded cache of prompt blocks, as an engine has.
+// Package blockcache models an engine's prefix cache: a bounded LRU cache of prompt blocks.
 package blockcache
 
 import "container/list"
 
-// Cache is bounded; the block used least recently goes first. New makes one.
+// Cache is an LRU cache of prompt blocks. It stores the identifiers of the blocks only. Create
+// one with New. It is not safe for concurrent use.
 type Cache struct {
-	limit int
-	order *list.List // of uint64, most recently used first
-	at    map[uint64]*list.Element
+	limit    int
+	recency  *list.List // of uint64, most recently used first
+	elements map[uint64]*list.Element
 }
 
-// New makes an empty cache of at most limit blocks.
+// New returns an empty cache of at most limit blocks.
 func New(limit int) *Cache {
-	return &Cache{limit: limit, order: list.New(), at: make(map[uint64]*list.Element)}
+	return &Cache{limit: limit, recency: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// Use reads a prompt: it gives how many of its first blocks were cached, and
-// the blocks that had to go for the others.
+// Use looks up the blocks of a prompt and caches those that are missing. It returns the length of
+// the cached prefix in blocks and the blocks that were evicted.
 func (c *Cache) Use(chain []uint64) (hit int, evicted []uint64) {
-	for hit < len(chain) && c.at[chain[hit]] != nil {
+	for hit < len(chain) && c.elements[chain[hit]] != nil {
 		hit++
 	}
 	for _, block := range chain {
-		if element, ok := c.at[block]; ok {
-			c.order.MoveToFront(element)
+		if element, ok := c.elements[block]; ok {
+			c.recency.MoveToFront(element)
 			continue
 		}
-		c.at[block] = c.order.PushFront(block)
+		c.elements[block] = c.recency.PushFront(block)
 	}
-	for c.order.Len() > c.limit {
-		last := c.order.Back()
-		block := c.order.Remove(last).(uint64)
-		delete(c.at, block)
+	for c.recency.Len() > c.limit {
+		last := c.recency.Back()
+		block := c.recency.Remove(last).(uint64)
+		delete(c.elements, block)
 		evicted = append(evicted, block)
 	}
 	return hit, evicted
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty holds the waits of duties: loops that go on until their context
-// ends, and not a moment longer.
+// Package duty provides waits for background loops. A wait returns as soon as the loop's context
+// ends.
 package duty
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Pause waits for so long, or until ctx ends.
+// Pause blocks for the given time or until ctx ends.
 func Pause(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -17,9 +17,9 @@
 	}
 }
 
-// Every calls do after each period until ctx ends. A call that takes longer than
-// the period delays the next; none is made up for.
-func Every(ctx context.Context, period time.Duration, do func()) {
+// Every calls fn after each period until ctx ends. A call that takes longer than the period
+// delays the next one; the calls missed in the meantime are dropped.
+func Every(ctx context.Context, period time.Duration, fn func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -27,7 +27,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			do()
+			fn()
 		}
 	}
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -21,8 +21,9 @@
 	// Output: 3
 }
 
-// TestAWaitEndsWithItsContext would go on for an hour otherwise.
-func TestAWaitEndsWithItsContext(_ *testing.T) {
+// TestWaitsEndWithContext guards against waits that ignore the end of their context: either would
+// block for an hour.
+func TestWaitsEndWithContext(_ *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	duty.Pause(ctx, time.Hour)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,8 +1,8 @@
-// Package loopback gives deployments under test loopback networks of their own.
+// Package loopback allocates a separate loopback network to each deployment under test.
 //
-// Deployments that run on one machine at the same time, in packages tested in
-// parallel or in several checkouts, must not meet: a fixed address is either
-// taken already, or belongs to a process of another deployment.
+// Packages tested in parallel, and several checkouts on one machine, run deployments at the
+// same time. With fixed addresses, a deployment would fail to bind an address that is in use
+// or would connect to a process of another deployment.
 package loopback
 
 import (
@@ -14,38 +14,40 @@
 )
 
 const (
-	// firstNet and nets are the range of the second part of the addresses.
-	firstNet, nets = 32, 192
-	// claimHost and claimPort are listened on in each claimed network.
+	// firstOctet and octetCount define the range of the second octet of the addresses.
+	firstOctet, octetCount = 32, 192
+	// claimHost and claimPort form the address in each network whose listener marks the
+	// network as claimed.
 	claimHost, claimPort = 254, 17
-	// tries bounds the networks that are tried by one claim.
-	tries = 1000
+	// maxAttempts limits how many random networks one call of Claim tries.
+	maxAttempts = 1000
 )
 
-// ErrTaken says that no network was found that nobody has claimed.
+// ErrTaken is returned by Claim if every network that it tried is claimed already.
 var ErrTaken = errors.New("no loopback network is free")
 
-// Network is a /24 network that no other process on the machine has claimed.
-// Claim makes one.
+// Network is a /24 loopback network that no other process on the machine has claimed. Create
+// one with Claim.
 type Network struct {
-	prefix string
-	claim  net.Listener
+	prefix   string
+	listener net.Listener
 }
 
-// Claim claims a network until Close, or until the process ends.
+// Claim reserves a network until Close is called or the process ends. It returns ErrTaken if it
+// finds no free network.
 func Claim() (*Network, error) {
-	for range tries {
-		prefix := fmt.Sprintf("127.%d.%d.", firstNet+rand.IntN(nets), rand.IntN(256))
-		claim, err := net.Listen("tcp", fmt.Sprintf("%s%d:%d", prefix, claimHost, claimPort))
+	for range maxAttempts {
+		prefix := fmt.Sprintf("127.%d.%d.", firstOctet+rand.IntN(octetCount), rand.IntN(256))
+		listener, err := net.Listen("tcp", fmt.Sprintf("%s%d:%d", prefix, claimHost, claimPort))
 		if err == nil {
-			return &Network{prefix, claim}, nil
+			return &Network{prefix, listener}, nil
 		}
 	}
 	return nil, ErrTaken
 }
 
-// IP gives the address of a host, from 1 to 253.
+// IP returns the address of a host of the network; host is from 1 to 253.
 func (n *Network) IP(host int) string { return fmt.Sprint(n.prefix, host) }
 
-// Close gives the network back.
-func (n *Network) Close() error { return errors.Trace(n.claim.Close()) }
+// Close releases the network.
+func (n *Network) Close() error { return errors.Trace(n.listener.Close()) }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -9,7 +9,8 @@
 	"github.com/linenscale/linenscale/internal/loopback"
 )
 
-// TestNetworksDiffer guards against two deployments under test that get the same addresses.
+// TestNetworksDiffer guards against two deployments under test that are given the same
+// addresses.
 func TestNetworksDiffer(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 100 {
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,48 +1,50 @@
-// Package recent remembers things in the order of their last changes, so that what is new
-// after a number can be given without looking at everything.
+// Package recent indexes items by the version of their last change, so that the items changed
+// after a given version are found without a scan of all items.
 package recent
 
 import "slices"
 
-// Log holds things by the number of their last change. The zero value is empty. It is
-// not safe for concurrent use.
+// Log orders items by the version of their last change. The zero value is empty. It is not safe
+// for concurrent use.
 type Log[T comparable] struct {
-	changes []change[T] // in the order of their numbers; a thing may stand in several
-	newest  map[T]uint64
+	changes []change[T] // in ascending order of version; an item may occur several times
+	latest  map[T]uint64
 }
 
 type change[T comparable] struct {
-	number uint64
-	thing  T
+	version uint64
+	item    T
 }
 
-// slack is how many changes that were overtaken are kept beside those that count.
-const slack = 64
+// maxSuperseded is how many superseded changes the log retains, beyond as many as there are
+// items, before it compacts.
+const maxSuperseded = 64
 
-// Note says that a thing has changed; numbers rise.
-func (l *Log[T]) Note(thing T, number uint64) {
-	if l.newest == nil {
-		l.newest = make(map[T]uint64)
+// Note records that an item has changed. Versions must ascend from call to call.
+func (l *Log[T]) Note(item T, version uint64) {
+	if l.latest == nil {
+		l.latest = make(map[T]uint64)
 	}
-	l.newest[thing] = number
-	l.changes = append(l.changes, change[T]{number, thing})
-	if len(l.changes) > 2*len(l.newest)+slack {
-		l.changes = slices.DeleteFunc(l.changes, func(c change[T]) bool { return l.newest[c.thing] != c.number })
+	l.latest[item] = version
+	l.changes = append(l.changes, change[T]{version, item})
+	if len(l.changes) > 2*len(l.latest)+maxSuperseded {
+		l.changes = slices.DeleteFunc(l.changes, func(c change[T]) bool { return l.latest[c.item] != c.version })
 	}
 }
 
-// Forget says that there is no such thing any more.
-func (l *Log[T]) Forget(thing T) { delete(l.newest, thing) }
+// Forget removes an item, which Since then no longer returns.
+func (l *Log[T]) Forget(item T) { delete(l.latest, item) }
 
-// Since gives the things that have changed after the number, each once, the newest first.
-func (l *Log[T]) Since(number uint64) []T {
+// Since returns the items whose last change has a version above the given one, each once, the
+// most recently changed first.
+func (l *Log[T]) Since(version uint64) []T {
 	var out []T
 	for _, c := range slices.Backward(l.changes) {
-		if c.number <= number {
+		if c.version <= version {
 			break
 		}
-		if l.newest[c.thing] == c.number {
-			out = append(out, c.thing)
+		if l.latest[c.item] == c.version {
+			out = append(out, c.item)
 		}
 	}
 	return out
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -10,28 +10,29 @@
 	"github.com/linenscale/linenscale/internal/recent"
 )
 
-// TestItGivesWhatALookAtEverythingGives compares with a plain map.
-func TestItGivesWhatALookAtEverythingGives(t *testing.T) {
+// TestSinceMatchesFullScan guards against items that Since omits, repeats or still returns after
+// Forget: it compares Since with a scan of a map.
+func TestSinceMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log recent.Log[int]
-		plain := make(map[int]uint64)
-		number := uint64(0)
+		reference := make(map[int]uint64)
+		version := uint64(0)
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
-			thing := rapid.IntRange(0, 20).Draw(t, "thing")
+			item := rapid.IntRange(0, 20).Draw(t, "thing")
 			if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
-				log.Forget(thing)
-				delete(plain, thing)
+				log.Forget(item)
+				delete(reference, item)
 				continue
 			}
-			number++
-			log.Note(thing, number)
-			plain[thing] = number
+			version++
+			log.Note(item, version)
+			reference[item] = version
 		}
-		since := uint64(rapid.IntRange(0, int(number)).Draw(t, "since"))
+		since := uint64(rapid.IntRange(0, int(version)).Draw(t, "since"))
 		var want []int
-		for thing, at := range plain {
-			if at > since {
-				want = append(want, thing)
+		for item, version := range reference {
+			if version > since {
+				want = append(want, item)
 			}
 		}
 		got := log.Since(since)
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,14 +1,15 @@
-// Package rendezvous lets hosts agree on an order without talking: each ranks the same things
-// for the same key, and all find the same one first. Whoever joins or goes changes the order of
-// no others (Thaler and Ravishankar, 1998).
+// Package rendezvous implements rendezvous hashing (Thaler and Ravishankar, 1998). Hosts that rank
+// the same items for the same key agree on the order without communication. An item that is added
+// or removed doesn't change the order of the others.
 package rendezvous
 
 import "math/bits"
 
-// Rank orders things for a key, both by their hashes (the finalizer of Steele, Lea and Flood's
-// SplitMix64, 2014): 2 ns instead of the 25 that hashing both names together takes.
-func Rank(key, thing uint64) uint64 {
-	x := key ^ bits.RotateLeft64(thing, 31)
+// Rank returns the rank of an item for a key; the item with the highest rank comes first. Both are
+// given by their hashes, which Rank combines with the finalizer of SplitMix64 (Steele, Lea and
+// Flood, 2014). That takes 2 ns; hashing both names together takes 25 ns.
+func Rank(key, item uint64) uint64 {
+	x := key ^ bits.RotateLeft64(item, 31)
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -8,21 +8,21 @@
 	"github.com/linenscale/linenscale/internal/rendezvous"
 )
 
-// TestEachThingIsFirstAboutAsOften ranks eight things for many keys; each should be first for
-// an eighth of them, and within five standard deviations (33) it is.
-func TestEachThingIsFirstAboutAsOften(t *testing.T) {
-	const keys, things = 10_000, 8
+// TestItemsRankFirstEquallyOften guards against a biased hash: each of eight items must rank first
+// for an eighth of the keys, within five standard deviations (of 33 keys each).
+func TestItemsRankFirstEquallyOften(t *testing.T) {
+	const keys, items = 10_000, 8
 	first := make(map[uint64]int)
 	for key := range uint64(keys) {
 		best := uint64(0)
-		for thing := range uint64(things) {
-			if rendezvous.Rank(key, thing) > rendezvous.Rank(key, best) {
-				best = thing
+		for item := range uint64(items) {
+			if rendezvous.Rank(key, item) > rendezvous.Rank(key, best) {
+				best = item
 			}
 		}
 		first[best]++
 	}
-	for thing := range uint64(things) {
-		must.Between(t, keys/things-165, first[thing], keys/things+165)
+	for item := range uint64(items) {
+		must.Between(t, keys/items-165, first[item], keys/items+165)
 	}
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -9,9 +9,9 @@
 	"github.com/linenscale/linenscale/internal/steady"
 )
 
-// TestTimeIsNearTheTimeOfDay reads the clock twice: it goes on, and starts near the time of
-// day.
-func TestTimeIsNearTheTimeOfDay(t *testing.T) {
+// TestTimeIsMonotonicAndNearWallClock guards against a clock that runs backwards and against an
+// origin that isn't the wall-clock time.
+func TestTimeIsMonotonicAndNearWallClock(t *testing.T) {
 	first := steady.Time()
 	must.False(t, steady.Time().Before(first))
 	must.Between(t, -time.Minute, time.Until(first), time.Minute)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual runs events in virtual time, for benches and tests that must
-// give the same result each time.
+// Package virtual is a discrete event scheduler in virtual time, for benchmarks and tests that
+// must be deterministic.
 package virtual
 
 import (
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Time runs events in the order of their times; of events at one time, the one
-// that was added first comes first. New makes one. It is not safe for concurrent
-// use.
+// Time runs events in the order of their times. Events at the same time run in the order in which
+// they were scheduled. Create one with New. It is not safe for concurrent use.
 type Time struct {
-	now    time.Time
-	queue  events
-	serial int
+	now      time.Time
+	queue    events
+	sequence int
 }
 
-// New makes a virtual time that stands at start.
+// New returns a scheduler whose clock is at start.
 func New(start time.Time) *Time { return &Time{now: start} }
 
-// Now gives the time of the event that is running.
+// Now returns the time of the running event.
 func (t *Time) Now() time.Time { return t.now }
 
-// After runs do after a delay; a negative one counts as none.
-func (t *Time) After(delay time.Duration, do func()) {
-	t.serial++
-	heap.Push(&t.queue, event{t.now.Add(max(0, delay)), t.serial, do})
+// After schedules fn to run after a delay. A negative delay counts as zero.
+func (t *Time) After(delay time.Duration, fn func()) {
+	t.sequence++
+	heap.Push(&t.queue, event{t.now.Add(max(0, delay)), t.sequence, fn})
 }
 
-// Every runs do now and again at an interval, as long as it gives true.
-func (t *Time) Every(interval time.Duration, do func() bool) {
-	var again func()
-	again = func() {
-		if do() {
-			t.After(interval, again)
+// Every schedules fn to run at the current time and then at each interval, until it returns
+// false.
+func (t *Time) Every(interval time.Duration, fn func() bool) {
+	var tick func()
+	tick = func() {
+		if fn() {
+			t.After(interval, tick)
 		}
 	}
-	t.After(0, again)
+	t.After(0, tick)
 }
 
-// Run runs events until none is left.
+// Run runs events, including those that they schedule, until the queue is empty.
 func (t *Time) Run() {
 	for len(t.queue) > 0 {
 		e := heap.Pop(&t.queue).(event)
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
 type event struct {
-	at     time.Time
-	serial int
-	do     func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-// events implements heap.Interface.
+// events implements heap.Interface, ordered by time and then by order of scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -63,7 +63,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].serial < e[j].serial
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -10,17 +10,17 @@
 func ExampleTime() {
 	start := time.Unix(0, 0)
 	t := virtual.New(start)
-	say := func(what string) func() {
-		return func() { fmt.Println(t.Now().Sub(start), what) }
+	printAt := func(label string) func() {
+		return func() { fmt.Println(t.Now().Sub(start), label) }
 	}
-	t.After(2*time.Second, say("late"))
-	t.After(time.Second, say("first"))
-	t.After(time.Second, say("second"))
-	left := 2
+	t.After(2*time.Second, printAt("late"))
+	t.After(time.Second, printAt("first"))
+	t.After(time.Second, printAt("second"))
+	remaining := 2
 	t.Every(1500*time.Millisecond, func() bool {
-		say("again")()
-		left--
-		return left > 0
+		printAt("again")()
+		remaining--
+		return remaining > 0
 	})
 	t.Run()
 	// Output:
--- a/internal/width/width.go
+++ b/internal/width/width.go
@@ -1,5 +1,5 @@
-// Package width limits how much passes between two regions a second, for all traffic together.
-// Stand-ins for the network between regions share one Ways.
+// Package width limits the bandwidth between two regions for all their traffic together. The
+// stand-ins for the network between regions share one Ways.
 package width
 
 import (
@@ -10,51 +10,56 @@
 	"golang.org/x/time/rate"
 )
 
-// Usual is the width between two regions each way, in bits a second, where users tell no other.
+// Usual is the default bandwidth between two regions in each direction, in bits per second. It
+// applies where users specify none.
 const Usual = 2e9
 
-// burst is how many bytes pass at once: what a router's queue holds. No single write is larger.
-const burst = 64 << 10
+// burstBytes is how many bytes may pass at once: the capacity of a router's queue. No single write
+// is larger.
+const burstBytes = 64 << 10
 
-// Ways are the ways between regions, each direction its own. It is safe for concurrent use. New
-// makes one.
+// Ways limits the links between regions, with a separate limit for each direction. It is safe for
+// concurrent use. Create it with New.
 type Ways struct {
-	bytes float64 // a second, each way
-	mu    sync.Mutex
-	ways  map[[2]string]*rate.Limiter
+	bytesPerSecond float64 // per direction; 0 means no limit
+	mu             sync.Mutex
+	limiters       map[[2]string]*rate.Limiter
 }
 
-// New makes ways of that width in bits a second; 0 for no bound.
+// New returns links of the given bandwidth in bits per second; 0 means no limit.
 func New(bits float64) *Ways {
-	return &Ways{bytes: bits / 8, ways: make(map[[2]string]*rate.Limiter)}
+	return &Ways{bytesPerSecond: bits / 8, limiters: make(map[[2]string]*rate.Limiter)}
 }
 
-// way gives one direction between two regions; nil where it has no bound.
-func (w *Ways) way(from, to string) *rate.Limiter {
-	if w.bytes <= 0 || from == to {
+// limiter returns the limiter of one direction between two regions, or nil if that direction is
+// unlimited, as traffic within a region is.
+func (w *Ways) limiter(from, to string) *rate.Limiter {
+	if w.bytesPerSecond <= 0 || from == to {
 		return nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	key := [2]string{from, to}
-	one, known := w.ways[key]
-	if !known {
-		one = rate.NewLimiter(rate.Limit(w.bytes), burst)
-		w.ways[key] = one
+	limiter, ok := w.limiters[key]
+	if !ok {
+		limiter = rate.NewLimiter(rate.Limit(w.bytesPerSecond), burstBytes)
+		w.limiters[key] = limiter
 	}
-	return one
+	return limiter
 }
 
-// Pass waits until so many bytes of a connection have their turn. The error says that ctx ended.
+// Pass blocks until the link has bandwidth for so many bytes of a connection. It returns an error
+// if ctx ends first or its deadline is too early.
 func (w *Ways) Pass(ctx context.Context, from, to string, bytes int) error {
-	if one := w.way(from, to); one != nil {
-		return one.WaitN(ctx, min(bytes, burst))
+	if limiter := w.limiter(from, to); limiter != nil {
+		return limiter.WaitN(ctx, min(bytes, burstBytes))
 	}
 	return nil
 }
 
-// Takes tells whether a datagram of so many bytes passes: a full way drops it.
+// Takes reports whether the link has bandwidth for a datagram of so many bytes now. A datagram
+// that doesn't pass is dropped, as by a router whose queue is full.
 func (w *Ways) Takes(from, to string, bytes int) bool {
-	one := w.way(from, to)
-	return one == nil || one.AllowN(time.Now(), min(bytes, burst))
+	limiter := w.limiter(from, to)
+	return limiter == nil || limiter.AllowN(time.Now(), min(bytes, burstBytes))
 }
--- a/internal/width/width_test.go
+++ b/internal/width/width_test.go
@@ -10,26 +10,27 @@
 	"github.com/linenscale/linenscale/internal/width"
 )
 
-// TestAllTrafficOfOneWaySharesItsWidth passes bytes of several connections between two regions,
-// the other way, and within one.
-func TestAllTrafficOfOneWaySharesItsWidth(t *testing.T) {
-	ways := width.New(8e6) // a megabyte a second, and some 64 KB at once
+// TestConnectionsOfOneDirectionShareBandwidth guards against a limit that applies to each
+// connection instead of all of a direction, or that also covers the other direction or traffic
+// within a region.
+func TestConnectionsOfOneDirectionShareBandwidth(t *testing.T) {
+	links := width.New(8e6) // 1 MB per second, bursts of 64 KiB
 	ctx := context.Background()
-	passed := func(from, to string) int {
+	countAllowed := func(from, to string) int {
 		n := 0
-		for n < 100 && ways.Takes(from, to, 10_000) {
+		for n < 100 && links.Takes(from, to, 10_000) {
 			n++
 		}
 		return n
 	}
-	must.Eq(t, 6, passed("a", "b"))
-	must.LessEq(t, 1, passed("a", "b"), must.Sprint("what another connection has used is gone"))
-	must.Eq(t, 6, passed("b", "a"), must.Sprint("each direction has its own"))
-	must.Eq(t, 6, passed("a", "c"))
-	must.Eq(t, 100, passed("a", "a"), must.Sprint("within a region there is no bound"))
-	must.NoError(t, ways.Pass(ctx, "a", "b", 10_000))
-	hurried, cancel := context.WithTimeout(ctx, time.Millisecond)
+	must.Eq(t, 6, countAllowed("a", "b"))
+	must.LessEq(t, 1, countAllowed("a", "b"), must.Sprint("a second connection has only what the first left over"))
+	must.Eq(t, 6, countAllowed("b", "a"), must.Sprint("each direction has its own limit"))
+	must.Eq(t, 6, countAllowed("a", "c"))
+	must.Eq(t, 100, countAllowed("a", "a"), must.Sprint("traffic within a region is unlimited"))
+	must.NoError(t, links.Pass(ctx, "a", "b", 10_000))
+	shortCtx, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	must.Error(t, ways.Pass(hurried, "a", "b", 60_000), must.Sprint("it isn't its turn in time"))
+	must.Error(t, links.Pass(shortCtx, "a", "b", 60_000), must.Sprint("the link has no bandwidth before the deadline"))
 	must.NoError(t, width.New(0).Pass(ctx, "a", "b", 1<<40))
 }
