--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -39,7 +39,7 @@
 		bars.LineStyle.Width = 0
 		bars.Offset = width * vg.Length(float64(way)-float64(ways-1)/2)
 		p.Add(bars)
-		p.Legend.Add(tables[0].Rows[way].Way, bars)
+		p.Legend.Add(tables[0].Rows[way].Policy, bars)
 	}
 	p.Legend.Top = true
 	p.NominalX(shortened(names)...)
@@ -68,7 +68,7 @@
 		for i, t := range tables {
 			points[i] = plotter.XY{X: x[i], Y: value(t.Rows[way].Result)}
 		}
-		args = append(args, tables[0].Rows[way].Way, points)
+		args = append(args, tables[0].Rows[way].Policy, points)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
 		return errors.Trace(err)
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -7,21 +7,21 @@
 
 // Result is what one run showed.
 type Result struct {
-	Requests  int
-	Answered  int
-	InTime    int // answered by the deadline
-	Refused   int
-	Failed    int
-	Calls     int // to engines
-	Goodput   float64
-	QuickP50  time.Duration // to the first token, of quick questions
-	QuickP99  time.Duration
-	LongP50   time.Duration
-	LongP99   time.Duration
-	AllP99    time.Duration
-	Hit       float64 // share of prompt blocks found cached
-	Away      float64 // share of requests sent away
-	Forbidden int     // served where the selectors don't allow
+	Requests    int
+	Answered    int
+	InTime      int // answered by the deadline
+	Rejected    int
+	Failed      int
+	Calls       int // to engines
+	Goodput     float64
+	QuickP50    time.Duration // to the first token, of quick questions
+	QuickP99    time.Duration
+	LongP50     time.Duration
+	LongP99     time.Duration
+	AllP99      time.Duration
+	HitRate     float64 // share of prompt blocks found cached
+	RemoteShare float64 // share of requests sent away
+	Forbidden   int     // served where the selectors don't allow
 }
 
 // Seeds is how many runs, each with arrivals of its own, make one result.
@@ -46,14 +46,14 @@
 	for _, a := range w.arrivals {
 		r.Requests++
 		if a.region != a.home {
-			r.Away++
+			r.RemoteShare++
 		}
 		if w.opts.Permitted != nil && !w.opts.Permitted(a.home, a.region) {
 			r.Forbidden++
 		}
 		switch {
 		case a.refused:
-			r.Refused++
+			r.Rejected++
 		case a.failed || a.end.IsZero():
 			r.Failed++
 		default:
@@ -74,8 +74,8 @@
 		hit += e.hit
 		blocks += e.blocks
 	}
-	r.Away /= float64(max(1, r.Requests))
-	r.Hit = float64(hit) / float64(max(1, blocks))
+	r.RemoteShare /= float64(max(1, r.Requests))
+	r.HitRate = float64(hit) / float64(max(1, blocks))
 	r.Goodput = float64(r.InTime) / w.opts.Duration.Seconds() / Seeds
 	r.QuickP50, r.QuickP99 = quantile(quick, 0.5), quantile(quick, 0.99)
 	r.LongP50, r.LongP99 = quantile(long, 0.5), quantile(long, 0.99)
--- a/internal/bench/scenarios.go
+++ b/internal/bench/scenarios.go
@@ -13,7 +13,7 @@
 
 // Row is one way of choosing in one scenario.
 type Row struct {
-	Way    string
+	Policy string
 	Result Result
 }
 
@@ -27,8 +27,8 @@
 // base is one region with twelve engines before three hosts.
 func base(load float64) Options {
 	return Options{
-		Seed: 1, Duration: 60 * time.Second, Slots: 8, Policy: route.PrefixBounded{}, Region: RegionHome,
-		ReportLag: time.Second, EventGap: 0.5, LongShare: 0.3, Documents: 150, Deadline: 5 * time.Second, FirstToken: 380 * time.Millisecond,
+		Seed: 1, Duration: 60 * time.Second, Slots: 8, EnginePolicy: route.PrefixBounded{}, RegionPolicy: RegionHome,
+		ReportLag: time.Second, EventLoss: 0.5, LongShare: 0.3, Documents: 150, Deadline: 5 * time.Second, FirstToken: 380 * time.Millisecond,
 		Regions: []RegionOptions{{Name: "lagos", Engines: 12, Hosts: 3, Rate: constant(load * capacity(12))}},
 	}
 }
@@ -53,7 +53,7 @@
 } {
 	with := func(p route.Policy, owner bool) func(Options) Options {
 		return func(o Options) Options {
-			o.Policy, o.Owner = p, owner
+			o.EnginePolicy, o.SingleQueue = p, owner
 			return o
 		}
 	}
@@ -77,8 +77,8 @@
 	}{
 		{"hot prefixes, load 0.7", base(0.7)},
 		{"hot prefixes, load 0.9", base(0.9)},
-		{"one engine at a quarter of the speed, load 0.7", withFaults(base(0.7), func(w *World) { w.Engines("lagos")[0].Slow(0.25) })},
-		{"one engine reports no load, load 0.8", withFaults(base(0.8), func(w *World) { w.Engines("lagos")[0].Lie() })},
+		{"one engine at a quarter of the speed, load 0.7", withFaults(base(0.7), func(w *World) { w.Engines("lagos")[0].SetSpeed(0.25) })},
+		{"one engine reports no load, load 0.8", withFaults(base(0.8), func(w *World) { w.Engines("lagos")[0].HideLoad() })},
 		{"no cache events and reports 3 s late, load 0.8", late(base(0.8))},
 	}
 	var tables []Table
@@ -93,12 +93,12 @@
 }
 
 func withFaults(o Options, faults func(*World)) Options {
-	o.Faults = faults
+	o.InjectFaults = faults
 	return o
 }
 
 func late(o Options) Options {
-	o.EventGap, o.ReportLag = 1, 3*time.Second
+	o.EventLoss, o.ReportLag = 1, 3*time.Second
 	return o
 }
 
@@ -126,7 +126,7 @@
 	o := withFaults(base(0.3), func(w *World) {
 		w.At(10*time.Second, func() {
 			for i, e := range w.Engines("lagos") {
-				e.Fail(i%2 == 0)
+				e.SetFailing(i%2 == 0)
 			}
 		})
 	})
@@ -172,9 +172,9 @@
 		opts Options
 	}{{"cooperative, peaks in turn", coop}, {"association, peaks in turn", match}} {
 		t := Table{Name: c.name}
-		for _, way := range []RegionWay{RegionOurs, RegionHome, RegionRandom, RegionLeast} {
+		for _, way := range []RegionPolicy{RegionScored, RegionHome, RegionRandom, RegionLeastLoaded} {
 			o := c.opts
-			o.Region = way
+			o.RegionPolicy = way
 			t.Rows = append(t.Rows, Row{string(way), Run(o)})
 		}
 		tables = append(tables, t)
@@ -191,9 +191,9 @@
 	first := t.Rows[0].Result
 	for _, row := range t.Rows {
 		r := row.Result
-		_, err := fmt.Fprintf(w, "%-20s %7d %8d %7d %7d %7d %7dms %7dms %7dms %7dms %6.3f %6.3f %9.2f %9.2f\n", row.Way,
-			r.Requests, r.InTime, r.Refused, r.Failed, r.Calls, r.QuickP50.Milliseconds(), r.QuickP99.Milliseconds(), r.LongP50.Milliseconds(), r.LongP99.Milliseconds(),
-			r.Hit, r.Away, float64(r.AllP99)/float64(first.AllP99), r.Goodput/first.Goodput)
+		_, err := fmt.Fprintf(w, "%-20s %7d %8d %7d %7d %7d %7dms %7dms %7dms %7dms %6.3f %6.3f %9.2f %9.2f\n", row.Policy,
+			r.Requests, r.InTime, r.Rejected, r.Failed, r.Calls, r.QuickP50.Milliseconds(), r.QuickP99.Milliseconds(), r.LongP50.Milliseconds(), r.LongP99.Milliseconds(),
+			r.HitRate, r.RemoteShare, float64(r.AllP99)/float64(first.AllP99), r.Goodput/first.Goodput)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -15,15 +15,15 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// RegionWay is a way to choose the region.
-type RegionWay string
+// RegionPolicy is a way to choose the region.
+type RegionPolicy string
 
 // The ways to choose the region.
 const (
-	RegionOurs   RegionWay = "ours"   // route.ChooseRegion
-	RegionHome   RegionWay = "home"   // always home
-	RegionRandom RegionWay = "random" // any permitted region
-	RegionLeast  RegionWay = "least"  // the least loaded by its digest
+	RegionScored      RegionPolicy = "ours"   // route.ChooseRegion
+	RegionHome        RegionPolicy = "home"   // always home
+	RegionRandom      RegionPolicy = "random" // any permitted region
+	RegionLeastLoaded RegionPolicy = "least"  // the least loaded by its digest
 )
 
 // RegionOptions describes one region.
@@ -37,25 +37,25 @@
 
 // Options shapes one run.
 type Options struct {
-	Seed      uint64
-	Duration  time.Duration
-	Regions   []RegionOptions
-	Slots     int
-	Policy    route.Policy
-	Owner     bool // one host owns the queue of each region's engines
-	NoQueue   bool // requests are sent on at once and wait at the engine
-	Region    RegionWay
-	Weights   route.Weights
-	Permitted func(home, region string) bool
-	ReportLag time.Duration
-	EventGap  float64
-	RoundTrip time.Duration // between regions
-	LongShare float64
-	Documents int
-	Deadline  time.Duration
+	Seed         uint64
+	Duration     time.Duration
+	Regions      []RegionOptions
+	Slots        int
+	EnginePolicy route.Policy
+	SingleQueue  bool // one host owns the queue of each region's engines
+	NoQueue      bool // requests are sent on at once and wait at the engine
+	RegionPolicy RegionPolicy
+	Weights      route.Weights
+	Permitted    func(home, region string) bool
+	ReportLag    time.Duration
+	EventLoss    float64
+	RoundTrip    time.Duration // between regions
+	LongShare    float64
+	Documents    int
+	Deadline     time.Duration
 	// FirstToken is the service's target.
-	FirstToken time.Duration
-	Faults     func(w *World)
+	FirstToken   time.Duration
+	InjectFaults func(w *World)
 }
 
 // World lets a scenario bring about faults.
@@ -78,14 +78,14 @@
 // Engine lets a scenario change one engine.
 type Engine engine
 
-// Slow makes tokens come at a share of the ordinary speed.
-func (e *Engine) Slow(speed float64) { e.speed = speed }
+// SetSpeed makes tokens come at a share of the ordinary speed.
+func (e *Engine) SetSpeed(speed float64) { e.speed = speed }
 
-// Lie makes it report no load.
-func (e *Engine) Lie() { e.lie = true }
+// HideLoad makes it report no load.
+func (e *Engine) HideLoad() { e.lie = true }
 
-// Fail makes it fail every request.
-func (e *Engine) Fail(fails bool) { e.fails = fails }
+// SetFailing makes it fail every request.
+func (e *Engine) SetFailing(fails bool) { e.fails = fails }
 
 // arrival is one request of a member.
 type arrival struct {
@@ -146,11 +146,11 @@
 	}
 	for i, r := range opts.Regions {
 		hosts := r.Hosts
-		if opts.Owner {
+		if opts.SingleQueue {
 			hosts = 1
 		}
 		for h := range hosts {
-			f := fleet.New(fmt.Sprintf("%s-%d", r.Name, h), r.Name, func() time.Time { return w.time.Now() }, opts.Policy, opts.Seed+uint64(i*100+h))
+			f := fleet.New(fmt.Sprintf("%s-%d", r.Name, h), r.Name, func() time.Time { return w.time.Now() }, opts.EnginePolicy, opts.Seed+uint64(i*100+h))
 			f.Apply(config, nil)
 			w.hosts[r.Name] = append(w.hosts[r.Name], f)
 		}
@@ -175,8 +175,8 @@
 		}
 	})
 	w.repeat(time.Second, w.spread)
-	if w.opts.Faults != nil {
-		w.opts.Faults(&World{w})
+	if w.opts.InjectFaults != nil {
+		w.opts.InjectFaults(&World{w})
 	}
 	w.time.Run()
 }
@@ -222,7 +222,7 @@
 
 // evicted tells the hosts of a cache event, late, or not at all.
 func (w *world) evicted(e *engine, block uint64) {
-	if w.random.Float64() < w.opts.EventGap {
+	if w.random.Float64() < w.opts.EventLoss {
 		return
 	}
 	w.at(w.opts.ReportLag, func() {
@@ -273,7 +273,7 @@
 	if away {
 		delay = w.opts.RoundTrip
 	}
-	if w.opts.Owner {
+	if w.opts.SingleQueue {
 		delay += time.Millisecond
 	}
 	hosts := w.hosts[region]
@@ -365,14 +365,14 @@
 
 func (w *world) pickRegion(a *arrival, digests []route.Digest, home int) int {
 	permitted := func(region string) bool { return w.opts.Permitted == nil || w.opts.Permitted(a.home, region) }
-	switch w.opts.Region {
+	switch w.opts.RegionPolicy {
 	case RegionRandom:
 		for {
 			if i := w.random.IntN(len(digests)); permitted(digests[i].Region) {
 				return i
 			}
 		}
-	case RegionLeast:
+	case RegionLeastLoaded:
 		best := home
 		for i, d := range digests {
 			if permitted(d.Region) && float64(d.Load)/float64(d.Slots) < float64(digests[best].Load)/float64(digests[best].Slots) {
@@ -380,7 +380,7 @@
 			}
 		}
 		return best
-	case RegionOurs:
+	case RegionScored:
 		ask := route.RegionAsk{Permitted: permitted, Prefill: time.Duration(a.bytes) * prefillByte, Warm: 0.5}
 		if c := route.ChooseRegion(w.time.Now(), digests, home, w.opts.Weights, &ask, w.random.Uint64()); c.Index >= 0 {
 			return c.Index
