--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -7,125 +7,128 @@
 	"github.com/linenscale/linenscale/internal/blockcache"
 )
 
-// engine models a back end that batches.
+// engine models an engine with continuous batching: a batch of slots, a bounded queue and a prefix
+// cache.
 type engine struct {
-	name    string
-	service string
-	slots   int
-	speed   float64 // of tokens; 1 is ordinary
-	lie     bool    // reports no load
-	fails   bool
-	down    bool
-	cache   *blockcache.Cache
-	running int
-	waiting []*job
-	calls   int
-	hit     int
-	blocks  int
-	loads   []load
+	name         string
+	service      string
+	slots        int
+	speed        float64 // relative token throughput; 1 is normal
+	hidesLoad    bool    // reports no load
+	failing      bool
+	down         bool
+	cache        *blockcache.Cache
+	running      int
+	waiting      []*job
+	calls        int
+	hitBlocks    int
+	promptBlocks int
+	loadHistory  []load
 }
 
-// load is what the engine had at a time.
+// load is the number of running and queued requests of an engine at one time.
 type load struct {
 	at      time.Time
 	running int
 	waiting int
 }
 
-// job is one request at an engine.
+// job is one attempt of a request at an engine.
 type job struct {
-	r     *arrival
-	first func(at time.Time)          // the first token leaves
-	done  func(at time.Time, ok bool) // the last token leaves, or it failed
+	arrival      *arrival
+	onFirstToken func(at time.Time)          // the first token was sent
+	onDone       func(at time.Time, ok bool) // the last token was sent, or the attempt failed
 }
 
 // Parameters of the model.
 const (
-	queueAtEngine = 16
-	cacheBlocks   = 600
-	prefillByte   = 20 * time.Microsecond
-	tokenTime     = 10 * time.Millisecond
-	// batchSlowing is by what share a full batch slows each token.
-	batchSlowing = 0.4
-	blockBytes   = 1024
+	engineQueueLimit = 16
+	cacheBlocks      = 600
+	prefillPerByte   = 20 * time.Microsecond
+	tokenTime        = 10 * time.Millisecond
+	// fullBatchSlowdown is the share by which a full batch increases the time per token.
+	fullBatchSlowdown = 0.4
+	blockBytes        = 1024
 )
 
-// offer takes a request, or refuses it for load.
+// offer starts or queues a request. It returns false if the batch and the queue are full.
 func (e *engine) offer(w *world, j *job) bool {
 	e.calls++
-	if e.running >= e.slots && len(e.waiting) >= queueAtEngine {
+	if e.running >= e.slots && len(e.waiting) >= engineQueueLimit {
 		return false
 	}
 	if e.running >= e.slots {
-		e.wait(j)
-		e.note(w)
+		e.enqueue(j)
+		e.recordLoad(w)
 		return true
 	}
-	e.run(w, j)
+	e.start(w, j)
 	return true
 }
 
-// wait puts a request into the engine's queue; engines honour priorities.
-func (e *engine) wait(j *job) {
+// enqueue adds a request to the engine's queue. Engines honour priorities: quick requests come
+// before long ones.
+func (e *engine) enqueue(j *job) {
 	at := len(e.waiting)
-	for at > 0 && e.waiting[at-1].r.long && !j.r.long {
+	for at > 0 && e.waiting[at-1].arrival.long && !j.arrival.long {
 		at--
 	}
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-func (e *engine) run(w *world, j *job) {
+func (e *engine) start(w *world, j *job) {
 	e.running++
-	e.note(w)
-	hit, evicted := e.cache.Use(j.r.chain)
-	e.hit += hit
-	e.blocks += len(j.r.chain)
+	e.recordLoad(w)
+	hit, evicted := e.cache.Use(j.arrival.chain)
+	e.hitBlocks += hit
+	e.promptBlocks += len(j.arrival.chain)
 	for _, block := range evicted {
-		w.evicted(e, block)
+		w.reportEviction(e, block)
 	}
-	cold := time.Duration(j.r.bytes-hit*blockBytes) * prefillByte
-	crowd := 1 + batchSlowing*float64(e.running)/float64(e.slots)
-	pace := time.Duration(float64(tokenTime) * crowd / e.speed)
-	first := time.Duration(float64(cold)/e.speed) + pace
-	if e.fails || e.down {
-		w.at(pace, func() { e.end(w, j, false) })
+	prefill := time.Duration(j.arrival.bytes-hit*blockBytes) * prefillPerByte
+	slowdown := 1 + fullBatchSlowdown*float64(e.running)/float64(e.slots)
+	perToken := time.Duration(float64(tokenTime) * slowdown / e.speed)
+	first := time.Duration(float64(prefill)/e.speed) + perToken
+	if e.failing || e.down {
+		w.after(perToken, func() { e.finish(w, j, false) })
 		return
 	}
-	w.at(first, func() { j.first(w.time.Now()) })
-	w.at(first+pace*time.Duration(j.r.tokens-1), func() { e.end(w, j, true) })
+	w.after(first, func() { j.onFirstToken(w.time.Now()) })
+	w.after(first+perToken*time.Duration(j.arrival.tokens-1), func() { e.finish(w, j, true) })
 }
 
-func (e *engine) end(w *world, j *job, ok bool) {
+func (e *engine) finish(w *world, j *job, ok bool) {
 	e.running--
 	if len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.run(w, next)
+		e.start(w, next)
 	}
-	e.note(w)
-	j.done(w.time.Now(), ok)
+	e.recordLoad(w)
+	j.onDone(w.time.Now(), ok)
 }
 
-// note remembers the load for reports that lag.
-func (e *engine) note(w *world) {
-	e.loads = append(e.loads, load{w.time.Now(), e.running, len(e.waiting)})
-	for len(e.loads) > 2 && w.time.Now().Sub(e.loads[1].at) > w.opts.ReportLag {
-		e.loads = e.loads[1:]
+// recordLoad appends the current load to the history, which it limits to what delayed reports need.
+func (e *engine) recordLoad(w *world) {
+	e.loadHistory = append(e.loadHistory, load{w.time.Now(), e.running, len(e.waiting)})
+	for len(e.loadHistory) > 2 && w.time.Now().Sub(e.loadHistory[1].at) > w.opts.ReportLag {
+		e.loadHistory = e.loadHistory[1:]
 	}
 }
 
-// reported gives the load as of the lag ago.
-func (e *engine) reported(w *world) load {
+// laggedLoad returns the load that the engine reports now: its load ReportLag ago, or none if it
+// hides its load.
+func (e *engine) laggedLoad(w *world) load {
 	at := w.time.Now().Add(-w.opts.ReportLag)
-	found := load{at: at}
-	for _, l := range e.loads {
+	lagged := load{at: at}
+	for _, l := range e.loadHistory {
 		if l.at.After(at) {
 			break
 		}
-		found.running, found.waiting = l.running, l.waiting
+		lagged.running, lagged.waiting = l.running, l.waiting
 	}
-	if e.lie {
-		found.running, found.waiting = 0, 0
+	if e.hidesLoad {
+		lagged.running, lagged.waiting = 0, 0
 	}
-	return found
+	return lagged
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// Result is what one run showed.
+// Result holds the counts and latencies of one policy in one scenario, over all seeds.
 type Result struct {
 	Requests    int
 	Answered    int
-	InTime      int // answered by the deadline
+	InTime      int // first token by the deadline
 	Rejected    int
 	Failed      int
-	Calls       int // to engines
+	Calls       int // attempts at engines
 	Goodput     float64
-	QuickP50    time.Duration // to the first token, of quick questions
+	QuickP50    time.Duration // time to the first token, of quick questions
 	QuickP99    time.Duration
 	LongP50     time.Duration
 	LongP99     time.Duration
 	AllP99      time.Duration
-	HitRate     float64 // share of prompt blocks found cached
-	RemoteShare float64 // share of requests sent away
-	Forbidden   int     // served where the selectors don't allow
+	HitRate     float64 // share of prompt blocks found in the cache
+	RemoteShare float64 // share of requests sent to a remote region
+	Forbidden   int     // requests sent to a region that the selectors don't permit
 }
 
-// Seeds is how many runs, each with arrivals of its own, make one result.
+// Seeds is the number of runs per result. Each run has its own arrivals.
 const Seeds = 4
 
-// Run makes the runs and gives their requests together.
+// Run runs the simulation once for each seed, which replaces opts.Seed, and returns the result over
+// the requests of all runs.
 func Run(opts Options) Result {
-	all := &world{opts: opts}
+	combined := &world{opts: opts}
 	for seed := range uint64(Seeds) {
 		opts.Seed = seed + 1
 		w := newWorld(opts)
 		w.run()
-		all.arrivals = append(all.arrivals, w.arrivals...)
-		all.engines = append(all.engines, w.engines...)
+		combined.arrivals = append(combined.arrivals, w.arrivals...)
+		combined.engines = append(combined.engines, w.engines...)
 	}
-	return all.result()
+	return combined.result()
 }
 
 func (w *world) result() Result {
@@ -52,27 +53,27 @@
 			r.Forbidden++
 		}
 		switch {
-		case a.refused:
+		case a.rejected:
 			r.Rejected++
 		case a.failed || a.end.IsZero():
 			r.Failed++
 		default:
 			r.Answered++
-			if !a.first.After(a.at.Add(w.opts.Deadline)) {
+			if !a.firstToken.After(a.at.Add(w.opts.Deadline)) {
 				r.InTime++
 			}
 			if a.long {
-				long = append(long, a.first.Sub(a.at))
+				long = append(long, a.firstToken.Sub(a.at))
 			} else {
-				quick = append(quick, a.first.Sub(a.at))
+				quick = append(quick, a.firstToken.Sub(a.at))
 			}
 		}
 	}
 	hit, blocks := 0, 0
 	for _, e := range w.engines {
 		r.Calls += e.calls
-		hit += e.hit
-		blocks += e.blocks
+		hit += e.hitBlocks
+		blocks += e.promptBlocks
 	}
 	r.RemoteShare /= float64(max(1, r.Requests))
 	r.HitRate = float64(hit) / float64(max(1, blocks))
@@ -83,10 +84,10 @@
 	return r
 }
 
-func quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	return all[min(len(all)-1, int(q*float64(len(all))))]
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
--- a/internal/bench/scenarios.go
+++ b/internal/bench/scenarios.go
@@ -11,49 +11,48 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// Row is one way of choosing in one scenario.
+// Row is the result of one policy in one scenario.
 type Row struct {
 	Policy string
 	Result Result
 }
 
-// Table is one scenario with all ways on the same arrivals. The first row is
-// ours; the others are compared with it.
+// Table compares the policies in one scenario, on the same arrivals. The first row is the policy of
+// the daemon; the others are baselines.
 type Table struct {
 	Name string
 	Rows []Row
 }
 
-// base is one region with twelve engines before three hosts.
-func base(load float64) Options {
+// baseOptions returns a scenario with one region of three hosts and twelve engines. load is a
+// multiple of their capacity.
+func baseOptions(load float64) Options {
 	return Options{
 		Seed: 1, Duration: 60 * time.Second, Slots: 8, EnginePolicy: route.PrefixBounded{}, RegionPolicy: RegionHome,
 		ReportLag: time.Second, EventLoss: 0.5, LongShare: 0.3, Documents: 150, Deadline: 5 * time.Second, FirstToken: 380 * time.Millisecond,
-		Regions: []RegionOptions{{Name: "lagos", Engines: 12, Hosts: 3, Rate: constant(load * capacity(12))}},
+		Regions: []RegionOptions{{Name: "lagos", Engines: 12, Hosts: 3, Rate: constantRate(load * capacity(12))}},
 	}
 }
 
-func constant(rate float64) func(time.Duration) float64 {
+func constantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// requestTime is the mean time that a request holds a slot of a nearly full
-// batch, with half of the long prompts cached; it gives the capacity that load
-// is a multiple of.
+// requestTime is the mean time that a request holds a slot of a nearly full batch, with half of the
+// long prompts cached. The capacity is computed from it.
 const requestTime = 1550 * time.Millisecond
 
-// capacity gives the requests a second that so many engines of 8 slots can
-// answer.
+// capacity returns the requests per second that so many engines of 8 slots can answer.
 func capacity(engines int) float64 { return float64(engines*8) / requestTime.Seconds() }
 
-// engineWays are the ways to choose an engine.
-func engineWays() []struct {
+// enginePolicies returns the policies that choose an engine, that of the daemon first.
+func enginePolicies() []struct {
 	name  string
 	apply func(Options) Options
 } {
-	with := func(p route.Policy, owner bool) func(Options) Options {
+	with := func(p route.Policy, singleQueue bool) func(Options) Options {
 		return func(o Options) Options {
-			o.EnginePolicy, o.SingleQueue = p, owner
+			o.EnginePolicy, o.SingleQueue = p, singleQueue
 			return o
 		}
 	}
@@ -69,23 +68,24 @@
 	}
 }
 
-// EngineChoice compares the ways to choose an engine.
+// EngineChoice compares the policies that choose an engine: under load, with a slow engine, with an
+// engine that hides its load, and with stale reports.
 func EngineChoice() []Table {
 	cases := []struct {
 		name string
 		opts Options
 	}{
-		{"hot prefixes, load 0.7", base(0.7)},
-		{"hot prefixes, load 0.9", base(0.9)},
-		{"one engine at a quarter of the speed, load 0.7", withFaults(base(0.7), func(w *World) { w.Engines("lagos")[0].SetSpeed(0.25) })},
-		{"one engine reports no load, load 0.8", withFaults(base(0.8), func(w *World) { w.Engines("lagos")[0].HideLoad() })},
-		{"no cache events and reports 3 s late, load 0.8", late(base(0.8))},
+		{"hot prefixes, load 0.7", baseOptions(0.7)},
+		{"hot prefixes, load 0.9", baseOptions(0.9)},
+		{"one engine at a quarter of the speed, load 0.7", withFaults(baseOptions(0.7), func(w *World) { w.Engines("lagos")[0].SetSpeed(0.25) })},
+		{"one engine reports no load, load 0.8", withFaults(baseOptions(0.8), func(w *World) { w.Engines("lagos")[0].HideLoad() })},
+		{"no cache events and reports 3 s late, load 0.8", withStaleReports(baseOptions(0.8))},
 	}
 	var tables []Table
 	for _, c := range cases {
 		t := Table{Name: c.name}
-		for _, way := range engineWays() {
-			t.Rows = append(t.Rows, Row{way.name, Run(way.apply(c.opts))})
+		for _, policy := range enginePolicies() {
+			t.Rows = append(t.Rows, Row{policy.name, Run(policy.apply(c.opts))})
 		}
 		tables = append(tables, t)
 	}
@@ -97,33 +97,33 @@
 	return o
 }
 
-func late(o Options) Options {
+func withStaleReports(o Options) Options {
 	o.EventLoss, o.ReportLag = 1, 3*time.Second
 	return o
 }
 
-// Loads are the multiples of the capacity that Overload offers.
+// Loads are the loads of Overload, as multiples of the capacity.
 var Loads = []float64{1, 2, 5, 10}
 
-// Overload compares our queue, at several multiples of the capacity, with
-// sending everything on to the engines.
+// Overload compares the daemon's bounded queue with the same queue without deadlines, at several
+// multiples of the capacity.
 func Overload() []Table {
 	var tables []Table
 	for _, load := range Loads {
-		o := base(load)
+		o := baseOptions(load)
 		o.Duration = 30 * time.Second
-		sent := o
-		sent.NoQueue = true
+		noDeadlines := o
+		noDeadlines.NoQueue = true
 		t := Table{Name: fmt.Sprintf("offered %g times the capacity", load)}
-		t.Rows = append(t.Rows, Row{"bounded queue", Run(o)}, Row{"no deadlines", Run(sent)})
+		t.Rows = append(t.Rows, Row{"bounded queue", Run(o)}, Row{"no deadlines", Run(noDeadlines)})
 		tables = append(tables, t)
 	}
 	return tables
 }
 
-// Retries lets half of the engines fail.
+// Retries measures the retry budget and the ejection of engines while half of the engines fail.
 func Retries() []Table {
-	o := withFaults(base(0.3), func(w *World) {
+	o := withFaults(baseOptions(0.3), func(w *World) {
 		w.At(10*time.Second, func() {
 			for i, e := range w.Engines("lagos") {
 				e.SetFailing(i%2 == 0)
@@ -133,10 +133,10 @@
 	return []Table{{Name: "half of the engines fail from 10 s on, load 0.3", Rows: []Row{{"budget and ejection", Run(o)}}}}
 }
 
-// association gives both associations' regions, with offset daily peaks
-// squeezed into the run.
-func association(names []string, weights route.Weights, permitted func(home, region string) bool) Options {
-	o := base(0)
+// associationOptions returns a scenario of three regions whose daily peaks are offset by a third of
+// a day each. The run stands for one day.
+func associationOptions(names []string, weights route.Weights, permitted func(home, region string) bool) Options {
+	o := baseOptions(0)
 	o.Duration = 120 * time.Second
 	o.RoundTrip = 160 * time.Millisecond
 	o.Weights, o.Permitted = weights, permitted
@@ -152,15 +152,16 @@
 	return o
 }
 
-// Associations compares the ways to choose a region on both associations.
+// Associations compares the policies that choose a region, for two associations that differ in their
+// weights and in the regions that they permit.
 func Associations() []Table {
-	coop := association([]string{"lagos", "abuja", "kano"}, route.Weights{Tail: 4, Cost: 1, Away: 1, Target: 380 * time.Millisecond}, func(home, region string) bool {
+	cooperative := associationOptions([]string{"lagos", "abuja", "kano"}, route.Weights{Tail: 4, Cost: 1, Away: 1, Target: 380 * time.Millisecond}, func(home, region string) bool {
 		if home == "kano" {
 			return region != "lagos"
 		}
 		return region != "kano"
 	})
-	match := association([]string{"tunis", "sfax", "marseille"}, route.Weights{Tail: 1, Cost: 1, Away: 4, Target: 380 * time.Millisecond}, func(home, region string) bool {
+	association := associationOptions([]string{"tunis", "sfax", "marseille"}, route.Weights{Tail: 1, Cost: 1, Away: 4, Target: 380 * time.Millisecond}, func(home, region string) bool {
 		if home == "marseille" {
 			return region != "tunis"
 		}
@@ -170,19 +171,19 @@
 	for _, c := range []struct {
 		name string
 		opts Options
-	}{{"cooperative, peaks in turn", coop}, {"association, peaks in turn", match}} {
+	}{{"cooperative, peaks in turn", cooperative}, {"association, peaks in turn", association}} {
 		t := Table{Name: c.name}
-		for _, way := range []RegionPolicy{RegionScored, RegionHome, RegionRandom, RegionLeastLoaded} {
+		for _, policy := range []RegionPolicy{RegionScored, RegionHome, RegionRandom, RegionLeastLoaded} {
 			o := c.opts
-			o.RegionPolicy = way
-			t.Rows = append(t.Rows, Row{string(way), Run(o)})
+			o.RegionPolicy = policy
+			t.Rows = append(t.Rows, Row{string(policy), Run(o)})
 		}
 		tables = append(tables, t)
 	}
 	return tables
 }
 
-// Write writes a table as text. Ratios are to the first row.
+// Write writes a table as text. Its ratios are relative to the first row.
 func (t Table) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "\n%s\n%-20s %7s %8s %7s %7s %7s %9s %9s %9s %9s %6s %6s %9s %9s\n", t.Name,
 		"way", "sent", "in time", "refused", "failed", "calls", "quick p50", "quick p99", "long p50", "long p99", "hit", "away", "p99 ratio", "goodput r"); err != nil {
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -15,35 +15,35 @@
 	"github.com/linenscale/linenscale/route"
 )
 
-// RegionPolicy is a way to choose the region.
+// RegionPolicy selects how a run chooses the region of a request.
 type RegionPolicy string
 
-// The ways to choose the region.
+// Policies that choose a region.
 const (
 	RegionScored      RegionPolicy = "ours"   // route.ChooseRegion
-	RegionHome        RegionPolicy = "home"   // always home
+	RegionHome        RegionPolicy = "home"   // always the home region
 	RegionRandom      RegionPolicy = "random" // any permitted region
-	RegionLeastLoaded RegionPolicy = "least"  // the least loaded by its digest
+	RegionLeastLoaded RegionPolicy = "least"  // the permitted region with the lowest load per slot, by its digest
 )
 
-// RegionOptions describes one region.
+// RegionOptions configures one region.
 type RegionOptions struct {
 	Name    string
 	Engines int
 	Hosts   int
-	// Rate of arrivals over time, in requests a second.
+	// Rate returns the arrival rate at a time of the run, in requests per second.
 	Rate func(at time.Duration) float64
 }
 
-// Options shapes one run.
+// Options configures one run.
 type Options struct {
 	Seed         uint64
 	Duration     time.Duration
 	Regions      []RegionOptions
 	Slots        int
 	EnginePolicy route.Policy
-	SingleQueue  bool // one host owns the queue of each region's engines
-	NoQueue      bool // requests are sent on at once and wait at the engine
+	SingleQueue  bool // each region has a single host, which owns the queue of its engines
+	NoQueue      bool // requests have a deadline of an hour
 	RegionPolicy RegionPolicy
 	Weights      route.Weights
 	Permitted    func(home, region string) bool
@@ -53,18 +53,18 @@
 	LongShare    float64
 	Documents    int
 	Deadline     time.Duration
-	// FirstToken is the service's target.
+	// FirstToken is the service's target for the time to the first token.
 	FirstToken   time.Duration
 	InjectFaults func(w *World)
 }
 
-// World lets a scenario bring about faults.
+// World is the view of a run through which a scenario injects faults.
 type World struct{ *world }
 
-// At runs do at a time of the run.
-func (w *World) At(at time.Duration, do func()) { w.at(at, do) }
+// At runs fn at a time of the run, counted from its start.
+func (w *World) At(at time.Duration, fn func()) { w.after(at, fn) }
 
-// Engines lists the engines of a region.
+// Engines returns the engines of a region.
 func (w *World) Engines(region string) []*Engine {
 	var out []*Engine
 	for _, e := range w.engines {
@@ -75,59 +75,59 @@
 	return out
 }
 
-// Engine lets a scenario change one engine.
+// Engine is the view of an engine through which a scenario injects faults.
 type Engine engine
 
-// SetSpeed makes tokens come at a share of the ordinary speed.
+// SetSpeed sets the token throughput as a multiple of the normal one.
 func (e *Engine) SetSpeed(speed float64) { e.speed = speed }
 
-// HideLoad makes it report no load.
-func (e *Engine) HideLoad() { e.lie = true }
+// HideLoad makes the engine report that it has no load.
+func (e *Engine) HideLoad() { e.hidesLoad = true }
 
-// SetFailing makes it fail every request.
-func (e *Engine) SetFailing(fails bool) { e.fails = fails }
+// SetFailing sets whether the engine fails every request.
+func (e *Engine) SetFailing(fails bool) { e.failing = fails }
 
-// arrival is one request of a member.
+// arrival is one request of a member and its outcome.
 type arrival struct {
-	at     time.Time
-	home   string
-	long   bool
-	bytes  int
-	tokens int
-	chain  []uint64
-	acct   string
-
-	first, end time.Time
-	region     string
-	refused    bool
-	failed     bool
-	attempts   int
-	tried      []string
+	at      time.Time
+	home    string
+	long    bool
+	bytes   int
+	tokens  int
+	chain   []uint64
+	account string
+
+	firstToken, end time.Time
+	region          string
+	rejected        bool
+	failed          bool
+	attempts        int
+	tried           []string
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	opts     Options
-	random   *rand.Rand // of the choices
-	members  *rand.Rand // of the arrivals, the same for every way
-	start    time.Time
-	time     *virtual.Time
-	engines  []*engine
-	byName   map[string]*engine
-	regionOf map[string]string
-	hosts    map[string][]*fleet.Fleet
-	digests  map[string]route.Digest // as last spread, to all
-	arrivals []*arrival
+	opts          Options
+	policyRandom  *rand.Rand // for the choices of the policies
+	arrivalRandom *rand.Rand // for the arrivals, which are the same for every policy
+	start         time.Time
+	time          *virtual.Time
+	engines       []*engine
+	byName        map[string]*engine
+	regionOf      map[string]string
+	hosts         map[string][]*fleet.Fleet
+	digests       map[string]route.Digest // by region, as last exchanged
+	arrivals      []*arrival
 }
 
 const service = "assistant"
 
-// begin is the start of virtual time.
-var begin = time.Unix(1_700_000_000, 0)
+// startTime is the start of virtual time.
+var startTime = time.Unix(1_700_000_000, 0)
 
 func newWorld(opts Options) *world {
 	w := &world{
-		opts: opts, random: rand.New(rand.NewPCG(opts.Seed, 5)), members: rand.New(rand.NewPCG(opts.Seed, 6)), start: begin, time: virtual.New(begin),
+		opts: opts, policyRandom: rand.New(rand.NewPCG(opts.Seed, 5)), arrivalRandom: rand.New(rand.NewPCG(opts.Seed, 6)), start: startTime, time: virtual.New(startTime),
 		byName: map[string]*engine{}, regionOf: map[string]string{}, hosts: map[string][]*fleet.Fleet{}, digests: map[string]route.Digest{},
 	}
 	change := declare.Change{Puts: []declare.Envelope{{Object: declare.Service{Name: service, Type: declare.ServiceModel}}}}
@@ -158,15 +158,15 @@
 	return w
 }
 
-// at runs do after a delay.
-func (w *world) at(delay time.Duration, do func()) { w.time.After(delay, do) }
+// after schedules fn to run after a delay.
+func (w *world) after(delay time.Duration, fn func()) { w.time.After(delay, fn) }
 
-// run lets the time pass until nothing is left to happen.
+// run schedules the arrivals, the periodic reports and the faults, and runs until no event is left.
 func (w *world) run() {
 	for _, r := range w.opts.Regions {
 		w.nextArrival(r, 0)
 	}
-	w.repeat(time.Second, w.report)
+	w.repeat(time.Second, w.reportLoads)
 	w.repeat(100*time.Millisecond, func() {
 		for _, r := range w.opts.Regions {
 			for _, f := range w.hosts[r.Name] {
@@ -174,28 +174,28 @@
 			}
 		}
 	})
-	w.repeat(time.Second, w.spread)
+	w.repeat(time.Second, w.exchangeDigests)
 	if w.opts.InjectFaults != nil {
 		w.opts.InjectFaults(&World{w})
 	}
 	w.time.Run()
 }
 
-// repeat runs do at an interval while arrivals go on, and a little longer.
-func (w *world) repeat(every time.Duration, do func()) {
-	w.time.Every(every, func() bool {
-		do()
-		return w.time.Now().Sub(w.start) < w.opts.Duration+drain
+// repeat runs fn at an interval until drainTime after the end of the arrivals.
+func (w *world) repeat(interval time.Duration, fn func()) {
+	w.time.Every(interval, func() bool {
+		fn()
+		return w.time.Now().Sub(w.start) < w.opts.Duration+drainTime
 	})
 }
 
-// drain is how long the run goes on after the last arrival.
-const drain = 30 * time.Second
+// drainTime is how long the periodic reports continue after the end of the arrivals.
+const drainTime = 30 * time.Second
 
-// report brings each engine's lagging load to each host of its region.
-func (w *world) report() {
+// reportLoads delivers the delayed load of each engine to each host of its region.
+func (w *world) reportLoads() {
 	for _, e := range w.engines {
-		l := e.reported(w)
+		l := e.laggedLoad(w)
 		for _, f := range w.hosts[w.regionOf[e.name]] {
 			f.Probe(service, e.name, l.at, !e.down)
 			f.SetReport(service, e.name, fleet.Report{Running: l.running, Waiting: l.waiting, At: l.at})
@@ -203,8 +203,8 @@
 	}
 }
 
-// spread brings each region's digest to all, a second old.
-func (w *world) spread() {
+// exchangeDigests delivers each region's digest to all regions, after a delay of one second.
+func (w *world) exchangeDigests() {
 	next := map[string]route.Digest{}
 	for _, r := range w.opts.Regions {
 		sum := route.Digest{Region: r.Name, At: w.time.Now()}
@@ -217,15 +217,16 @@
 		}
 		next[r.Name] = sum
 	}
-	w.at(time.Second, func() { w.digests = next })
+	w.after(time.Second, func() { w.digests = next })
 }
 
-// evicted tells the hosts of a cache event, late, or not at all.
-func (w *world) evicted(e *engine, block uint64) {
-	if w.random.Float64() < w.opts.EventLoss {
+// reportEviction delivers a cache event to the hosts of the engine's region after ReportLag, or
+// drops it with probability EventLoss.
+func (w *world) reportEviction(e *engine, block uint64) {
+	if w.policyRandom.Float64() < w.opts.EventLoss {
 		return
 	}
-	w.at(w.opts.ReportLag, func() {
+	w.after(w.opts.ReportLag, func() {
 		for _, f := range w.hosts[w.regionOf[e.name]] {
 			f.Evicted(service, e.name, block)
 		}
@@ -234,32 +235,31 @@
 
 func (w *world) nextArrival(r RegionOptions, since time.Duration) {
 	rate := max(r.Rate(since), 0.01)
-	gap := time.Duration(w.members.ExpFloat64() / rate * float64(time.Second))
+	gap := time.Duration(w.arrivalRandom.ExpFloat64() / rate * float64(time.Second))
 	if since+gap > w.opts.Duration {
 		return
 	}
-	w.at(gap, func() {
-		w.arrive(w.draw(r.Name))
+	w.after(gap, func() {
+		w.arrive(w.newArrival(r.Name))
 		w.nextArrival(r, since+gap)
 	})
 }
 
-// draw makes a request: a long review over one of a few hot documents, or a
-// quick question.
-func (w *world) draw(home string) *arrival {
-	a := &arrival{at: w.time.Now(), home: home, acct: fmt.Sprint(w.members.IntN(20)), long: w.members.Float64() < w.opts.LongShare}
+// newArrival draws a request: a long review of one of a few hot documents, or a quick question.
+func (w *world) newArrival(home string) *arrival {
+	a := &arrival{at: w.time.Now(), home: home, account: fmt.Sprint(w.arrivalRandom.IntN(20)), long: w.arrivalRandom.Float64() < w.opts.LongShare}
 	if !a.long {
-		a.bytes, a.tokens = 300, 20+w.members.IntN(40)
+		a.bytes, a.tokens = 300, 20+w.arrivalRandom.IntN(40)
 		return a
 	}
-	document := int(float64(w.opts.Documents) * w.members.Float64() * w.members.Float64() * w.members.Float64())
-	a.bytes, a.tokens = 24*blockBytes, 200+w.members.IntN(200)
+	document := int(float64(w.opts.Documents) * w.arrivalRandom.Float64() * w.arrivalRandom.Float64() * w.arrivalRandom.Float64())
+	a.bytes, a.tokens = 24*blockBytes, 200+w.arrivalRandom.IntN(200)
 	prompt := make([]byte, a.bytes)
 	for i := range 20 * blockBytes {
 		prompt[i] = byte(document >> (8 * (i % 4)))
 	}
 	for i := 20 * blockBytes; i < a.bytes; i++ {
-		prompt[i] = byte(w.members.Uint32())
+		prompt[i] = byte(w.arrivalRandom.Uint32())
 	}
 	a.chain = gateway.PrefixChain(prompt)
 	return a
@@ -267,18 +267,18 @@
 
 func (w *world) arrive(a *arrival) {
 	w.arrivals = append(w.arrivals, a)
-	region, away := w.chooseRegion(a)
+	region, remote := w.chooseRegion(a)
 	a.region = region
 	delay := time.Duration(0)
-	if away {
+	if remote {
 		delay = w.opts.RoundTrip
 	}
 	if w.opts.SingleQueue {
 		delay += time.Millisecond
 	}
 	hosts := w.hosts[region]
-	f := hosts[w.random.IntN(len(hosts))]
-	w.at(delay, func() { w.submit(f, a) })
+	f := hosts[w.policyRandom.IntN(len(hosts))]
+	w.after(delay, func() { w.submit(f, a) })
 }
 
 func (w *world) submit(f *fleet.Fleet, a *arrival) {
@@ -287,24 +287,24 @@
 		class = request.ClassBatch
 	}
 	a.attempts++
-	ask := fleet.Ask{
-		Request: request.Request{Service: service, Class: class, Account: a.acct, PrefixChain: a.chain, Deadline: a.at.Add(w.opts.Deadline)},
-		Prefill: time.Duration(a.bytes) * prefillByte, Need: 20 * time.Millisecond, Tried: a.tried,
+	req := fleet.Ask{
+		Request: request.Request{Service: service, Class: class, Account: a.account, PrefixChain: a.chain, Deadline: a.at.Add(w.opts.Deadline)},
+		Prefill: time.Duration(a.bytes) * prefillPerByte, Need: 20 * time.Millisecond, Tried: a.tried,
 	}
 	if !a.long {
-		ask.MaxWait = 3 * w.opts.FirstToken
+		req.MaxWait = 3 * w.opts.FirstToken
 	}
 	if w.opts.NoQueue {
-		ask.Request.Deadline = a.at.Add(time.Hour)
+		req.Request.Deadline = a.at.Add(time.Hour)
 	}
-	f.Submit(ask, func(s fleet.Served) {
-		w.at(0, func() { w.served(f, a, s) })
+	f.Submit(req, func(s fleet.Served) {
+		w.after(0, func() { w.onServed(f, a, s) })
 	})
 }
 
-func (w *world) served(f *fleet.Fleet, a *arrival, s fleet.Served) {
+func (w *world) onServed(f *fleet.Fleet, a *arrival, s fleet.Served) {
 	if s.Err != nil {
-		a.refused = true
+		a.rejected = true
 		return
 	}
 	if a.attempts > 1 && !s.Ticket.Retry() {
@@ -316,24 +316,24 @@
 	a.tried = append(a.tried, s.Ticket.Engine)
 	e := w.byName[s.Ticket.Engine]
 	var first time.Duration
-	j := &job{r: a, first: func(at time.Time) {
-		a.first, first = at, at.Sub(sent)
-	}, done: func(at time.Time, ok bool) {
+	j := &job{arrival: a, onFirstToken: func(at time.Time) {
+		a.firstToken, first = at, at.Sub(sent)
+	}, onDone: func(at time.Time, ok bool) {
 		if ok {
 			a.end = at
 			s.Ticket.Done(fleet.Result{Outcome: fleet.Answered, First: first})
 			return
 		}
 		s.Ticket.Done(fleet.Result{Outcome: fleet.Failed})
-		w.again(f, a)
+		w.retry(f, a)
 	}}
 	if !e.offer(w, j) {
 		s.Ticket.Done(fleet.Result{Outcome: fleet.Shed})
-		w.again(f, a)
+		w.retry(f, a)
 	}
 }
 
-func (w *world) again(f *fleet.Fleet, a *arrival) {
+func (w *world) retry(f *fleet.Fleet, a *arrival) {
 	if a.attempts >= retry.MaxAttempts || w.time.Now().After(a.at.Add(w.opts.Deadline)) {
 		a.failed = true
 		return
@@ -341,7 +341,7 @@
 	w.submit(f, a)
 }
 
-func (w *world) chooseRegion(a *arrival) (region string, away bool) {
+func (w *world) chooseRegion(a *arrival) (region string, remote bool) {
 	digests := make([]route.Digest, 0, len(w.opts.Regions))
 	home := 0
 	for i, r := range w.opts.Regions {
@@ -368,7 +368,7 @@
 	switch w.opts.RegionPolicy {
 	case RegionRandom:
 		for {
-			if i := w.random.IntN(len(digests)); permitted(digests[i].Region) {
+			if i := w.policyRandom.IntN(len(digests)); permitted(digests[i].Region) {
 				return i
 			}
 		}
@@ -381,8 +381,8 @@
 		}
 		return best
 	case RegionScored:
-		ask := route.RegionAsk{Permitted: permitted, Prefill: time.Duration(a.bytes) * prefillByte, Warm: 0.5}
-		if c := route.ChooseRegion(w.time.Now(), digests, home, w.opts.Weights, &ask, w.random.Uint64()); c.Index >= 0 {
+		req := route.RegionAsk{Permitted: permitted, Prefill: time.Duration(a.bytes) * prefillPerByte, Warm: 0.5}
+		if c := route.ChooseRegion(w.time.Now(), digests, home, w.opts.Weights, &req, w.policyRandom.Uint64()); c.Index >= 0 {
 			return c.Index
 		}
 	}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity measures how the cost of each part grows with the size of a
-// system, and fits a line through at least four sizes of each.
+// Package capacity measures how the cost of each component (memory, time or message size) grows with
+// the size of a system. It measures each at four sizes at least, fits a line and extrapolates to a
+// target size.
 package capacity
 
 import (
@@ -26,19 +27,20 @@
 	"github.com/linenscale/linenscale/wal"
 )
 
-// slope is one measured relation.
-type slope struct {
-	name    string
-	size    string // what x counts
-	unit    string // of y
-	sizes   []int
-	target  int // the size to work out
-	measure func(n int) (float64, error)
+// measurement describes one cost, the sizes at which it is measured and the size to extrapolate to.
+type measurement struct {
+	name       string
+	sizeUnit   string // what the sizes count
+	unit       string // of the cost
+	sizes      []int
+	targetSize int // size to extrapolate to
+	measure    func(n int) (float64, error)
 }
 
-// Report measures all slopes and writes them as a table.
+// Report measures all costs and writes a table of the fitted lines, their coefficients of determination
+// and the costs at the target sizes.
 func Report(w io.Writer) error {
-	slopes := []slope{
+	measurements := []measurement{
 		{"configuration as JSON", "engines", "bytes", []int{100, 500, 2000, 6000}, 12_000, configBytes},
 		{"configuration in memory", "engines", "bytes", []int{500, 2000, 6000, 12_000}, 12_000, configMemory},
 		{"one change applied", "engines", "us", []int{100, 500, 2000, 6000}, 12_000, changeTime},
@@ -46,7 +48,7 @@
 		{"view of engines in memory", "engines of the region", "bytes", []int{50, 200, 600, 2400}, 2400, viewMemory},
 		{"snapshot of the control log", "changes remembered", "bytes", []int{500, 2000, 8000, 16_000}, 60_000, snapshotBytes},
 		{"restart from the log", "changes since the snapshot", "ms", []int{250, 500, 1000, 2000}, 2048, restartTime},
-		{"restart from a snapshot", "changes remembered", "ms", []int{500, 2000, 8000, 30_000}, 60_000, snapshotRestart},
+		{"restart from a snapshot", "changes remembered", "ms", []int{500, 2000, 8000, 30_000}, 60_000, snapshotRestartTime},
 		{"report of one host", "services", "bytes", []int{2, 5, 10, 25}, 25, reportBytes},
 		{"status of all hosts", "hosts", "bytes", []int{10, 50, 100, 200}, 370, membersBytes},
 		{"loads of all regions", "regions of 25 services", "bytes", []int{2, 5, 10, 20}, 20, regionsBytes},
@@ -54,7 +56,7 @@
 	if _, err := fmt.Fprintf(w, "%-30s %-28s %-6s %14s %14s %7s %16s\n", "what", "grows with", "unit", "fixed", "for each", "R2", "at the target"); err != nil {
 		return errors.Trace(err)
 	}
-	for _, s := range slopes {
+	for _, s := range measurements {
 		if err := s.report(w); err != nil {
 			return errors.Annotate(err, s.name)
 		}
@@ -62,7 +64,7 @@
 	return nil
 }
 
-func (s slope) report(w io.Writer) error {
+func (s measurement) report(w io.Writer) error {
 	x := make([]float64, len(s.sizes))
 	y := make([]float64, len(s.sizes))
 	points := ""
@@ -74,16 +76,15 @@
 		x[i], y[i] = float64(n), value
 		points += fmt.Sprintf(" %d:%.0f", n, value)
 	}
-	fixed, each := stat.LinearRegression(x, y, nil, false)
-	fit := stat.RSquared(x, y, nil, fixed, each)
+	fixed, perUnit := stat.LinearRegression(x, y, nil, false)
+	rSquared := stat.RSquared(x, y, nil, fixed, perUnit)
 	_, err := fmt.Fprintf(w, "%-30s %-28s %-6s %14.1f %14.3f %7.4f %10d:%-10.0f measured%s\n",
-		s.name, s.size, s.unit, fixed, each, fit, s.target, fixed+each*float64(s.target), points)
+		s.name, s.sizeUnit, s.unit, fixed, perUnit, rSquared, s.targetSize, fixed+perUnit*float64(s.targetSize), points)
 	return errors.Trace(err)
 }
 
-// config gives a configuration with engines over 20 regions and 50 data
-// centres.
-func config(engines, services int) (declare.Config, error) {
+// newConfig returns a configuration whose engines are spread over 20 regions and 50 data centres.
+func newConfig(engines, services int) (declare.Config, error) {
 	var c declare.Change
 	put := func(o declare.Object) { c.Puts = append(c.Puts, declare.Envelope{Object: o}) }
 	for r := range 20 {
@@ -98,12 +99,12 @@
 		put(declare.Selector{Name: name, Service: name, Match: "home in (region-1, region-2)", Allow: "region in (region-1, region-2, region-3), role=serve"})
 	}
 	for e := range engines {
-		put(engine(e, services, 0))
+		put(newEngine(e, services, 0))
 	}
 	return declare.Config{}.With(c)
 }
 
-func engine(e, services int, cost float64) declare.Engine {
+func newEngine(e, services int, cost float64) declare.Engine {
 	return declare.Engine{
 		Name: fmt.Sprint("engine-", e), Service: fmt.Sprint("service-", e%services), DataCentre: fmt.Sprint("dc-", e%50),
 		Address: fmt.Sprintf("10.%d.%d.1:8000", e/250, e%250), Slots: 16, Cost: cost,
@@ -112,7 +113,7 @@
 }
 
 func configBytes(n int) (float64, error) {
-	c, err := config(n, 25)
+	c, err := newConfig(n, 25)
 	if err != nil {
 		return 0, err
 	}
@@ -120,7 +121,7 @@
 	return float64(len(data)), errors.Trace(err)
 }
 
-func heap() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -129,68 +130,68 @@
 }
 
 func configMemory(n int) (float64, error) {
-	before := heap()
-	c, err := config(n, 25)
+	before := heapInUse()
+	c, err := newConfig(n, 25)
 	if err != nil {
 		return 0, err
 	}
-	used := heap() - before
+	used := heapInUse() - before
 	runtime.KeepAlive(c)
 	return used, nil
 }
 
-// best gives the shortest of a few runs, in microseconds.
-func best(do func()) float64 {
-	least := math.Inf(1)
+// shortestMicros runs fn five times and returns the shortest time, in microseconds.
+func shortestMicros(fn func()) float64 {
+	shortest := math.Inf(1)
 	for range 5 {
-		began := time.Now()
-		do()
-		least = min(least, float64(time.Since(began).Nanoseconds())/1000)
+		start := time.Now()
+		fn()
+		shortest = min(shortest, float64(time.Since(start).Nanoseconds())/1000)
 	}
-	return least
+	return shortest
 }
 
 func changeTime(n int) (float64, error) {
-	c, err := config(n, 25)
+	c, err := newConfig(n, 25)
 	if err != nil {
 		return 0, err
 	}
-	change := declare.Change{Puts: []declare.Envelope{{Object: engine(1, 25, 2)}}}
-	return best(func() { _, err = c.With(change) }), errors.Trace(err)
+	change := declare.Change{Puts: []declare.Envelope{{Object: newEngine(1, 25, 2)}}}
+	return shortestMicros(func() { _, err = c.With(change) }), errors.Trace(err)
 }
 
 func compileTime(n int) (float64, error) {
-	c, err := config(100, n)
+	c, err := newConfig(100, n)
 	if err != nil {
 		return 0, err
 	}
-	return best(func() { _, err = permit.New(c) }), errors.Trace(err)
+	return shortestMicros(func() { _, err = permit.New(c) }), errors.Trace(err)
 }
 
 func viewMemory(n int) (float64, error) {
-	c := declare.Change{Puts: []declare.Envelope{
+	change := declare.Change{Puts: []declare.Envelope{
 		{Object: declare.Region{Name: "r"}}, {Object: declare.DataCentre{Name: "d", Region: "r"}}, {Object: declare.Service{Name: "s", Type: declare.ServiceModel}},
 	}}
 	for e := range n {
-		one := engine(e, 1, 0)
-		one.Service, one.DataCentre = "s", "d"
-		c.Puts = append(c.Puts, declare.Envelope{Object: one})
+		added := newEngine(e, 1, 0)
+		added.Service, added.DataCentre = "s", "d"
+		change.Puts = append(change.Puts, declare.Envelope{Object: added})
 	}
-	full, err := declare.Config{}.With(c)
+	config, err := declare.Config{}.With(change)
 	if err != nil {
 		return 0, err
 	}
-	before := heap()
+	before := heapInUse()
 	f := fleet.New("h", "r", time.Now, route.PrefixBounded{}, 1)
-	f.Apply(full, nil)
-	used := heap() - before
+	f.Apply(config, nil)
+	used := heapInUse() - before
 	runtime.KeepAlive(f)
-	runtime.KeepAlive(full)
+	runtime.KeepAlive(config)
 	return used, nil
 }
 
-// history gives the commands of n changes of one region each.
-func history(n int) ([][]byte, error) {
+// changeCommands returns the encoded commands of n changes, of one region each.
+func changeCommands(n int) ([][]byte, error) {
 	out := make([][]byte, n)
 	for i := range n {
 		change := declare.Change{ID: fmt.Sprintf("6ab04427-9282-484e-a4d3-%012d", i), Base: uint64(i), Author: "operator", Puts: []declare.Envelope{{Object: declare.Region{Name: fmt.Sprint("region-", i%20)}}}}
@@ -203,8 +204,8 @@
 	return out, nil
 }
 
-func snapshotOf(n int) ([]byte, error) {
-	commands, err := history(n)
+func buildSnapshot(n int) ([]byte, error) {
+	commands, err := changeCommands(n)
 	if err != nil {
 		return nil, err
 	}
@@ -216,12 +217,12 @@
 }
 
 func snapshotBytes(n int) (float64, error) {
-	data, err := snapshotOf(n)
+	data, err := buildSnapshot(n)
 	return float64(len(data)), errors.Trace(err)
 }
 
 func restartTime(n int) (float64, error) {
-	commands, err := history(n)
+	commands, err := changeCommands(n)
 	if err != nil {
 		return 0, err
 	}
@@ -235,7 +236,7 @@
 			return 0, errors.Trace(err)
 		}
 	}
-	micros := best(func() { err = restart(folder) })
+	micros := shortestMicros(func() { err = restart(folder) })
 	return micros / 1000, errors.Trace(err)
 }
 
@@ -256,8 +257,8 @@
 	return nil
 }
 
-func snapshotRestart(n int) (float64, error) {
-	data, err := snapshotOf(n)
+func snapshotRestartTime(n int) (float64, error) {
+	data, err := buildSnapshot(n)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
@@ -269,11 +270,11 @@
 	if err := log.Replace(raft.State{Snapshot: raft.Snapshot{Index: uint64(n), Term: 1, Data: data}}); err != nil {
 		return 0, errors.Trace(err)
 	}
-	micros := best(func() { err = restart(folder) })
+	micros := shortestMicros(func() { err = restart(folder) })
 	return micros / 1000, errors.Trace(err)
 }
 
-func status(host, services int) leader.HostStatus {
+func hostStatus(host, services int) leader.HostStatus {
 	s := leader.HostStatus{Host: fmt.Sprint("host-", host), DataCentre: "dc-1", Region: "region-1", Ready: true, InFlight: 100, Revision: 30_000}
 	for i := range services {
 		s.Services = append(s.Services, leader.ServiceLoad{Service: fmt.Sprint("service-", i), Slots: 100, Load: 50, ServiceTime: time.Second})
@@ -281,9 +282,9 @@
 	return s
 }
 
-// sent gives the bytes of one more message on a connection that has sent
-// others of its type.
-func sent(message any) (float64, error) {
+// nextMessageBytes returns the size of a message on a connection that has sent others of its type. The
+// first message is larger, as gob sends the type with it.
+func nextMessageBytes(message any) (float64, error) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
 	if err := encoder.Encode(message); err != nil {
@@ -296,21 +297,21 @@
 
 func reportBytes(n int) (float64, error) {
 	lease := control.HostReport{Host: "host-1", DataCentre: "dc-1", Incarnation: "6ab04427-9282-484e-a4d3-9ed71a3b1377", Established: true, Seq: 60_000}
-	return sent(leader.ReportArgs{Reports: []leader.Report{{Lease: lease, Status: status(1, n)}}})
+	return nextMessageBytes(leader.ReportArgs{Reports: []leader.Report{{Lease: lease, Status: hostStatus(1, n)}}})
 }
 
 func membersBytes(n int) (float64, error) {
 	var reply leader.MembersReply
 	for h := range n {
-		reply.Hosts = append(reply.Hosts, status(h, 0))
+		reply.Hosts = append(reply.Hosts, hostStatus(h, 0))
 	}
-	return sent(reply)
+	return nextMessageBytes(reply)
 }
 
 func regionsBytes(n int) (float64, error) {
 	var reply leader.MembersReply
 	for range n {
-		reply.Regions = append(reply.Regions, leader.RegionLoad{Region: "region-10", Age: time.Second, Services: status(1, 25).Services})
+		reply.Regions = append(reply.Regions, leader.RegionLoad{Region: "region-10", Age: time.Second, Services: hostStatus(1, 25).Services})
 	}
-	return sent(reply)
+	return nextMessageBytes(reply)
 }
--- a/internal/simlog/simlog.go
+++ b/internal/simlog/simlog.go
@@ -1,9 +1,9 @@
-// Package simlog runs the replicas of one log in virtual time, for tests.
+// Package simlog simulates the replicas of one Raft log in virtual time, for tests.
 //
-// It joins raft.Node, wal.Log on a disk that forgets what was not synced, and a
-// state machine, in the order of duties of package replica; the network between
-// them delays, loses and cuts by a seeded random number. One seed gives one
-// history.
+// A replica combines raft.Node, wal.Log on a disk that loses unsynced writes in a crash, and a state
+// machine. It saves, sends and applies in the same order as package replica. The simulated network
+// delays messages, loses them and can be partitioned. All random choices come from one seed, so a
+// seed determines the whole history.
 package simlog
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/linenscale/linenscale/wal"
 )
 
-// Machine is a state machine as package replica knows it.
+// Machine is a replicated state machine, with the methods that package replica uses.
 type Machine interface {
 	Apply(index uint64, data []byte) any
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// Options shapes a cluster.
+// Options configures a cluster.
 type Options struct {
 	Seed          uint64
 	Voters        int
@@ -33,27 +33,28 @@
 	Election      time.Duration
 	Heartbeat     time.Duration
 	NoLease       bool          // see raft.Options
-	Delay         time.Duration // one way; each message takes up to twice as long
+	Delay         time.Duration // minimum one-way delay; a message takes up to twice as long
 	Loss          float64
 	SnapshotEvery uint64
 	New           func() Machine
 }
 
-// step is how far the time goes at once.
-const step = 5 * time.Millisecond
+// tickInterval is how far one step advances the time.
+const tickInterval = 5 * time.Millisecond
 
-// Cluster is a set of replicas.
+// Cluster is a set of replicas, the network between them and the virtual clock. It is not safe for
+// concurrent use.
 type Cluster struct {
-	Opts   Options
-	Random *rand.Rand
-	Now    time.Time
-	Nodes  []*Node
-	queue  messages
-	serial int
-	cut    map[[2]int]bool
+	Opts        Options
+	Random      *rand.Rand
+	Now         time.Time
+	Nodes       []*Node
+	queue       messages
+	sequence    int
+	partitioned map[[2]int]bool
 }
 
-// Node is one replica.
+// Node is one replica, with its disk and the proposals and reads that wait for it.
 type Node struct {
 	Index   int
 	ID      raft.ID
@@ -62,39 +63,39 @@
 	Up      bool
 	Paused  bool
 
-	folder  *disk.Memory
-	log     *wal.Log
-	waiting map[uint64]pending
-	reads   map[uint64]*Read
-	nextID  uint64
-	lives   int
-	mark    uint64 // commit index that was marked beside the log
+	folder      *disk.Memory
+	log         *wal.Log
+	proposals   map[uint64]proposal
+	reads       map[uint64]*PendingRead
+	nextID      uint64
+	incarnation int
+	savedCommit uint64 // last commit index saved beside the log
 }
 
-type pending struct {
+type proposal struct {
 	term uint64
 	done func(result any, err error)
 }
 
-// Read is a linearizable read on its way.
-type Read struct {
+// PendingRead is a linearizable read that hasn't completed.
+type PendingRead struct {
 	index uint64
 	ready bool
 	done  func(ok bool)
 }
 
-// New makes a cluster whose first Voters replicas vote.
+// New returns a cluster with its replicas started. The first Voters replicas are voters.
 func New(opts Options) *Cluster {
 	c := &Cluster{
 		Opts: opts, Random: rand.New(rand.NewPCG(opts.Seed, 7)),
-		Now: time.Unix(1_700_000_000, 0), cut: map[[2]int]bool{},
+		Now: time.Unix(1_700_000_000, 0), partitioned: map[[2]int]bool{},
 	}
 	var voters []raft.ID
 	for i := range opts.Voters {
 		voters = append(voters, id(i, 1))
 	}
 	for i := range opts.Voters + opts.Spares {
-		n := &Node{Index: i, ID: id(i, 1), folder: disk.NewMemory(), lives: 1}
+		n := &Node{Index: i, ID: id(i, 1), folder: disk.NewMemory(), incarnation: 1}
 		if i < opts.Voters {
 			log, _, err := wal.Open(n.folder)
 			must(err)
@@ -106,7 +107,7 @@
 	return c
 }
 
-func id(i, life int) raft.ID { return raft.ID(fmt.Sprintf("h%d#%d", i, life)) }
+func id(i, incarnation int) raft.ID { return raft.ID(fmt.Sprintf("h%d#%d", i, incarnation)) }
 
 func must(err error) {
 	if err != nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// Start starts a replica from its disk.
+// Start starts a replica from the state on its disk.
 func (c *Cluster) Start(n *Node) {
 	log, state, err := wal.Open(n.folder)
 	must(err)
@@ -123,8 +124,8 @@
 		must(n.Machine.Restore(state.Snapshot.Data))
 	}
 	n.log = log
-	state.Commit = n.mark
-	n.waiting, n.reads = map[uint64]pending{}, map[uint64]*Read{}
+	state.Commit = n.savedCommit
+	n.proposals, n.reads = map[uint64]proposal{}, map[uint64]*PendingRead{}
 	n.Raft = raft.New(raft.Options{
 		ID: n.ID, Election: c.Opts.Election, Heartbeat: c.Opts.Heartbeat, NoLease: c.Opts.NoLease,
 		Random: rand.New(rand.NewPCG(c.Random.Uint64(), 3)),
@@ -132,40 +133,41 @@
 	n.Up, n.Paused = true, false
 }
 
-// Crash ends a replica at once; bytes that were not synced are lost, but for
-// up to torn of them.
-func (c *Cluster) Crash(n *Node, torn int) {
+// Crash stops a replica immediately. Its disk loses the bytes that were not synced, except for up to
+// maxTorn of them. Pending proposals and reads fail.
+func (c *Cluster) Crash(n *Node, maxTorn int) {
 	n.Up = false
-	n.folder.Crash(torn)
-	for _, p := range n.waiting {
+	n.folder.Crash(maxTorn)
+	for _, p := range n.proposals {
 		p.done(nil, errCrashed)
 	}
 	for _, r := range n.reads {
 		r.done(false)
 	}
-	n.waiting, n.reads = nil, nil
+	n.proposals, n.reads = nil, nil
 }
 
-type crashed struct{}
+type crashError struct{}
 
-func (crashed) Error() string { return "the replica crashed" }
+func (crashError) Error() string { return "the replica crashed" }
 
-var errCrashed = crashed{}
+var errCrashed = crashError{}
 
-// LoseDisk ends a replica and its folder; it will come back as another.
+// LoseDisk crashes a replica and deletes its folder. It restarts with a new ID, as a replica that
+// lost its log must not vote under the ID of the old one.
 func (c *Cluster) LoseDisk(n *Node) {
 	c.Crash(n, 0)
 	n.folder.Lose()
-	n.mark = 0
-	n.lives++
-	n.ID = id(n.Index, n.lives)
+	n.savedCommit = 0
+	n.incarnation++
+	n.ID = id(n.Index, n.incarnation)
 }
 
-// Cut cuts or joins the way from a to b, one direction only.
-func (c *Cluster) Cut(a, b int, cut bool) { c.cut[[2]int{a, b}] = cut }
+// Cut partitions or reconnects the link from a to b, in this direction only.
+func (c *Cluster) Cut(a, b int, partitioned bool) { c.partitioned[[2]int{a, b}] = partitioned }
 
-// Isolate cuts a replica off from all others in the chosen directions, or
-// joins it again.
+// Isolate partitions a replica from all others: in drops the messages to it, and out those from it.
+// A direction that is false is reconnected.
 func (c *Cluster) Isolate(n int, in, out bool) {
 	for i := range c.Nodes {
 		c.Cut(i, n, in)
@@ -173,7 +175,7 @@
 	}
 }
 
-// Disturb brings about one fault, or mends one.
+// Disturb injects one random fault or recovers from one. It prefers the leader in half of the cases.
 func (c *Cluster) Disturb() {
 	r := c.Random
 	n := c.Nodes[r.IntN(len(c.Nodes))]
@@ -193,15 +195,15 @@
 		n.Paused = !n.Paused
 	case 4:
 		n.Paused = false
-	case 5: // silent: it still sends, or still hears
+	case 5: // drops what it sends, and in half of the cases what it receives
 		c.Isolate(n.Index, r.Float64() < 0.5, true)
 	case 6, 7:
 		c.Isolate(n.Index, false, false)
 	}
 }
 
-// Mend starts, wakes and joins everything, so that a history also shows what
-// comes after the faults.
+// Mend starts, resumes and reconnects all replicas, so that a history also covers the recovery from
+// the faults.
 func (c *Cluster) Mend() {
 	for _, n := range c.Nodes {
 		if !n.Up {
@@ -212,67 +214,71 @@
 	}
 }
 
-// Leader gives the replica that leads in the highest term, or nil.
+// Leader returns the leader of the highest term, or nil if no running replica is a leader.
 func (c *Cluster) Leader() *Node {
-	var best *Node
+	var leader *Node
 	for _, n := range c.Nodes {
-		if n.Up && n.Raft.Status().Role == raft.Leader && (best == nil || n.Raft.Status().Term > best.Raft.Status().Term) {
-			best = n
+		if n.Up && n.Raft.Status().Role == raft.Leader && (leader == nil || n.Raft.Status().Term > leader.Raft.Status().Term) {
+			leader = n
 		}
 	}
-	return best
+	return leader
 }
 
-// Run lets time pass.
+// Run advances the virtual time by d, step by step.
 func (c *Cluster) Run(d time.Duration) {
 	for until := c.Now.Add(d); c.Now.Before(until); {
 		c.Step()
 	}
 }
 
-// Step lets the least time pass.
+// Step advances the virtual time by one tickInterval: it delivers the messages that are due and ticks
+// each replica that is neither down nor paused.
 func (c *Cluster) Step() {
-	c.Now = c.Now.Add(step)
-	for len(c.queue) > 0 && !c.queue[0].at.After(c.Now) {
+	c.Now = c.Now.Add(tickInterval)
+	for len(c.queue) > 0 && !c.queue[0].deliverAt.After(c.Now) {
 		m := heap.Pop(&c.queue).(message)
 		n := c.Nodes[m.to]
 		switch {
 		case n.Paused:
-			m.at = c.Now.Add(step) // its kernel keeps it
+			m.deliverAt = c.Now.Add(tickInterval) // the kernel buffers what a paused process receives
 			heap.Push(&c.queue, m)
 		case n.Up:
 			n.Raft.Step(c.Now, m.envelope)
-			c.work(n)
+			c.processReady(n)
 		}
 	}
 	for _, n := range c.Nodes {
 		if n.Up && !n.Paused {
 			n.Raft.Tick(c.Now)
-			c.work(n)
+			c.processReady(n)
 		}
 	}
 }
 
-// Propose proposes at a replica. done is called at most once.
+// Propose proposes a command at a replica. done is called at most once, with the result of the state
+// machine, or with an error if the replica rejects the proposal, another entry is committed at its
+// index, or the replica crashes.
 func (c *Cluster) Propose(n *Node, data []byte, done func(result any, err error)) {
 	index, term, err := n.Raft.Propose(c.Now, data)
 	if err != nil {
 		done(nil, err)
 		return
 	}
-	n.waiting[index] = pending{term, done}
-	c.work(n)
+	n.proposals[index] = proposal{term, done}
+	c.processReady(n)
 }
 
-// Read asks for a linearizable read at a replica.
+// Read starts a linearizable read at a replica. done(true) is called once the replica's state machine
+// is recent enough to be read, done(false) if the read fails or the replica crashes.
 func (c *Cluster) Read(n *Node, done func(ok bool)) {
 	n.nextID++
-	n.reads[n.nextID] = &Read{done: done}
+	n.reads[n.nextID] = &PendingRead{done: done}
 	n.Raft.Read(c.Now, n.nextID)
-	c.work(n)
+	c.processReady(n)
 }
 
-func (c *Cluster) work(n *Node) {
+func (c *Cluster) processReady(n *Node) {
 	for {
 		ready := n.Raft.Ready()
 		if ready.Empty() {
@@ -289,17 +295,17 @@
 		}
 		c.apply(n, ready.Committed)
 		n.Raft.Done(ready)
-		c.finishReads(n, ready.Reads)
-		c.snapshot(n)
-		if c.Random.Float64() < markShare {
-			n.mark = n.Raft.Status().Commit
+		c.completeReads(n, ready.Reads)
+		c.maybeSnapshot(n)
+		if c.Random.Float64() < commitSaveProbability {
+			n.savedCommit = n.Raft.Status().Commit
 		}
 	}
 }
 
-// markShare is how often a commit index is marked in time; the other times a
-// crash finds an older one.
-const markShare = 0.5
+// commitSaveProbability is the probability that a replica saves its commit index after a round of
+// work. Otherwise it restarts with an older one after a crash.
+const commitSaveProbability = 0.5
 
 func (c *Cluster) apply(n *Node, entries []raft.Entry) {
 	for _, e := range entries {
@@ -307,8 +313,8 @@
 		if e.Kind == raft.EntryCommand {
 			result = n.Machine.Apply(e.Index, e.Data)
 		}
-		if p, ok := n.waiting[e.Index]; ok {
-			delete(n.waiting, e.Index)
+		if p, ok := n.proposals[e.Index]; ok {
+			delete(n.proposals, e.Index)
 			if p.term != e.Term {
 				p.done(nil, raft.ErrNotLeader)
 				continue
@@ -318,7 +324,7 @@
 	}
 }
 
-func (c *Cluster) finishReads(n *Node, ready []raft.Read) {
+func (c *Cluster) completeReads(n *Node, ready []raft.Read) {
 	for _, r := range ready {
 		if !r.OK {
 			n.reads[r.ID].done(false)
@@ -340,7 +346,7 @@
 	}
 }
 
-func (c *Cluster) snapshot(n *Node) {
+func (c *Cluster) maybeSnapshot(n *Node) {
 	status := n.Raft.Status()
 	if c.Opts.SnapshotEvery == 0 || status.Applied < status.Snapshot+c.Opts.SnapshotEvery {
 		return
@@ -359,31 +365,31 @@
 			to = n.Index
 		}
 	}
-	if to < 0 || c.cut[[2]int{from, to}] || c.Random.Float64() < c.Opts.Loss {
+	if to < 0 || c.partitioned[[2]int{from, to}] || c.Random.Float64() < c.Opts.Loss {
 		return
 	}
-	c.serial++
+	c.sequence++
 	delay := c.Opts.Delay + time.Duration(c.Random.Int64N(int64(c.Opts.Delay)+1))
-	heap.Push(&c.queue, message{c.Now.Add(delay), c.serial, to, e})
+	heap.Push(&c.queue, message{c.Now.Add(delay), c.sequence, to, e})
 }
 
 type message struct {
-	at       time.Time
-	serial   int
-	to       int
-	envelope raft.Envelope
+	deliverAt time.Time
+	sequence  int
+	to        int
+	envelope  raft.Envelope
 }
 
-// messages implements heap.Interface by time, then order of sending.
+// messages implements heap.Interface, ordered by time of delivery and then by order of sending.
 type messages []message
 
 func (m messages) Len() int { return len(m) }
 
 func (m messages) Less(i, j int) bool {
-	if !m[i].at.Equal(m[j].at) {
-		return m[i].at.Before(m[j].at)
+	if !m[i].deliverAt.Equal(m[j].deliverAt) {
+		return m[i].deliverAt.Before(m[j].deliverAt)
 	}
-	return m[i].serial < m[j].serial
+	return m[i].sequence < m[j].sequence
 }
 
 func (m messages) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
