--- a/internal/bench/scenarios.go
+++ b/internal/bench/scenarios.go
@@ -113,7 +113,7 @@
 		o := baseOptions(load)
 		o.Duration = 30 * time.Second
 		noDeadlines := o
-		noDeadlines.NoQueue = true
+		noDeadlines.NoDeadline = true
 		t := Table{Name: fmt.Sprintf("offered %g times the capacity", load)}
 		t.Rows = append(t.Rows, Row{"bounded queue", Run(o)}, Row{"no deadlines", Run(noDeadlines)})
 		tables = append(tables, t)
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -43,7 +43,7 @@
 	Slots        int
 	EnginePolicy route.Policy
 	SingleQueue  bool // each region has a single host, which owns the queue of its engines
-	NoQueue      bool // requests have a deadline of an hour
+	NoDeadline   bool // requests have a deadline of an hour
 	RegionPolicy RegionPolicy
 	Weights      route.Weights
 	Permitted    func(home, region string) bool
@@ -294,7 +294,7 @@
 	if !a.long {
 		req.MaxWait = 3 * w.opts.FirstToken
 	}
-	if w.opts.NoQueue {
+	if w.opts.NoDeadline {
 		req.Request.Deadline = a.at.Add(time.Hour)
 	}
 	f.Submit(req, func(s fleet.Served) {
