--- a/cmd/linenscaled/main.go
+++ b/cmd/linenscaled/main.go
@@ -1,4 +1,7 @@
-// Command linenscaled runs one entry host of linenscale.
+// Command linenscaled runs one host of the linenscale inference gateway.
+//
+// A host either has a settings file that lists all hosts and is given its own name, or runs as a
+// member, whose settings name no other host and which discovers the others through seeds.
 package main
 
 import (
@@ -45,22 +48,22 @@
 	case host == "" && !check:
 		flaggy.ShowHelpAndExit("host is required")
 	default:
-		runListed(path, host, level, check)
+		runListedHost(path, host, level, check)
 	}
 }
 
-// settingsVariable names the environment variable that gives the path of the
-// settings.
+// settingsVariable is the environment variable with the default path of the settings file.
 const settingsVariable = "LINENSCALE_SETTINGS"
 
-// runListed runs a host of a settings file that lists all hosts.
-func runListed(path, host, level string, check bool) {
+// runListedHost runs one host of a settings file that lists all hosts. If check is set, it only
+// validates the settings and declarations.
+func runListedHost(path, host, level string, check bool) {
 	s, err := settings.Read(path)
 	if err != nil {
-		fail(exitUsage, err)
+		exitWith(exitUsage, err)
 	}
 	if _, err := declare.LoadConfig(s.DeclarationsDir(), s.Objects()...); err != nil {
-		fail(exitUsage, err)
+		exitWith(exitUsage, err)
 	}
 	if check {
 		fmt.Println("settings and declarations are sound")
@@ -68,62 +71,65 @@
 	}
 	log, err := telemetry.NewLogger(os.Stderr, level)
 	if err != nil {
-		fail(exitUsage, err)
+		exitWith(exitUsage, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := daemon.Run(ctx, s, host, log); err != nil {
-		fail(exitFailed, err)
+		exitWith(exitFailed, err)
 	}
 }
 
-// runMember runs a host that finds the others by seeds.
+// runMember runs a host that discovers the others through seeds. If check is set, it only validates
+// the settings.
 func runMember(path, level string, check bool) {
 	s, err := settings.ReadMember(path)
 	if err != nil {
-		fail(exitUsage, err)
+		exitWith(exitUsage, err)
 	}
 	if check {
 		fmt.Println("settings are sound")
 		return
 	}
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryPercent / 100)
+		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * memoryLimitPercent / 100)
 	}
 	debug.SetGCPercent(gcPercent)
-	out := telemetry.NewBounded(os.Stdout)
-	log, err := telemetry.NewLogger(out, level)
+	writer := telemetry.NewBounded(os.Stdout)
+	log, err := telemetry.NewLogger(writer, level)
 	if err != nil {
-		fail(exitUsage, err)
+		exitWith(exitUsage, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	writing, stopWriting := context.WithCancel(context.Background())
-	group := pool.New().WithContext(writing)
-	group.Go(out.Run)
+	writerCtx, stopWriter := context.WithCancel(context.Background())
+	group := pool.New().WithContext(writerCtx)
+	group.Go(writer.Run)
 	reload := make(chan struct{}, 1)
-	group.Go(func(ctx context.Context) error { return hangups(ctx, reload) })
-	failed := daemon.RunMember(ctx, path, reload, log)
-	stopWriting()
+	group.Go(func(ctx context.Context) error { return forwardHangups(ctx, reload) })
+	runErr := daemon.RunMember(ctx, path, reload, log)
+	stopWriter()
 	if err := group.Wait(); err != nil {
 		fmt.Fprintln(os.Stderr, "log:", err)
 	}
-	if failed != nil {
-		fail(exitFailed, failed)
+	if runErr != nil {
+		exitWith(exitFailed, runErr)
 	}
 }
 
-// memoryPercent is the share of the memory at which the garbage collector works
-// harder; the rest is for bytes that have arrived and are not yet read.
-const memoryPercent = 60
+// memoryLimitPercent is the share of the host's memory that is set as the soft limit of the Go
+// runtime, near which it collects garbage more often. The rest is left for data that has
+// arrived and that the process hasn't read yet.
+const memoryLimitPercent = 60
 
-// gcPercent is how much the memory may grow before it is collected. Hosts are
-// small and memory is dear: a collection more is cheaper than the memory.
+// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is below Go's
+// default of 100 because hosts have little memory: more frequent collections cost less than a
+// larger heap.
 const gcPercent = 50
 
-// hangups passes SIGHUP on as a wish to reload. Unhandled, it would end the
-// process.
-func hangups(ctx context.Context, reload chan<- struct{}) error {
+// forwardHangups requests a reload of the settings for each SIGHUP until ctx ends. An unhandled
+// SIGHUP would terminate the process.
+func forwardHangups(ctx context.Context, reload chan<- struct{}) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -135,12 +141,12 @@
 		}
 		select {
 		case reload <- struct{}{}:
-		default: // one is waiting already
+		default: // a reload is pending already
 		}
 	}
 }
 
-func fail(code int, err error) {
+func exitWith(code int, err error) {
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(code)
 }
