--- a/cmd/linenscale/accounts.go
+++ b/cmd/linenscale/accounts.go
@@ -1,4 +1,4 @@
-// This file defines the subcommand that shows client accounts.
+// This file defines the subcommand that shows the allowances of client accounts.
 
 package main
 
@@ -16,7 +16,7 @@
 	"github.com/linenscale/linenscale/daemon"
 )
 
-// gatewayAccounts is what one gateway shows.
+// gatewayAccounts is the status of client accounts at one gateway.
 type gatewayAccounts struct {
 	Gateway  string             `json:"gateway"`
 	Accounts []allowance.Status `json:"accounts"`
@@ -41,7 +41,7 @@
 	}}
 }
 
-// accountRows gives a table's rows.
+// accountRows returns one table row per gateway and account.
 func accountRows(all []gatewayAccounts) [][]string {
 	var rows [][]string
 	for _, g := range all {
--- a/cmd/linenscale/change.go
+++ b/cmd/linenscale/change.go
@@ -16,7 +16,7 @@
 	"github.com/linenscale/linenscale/declare"
 )
 
-// folderFlags are shared by apply and diff.
+// folderFlags holds the flags of apply and diff.
 type folderFlags struct {
 	dir   string
 	prune bool
@@ -24,16 +24,17 @@
 	id    string
 }
 
-func (f *folderFlags) attach(c *flaggy.Subcommand) {
+func (f *folderFlags) register(c *flaggy.Subcommand) {
 	c.AddPositionalValue(&f.dir, "folder", 1, true, "folder of declarations")
 	c.Bool(&f.prune, "p", "prune", "delete services, engines and selectors that the folder lacks")
 }
 
-// plan is the change that would bring the configuration to a folder's content.
+// plan is the change that makes the configuration match the declarations of a folder, with a summary
+// line for each object that is added (+), changed (~) or deleted (-).
 type plan struct {
-	change declare.Change
-	loaded []declare.Loaded
-	lines  []string
+	change  declare.Change
+	loaded  []declare.Loaded
+	summary []string
 }
 
 func (t *tool) plan(ctx context.Context, f *folderFlags) (plan, error) {
@@ -49,35 +50,35 @@
 	if p.change.ID == "" {
 		p.change.ID = uuid.NewString()
 	}
-	named := map[declare.Ref]bool{}
+	declared := map[declare.Ref]bool{}
 	for _, l := range loaded {
 		ref := l.Object.Ref()
-		named[ref] = true
+		declared[ref] = true
 		old, known := config.Get(ref)
 		switch {
 		case !known:
-			p.lines = append(p.lines, "+ "+ref.String())
+			p.summary = append(p.summary, "+ "+ref.String())
 		case !reflect.DeepEqual(old, l.Object):
-			p.lines = append(p.lines, "~ "+ref.String())
+			p.summary = append(p.summary, "~ "+ref.String())
 		default:
 			continue
 		}
 		p.change.Puts = append(p.change.Puts, declare.Envelope{Object: l.Object})
 	}
 	if f.prune {
-		p.prune(config, named)
+		p.prune(config, declared)
 	}
 	return p, nil
 }
 
-func (p *plan) prune(config declare.Config, named map[declare.Ref]bool) {
+func (p *plan) prune(config declare.Config, declared map[declare.Ref]bool) {
 	for _, object := range config.Objects() {
 		ref := object.Ref()
 		switch object.(type) {
 		case declare.Service, declare.Engine, declare.Selector:
-			if !named[ref] {
+			if !declared[ref] {
 				p.change.Deletes = append(p.change.Deletes, ref)
-				p.lines = append(p.lines, "- "+ref.String())
+				p.summary = append(p.summary, "- "+ref.String())
 			}
 		}
 	}
@@ -87,7 +88,7 @@
 	f := &folderFlags{base: -1}
 	c := flaggy.NewSubcommand("apply")
 	c.Description = "bring the configuration to a folder's content, as one change"
-	f.attach(c)
+	f.register(c)
 	c.Int(&f.base, "b", "base", "revision that the folder was made from; default the present one")
 	c.String(&f.id, "i", "id", "ID of the change, to send one again whose answer was lost")
 	return subcommand{c, func(ctx context.Context, t *tool) error {
@@ -98,12 +99,12 @@
 		if f.base >= 0 {
 			p.change.Base = uint64(f.base)
 		}
-		if len(p.lines) == 0 {
+		if len(p.summary) == 0 {
 			fmt.Println("nothing to change")
 			return nil
 		}
-		fmt.Println(strings.Join(p.lines, "\n"))
-		return t.send(ctx, p.change, p.loaded)
+		fmt.Println(strings.Join(p.summary, "\n"))
+		return t.submit(ctx, p.change, p.loaded)
 	}}
 }
 
@@ -111,24 +112,25 @@
 	f := &folderFlags{}
 	c := flaggy.NewSubcommand("diff")
 	c.Description = "show what apply would change"
-	f.attach(c)
+	f.register(c)
 	return subcommand{c, func(ctx context.Context, t *tool) error {
 		p, err := t.plan(ctx, f)
 		if err != nil {
 			return err
 		}
-		if len(p.lines) == 0 {
+		if len(p.summary) == 0 {
 			fmt.Println("nothing to change")
 			return nil
 		}
-		fmt.Println(strings.Join(p.lines, "\n"))
-		_, err = p.check(ctx, t)
+		fmt.Println(strings.Join(p.summary, "\n"))
+		_, err = p.validate(ctx, t)
 		return err
 	}}
 }
 
-// check tells whether the changed configuration would be sound.
-func (p *plan) check(ctx context.Context, t *tool) (declare.Config, error) {
+// validate applies the change to the current configuration and returns the result, or the faults that
+// make it invalid with their positions in the folder's files.
+func (p *plan) validate(ctx context.Context, t *tool) (declare.Config, error) {
 	config, err := t.client.Config(ctx)
 	if err != nil {
 		return declare.Config{}, errors.Trace(err)
@@ -152,7 +154,7 @@
 		if err != nil {
 			return err
 		}
-		return t.send(ctx, declare.Change{ID: orNew(id), Base: config.Revision(), Author: t.author, Deletes: []declare.Ref{parsed}}, nil)
+		return t.submit(ctx, declare.Change{ID: idOrNew(id), Base: config.Revision(), Author: t.author, Deletes: []declare.Ref{parsed}}, nil)
 	}}
 }
 
@@ -180,12 +182,12 @@
 		if key == "state" {
 			changed = object.(declare.Engine).WithState(declare.EngineState(value))
 		}
-		change := declare.Change{ID: orNew(id), Base: config.Revision(), Author: t.author, Puts: []declare.Envelope{{Object: changed}}}
-		return t.send(ctx, change, nil)
+		change := declare.Change{ID: idOrNew(id), Base: config.Revision(), Author: t.author, Puts: []declare.Envelope{{Object: changed}}}
+		return t.submit(ctx, change, nil)
 	}}
 }
 
-func orNew(id string) string {
+func idOrNew(id string) string {
 	if id == "" {
 		return uuid.NewString()
 	}
@@ -200,8 +202,10 @@
 	return declare.Ref{Kind: declare.Kind(kind), Name: name}, nil
 }
 
-// send sends a change and tells what became of it, and what to do next.
-func (t *tool) send(ctx context.Context, change declare.Change, loaded []declare.Loaded) error {
+// submit sends a change, and prints its outcome and what the operator can do next. It returns
+// errRejected if the change was not accepted. If the outcome isn't known, the same change can be sent
+// again under its ID.
+func (t *tool) submit(ctx context.Context, change declare.Change, loaded []declare.Loaded) error {
 	out, err := t.client.Change(ctx, change)
 	if err != nil {
 		return errors.Annotatef(err, "the outcome of change %s isn't known; send it again with --id %s", change.ID, change.ID)
--- a/cmd/linenscale/engines.go
+++ b/cmd/linenscale/engines.go
@@ -1,4 +1,4 @@
-// This file defines the subcommand that shows why engines get nothing.
+// This file defines the subcommand that shows which engines gateways exclude, and why.
 
 package main
 
@@ -14,20 +14,20 @@
 	"github.com/linenscale/linenscale/dispatch"
 )
 
-// gatewayEngines is what one gateway shows.
+// gatewayEngines is the status of engines at one gateway.
 type gatewayEngines struct {
 	Gateway string                  `json:"gateway"`
 	Engines []dispatch.EngineStatus `json:"engines"`
 }
 
 func enginesCommand(hosts *string, timeout *time.Duration) subcommand {
-	barred := false
+	onlyExcluded := false
 	command := flaggy.NewSubcommand("engines")
 	command.Description = "engines as gateways know them, why each gets nothing and until when; -H names their metrics' addresses"
-	command.Bool(&barred, "b", "barred", "only engines that get nothing")
+	command.Bool(&onlyExcluded, "b", "barred", "only engines that get nothing")
 	return subcommand{command, func(ctx context.Context, t *tool) error {
 		all, err := readGateways(ctx, *hosts, *timeout, daemon.EnginesPath, func(gateway string, engines []dispatch.EngineStatus) gatewayEngines {
-			if barred {
+			if onlyExcluded {
 				engines = slices.DeleteFunc(engines, func(e dispatch.EngineStatus) bool { return e.Why == "" })
 			}
 			return gatewayEngines{gateway, engines}
@@ -39,13 +39,13 @@
 	}}
 }
 
-// engineRows gives a table's rows.
+// engineRows returns one table row per gateway and engine.
 func engineRows(all []gatewayEngines) [][]string {
 	var rows [][]string
 	for _, g := range all {
 		for _, e := range g.Engines {
 			rows = append(rows, []string{
-				g.Gateway, e.Engine, e.Service, e.Why, span(e.For), span(e.Ends), strconv.Itoa(e.Requests), strconv.Itoa(e.Others),
+				g.Gateway, e.Engine, e.Service, e.Why, formatDuration(e.For), formatDuration(e.Ends), strconv.Itoa(e.Requests), strconv.Itoa(e.Others),
 				strconv.Itoa(e.Asked), strconv.Itoa(e.KeptAway), strconv.Itoa(e.Sent),
 			})
 		}
@@ -53,8 +53,9 @@
 	return rows
 }
 
-// span gives a time for a table; "" for none.
-func span(d time.Duration) string {
+// formatDuration formats a duration for a table, rounded to milliseconds. Zero means unknown or none
+// and becomes "".
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
--- a/cmd/linenscale/hosts.go
+++ b/cmd/linenscale/hosts.go
@@ -8,7 +8,7 @@
 	"github.com/linenscale/linenscale/leader"
 )
 
-// hostRows gives a table's rows, by region, data centre and name.
+// hostRows returns one table row per host. It sorts hosts in place, by region and name.
 func hostRows(hosts []leader.HostStatus) [][]string {
 	sort.Slice(hosts, func(i, j int) bool {
 		a, b := hosts[i], hosts[j]
--- a/cmd/linenscale/limits.go
+++ b/cmd/linenscale/limits.go
@@ -1,4 +1,4 @@
-// This file defines the subcommand that shows the limits that engines name.
+// This file defines the subcommand that shows the rate limits that engines announce.
 
 package main
 
@@ -13,7 +13,7 @@
 	"github.com/linenscale/linenscale/dispatch"
 )
 
-// gatewayLimits is what one gateway shows.
+// gatewayLimits is the status of engines' rate limits at one gateway.
 type gatewayLimits struct {
 	Gateway string                 `json:"gateway"`
 	Limits  []dispatch.LimitStatus `json:"limits"`
@@ -33,7 +33,7 @@
 	}}
 }
 
-// limitRows gives a table's rows.
+// limitRows returns one table row per gateway and engine.
 func limitRows(all []gatewayLimits) [][]string {
 	var rows [][]string
 	for _, g := range all {
--- a/cmd/linenscale/main.go
+++ b/cmd/linenscale/main.go
@@ -1,4 +1,6 @@
-// Command linenscale is the operators' tool.
+// Command linenscale is the operators' command-line tool. It reads and changes the configuration
+// through the operators' API of any entry host, shows what gateways report next to their metrics, and
+// traces requests through log files.
 package main
 
 import (
@@ -23,17 +25,17 @@
 	exitRejected = 3 // the change was not accepted
 )
 
-// errRejected says that a change was decided and not accepted.
+// errRejected reports that a change was decided on and rejected. The reason has been printed.
 var errRejected = errors.New("not accepted")
 
-// tool holds what all subcommands share.
+// tool holds the API client and the global flags, which all subcommands share.
 type tool struct {
 	client *operator.Client
 	output string // table, json or yaml
 	author string
 }
 
-// subcommand is one thing that the tool does.
+// subcommand is a subcommand with its flags and the function that runs it.
 type subcommand struct {
 	command *flaggy.Subcommand
 	run     func(ctx context.Context, t *tool) error
@@ -54,22 +56,22 @@
 		hostsCommand(), historyCommand(), waitCommand(), explainCommand(),
 	}
 	trace := traceCommand()
-	ofMetrics := []subcommand{accountsCommand(&hosts, &timeout), limitsCommand(&hosts, &timeout), enginesCommand(&hosts, &timeout)}
+	metricsCommands := []subcommand{accountsCommand(&hosts, &timeout), limitsCommand(&hosts, &timeout), enginesCommand(&hosts, &timeout)}
 	flaggy.AttachSubcommand(trace.command, 1)
-	for _, c := range ofMetrics {
+	for _, c := range metricsCommands {
 		flaggy.AttachSubcommand(c.command, 1)
 	}
 	for _, c := range commands {
 		flaggy.AttachSubcommand(c.command, 1)
 	}
 	flaggy.Parse()
-	if trace.command.Used { // reads files, and asks no host
+	if trace.command.Used { // reads log files and needs no host
 		exit(trace.run(context.Background(), t))
 	}
 	if hosts == "" {
 		flaggy.ShowHelpAndExit("name the entry hosts by -H or $LINENSCALE_HOSTS")
 	}
-	for _, c := range ofMetrics {
+	for _, c := range metricsCommands {
 		if c.command.Used {
 			exit(c.run(context.Background(), t))
 		}
--- a/cmd/linenscale/metrics.go
+++ b/cmd/linenscale/metrics.go
@@ -1,4 +1,4 @@
-// This file defines how the tool reads what gateways show beside their metrics.
+// This file reads the status pages that gateways serve on their metrics addresses.
 
 package main
 
@@ -13,29 +13,30 @@
 	"github.com/juju/errors"
 )
 
-// shownLimit bounds an answer in bytes: some 300 for each of 14,000 client accounts.
-const shownLimit = 16 << 20
+// maxResponseBytes limits the size of a response. It suffices for 14,000 client accounts at some 300
+// bytes each, four times over.
+const maxResponseBytes = 16 << 20
 
-// readGateways reads what gateways show at a path, and gives each as its command shows it. hosts
-// are their metrics' addresses, comma separated.
-func readGateways[T, G any](ctx context.Context, hosts string, timeout time.Duration, path string, as func(gateway string, shown []T) G) ([]G, error) {
-	if hosts == "" {
+// readGateways fetches a JSON array from a path of each gateway and converts each array with wrap.
+// addresses holds the metrics addresses of the gateways, comma separated.
+func readGateways[T, G any](ctx context.Context, addresses string, timeout time.Duration, path string, wrap func(gateway string, items []T) G) ([]G, error) {
+	if addresses == "" {
 		return nil, errors.NotValidf("no gateway: name their metrics' addresses by -H, which")
 	}
 	client := &http.Client{Timeout: timeout}
 	var all []G
-	for _, address := range strings.Split(hosts, ",") {
-		one, err := readMetrics[[]T](ctx, client, address, path)
+	for _, address := range strings.Split(addresses, ",") {
+		items, err := fetchJSON[[]T](ctx, client, address, path)
 		if err != nil {
 			return nil, errors.Annotatef(err, "gateway %s", address)
 		}
-		all = append(all, as(address, one))
+		all = append(all, wrap(address, items))
 	}
 	return all, nil
 }
 
-// readMetrics reads what a gateway shows at a path of its metrics' address.
-func readMetrics[T any](ctx context.Context, client *http.Client, address, path string) (T, error) {
+// fetchJSON fetches and decodes a JSON document from a path of a gateway's metrics address.
+func fetchJSON[T any](ctx context.Context, client *http.Client, address, path string) (T, error) {
 	var out T
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -49,6 +50,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return out, errors.Errorf("answered with status %d: is it a gateway's address of metrics?", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, shownLimit)).Decode(&out)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&out)
 	return out, errors.Annotate(err, path)
 }
--- a/cmd/linenscale/print.go
+++ b/cmd/linenscale/print.go
@@ -1,4 +1,4 @@
-// This file defines how answers are printed.
+// This file prints results as a table, JSON or YAML.
 
 package main
 
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// print writes value as JSON or YAML, or rows as a table.
+// print writes value as JSON or YAML, or header and rows as a table, depending on the output flag.
 func (t *tool) print(value any, header []string, rows [][]string) error {
 	switch t.output {
 	case "json":
@@ -32,13 +32,13 @@
 		_, err = os.Stdout.Write(text)
 		return errors.Trace(err)
 	case "table":
-		return table(header, rows)
+		return printTable(header, rows)
 	default:
 		return errors.NotValidf("output %q (table, json or yaml)", t.output)
 	}
 }
 
-func table(header []string, rows [][]string) error {
+func printTable(header []string, rows [][]string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(header, "\t"))
 	for _, row := range rows {
--- a/cmd/linenscale/read.go
+++ b/cmd/linenscale/read.go
@@ -1,4 +1,4 @@
-// This file defines the subcommands that only read.
+// This file defines the subcommands that read from an entry host and change nothing.
 
 package main
 
@@ -33,13 +33,13 @@
 				continue
 			}
 			objects = append(objects, declare.Envelope{Object: object})
-			rows = append(rows, []string{string(object.Ref().Kind), object.Ref().Name, detail(object)})
+			rows = append(rows, []string{string(object.Ref().Kind), object.Ref().Name, describe(object)})
 		}
 		return t.print(objects, []string{"KIND", "NAME", "DETAIL"}, rows)
 	}}
 }
 
-func detail(object declare.Object) string {
+func describe(object declare.Object) string {
 	switch o := object.(type) {
 	case declare.DataCentre:
 		return "region " + o.Region
@@ -102,18 +102,18 @@
 	}}
 }
 
-// waitStep is the pause between two looks.
-const waitStep = 250 * time.Millisecond
+// pollInterval is the time between two polls of an engine's drain status.
+const pollInterval = 250 * time.Millisecond
 
 func waitCommand() subcommand {
 	engine := ""
-	longest := 10 * time.Minute
+	timeout := 10 * time.Minute
 	c := flaggy.NewSubcommand("wait")
 	c.Description = "wait until an engine that is being stopped is empty"
 	c.AddPositionalValue(&engine, "engine", 1, true, "name of the engine")
-	c.Duration(&longest, "l", "longest", "longest wait")
+	c.Duration(&timeout, "l", "longest", "longest wait")
 	return subcommand{c, func(ctx context.Context, t *tool) error {
-		until := time.Now().Add(longest)
+		deadline := time.Now().Add(timeout)
 		for {
 			drain, err := t.client.Drain(ctx, engine)
 			if err == nil && drain.Empty() {
@@ -122,10 +122,10 @@
 			if err == nil && !drain.Stopping {
 				return errors.Errorf("engine %q is not being stopped; say: linenscale label %s state=stopping", engine, engine)
 			}
-			if time.Now().After(until) {
+			if time.Now().After(deadline) {
 				return errors.Errorf("engine %q is not empty: %d in flight, not asked: %v, %v", engine, drain.InFlight, drain.Unknown, err)
 			}
-			time.Sleep(waitStep)
+			time.Sleep(pollInterval)
 		}
 	}}
 }
@@ -141,21 +141,21 @@
 	c.String(&model, "m", "model", "model asked for")
 	return subcommand{c, func(ctx context.Context, t *tool) error {
 		query := url.Values{"service": {service}, "home": {home}, "account": {account}, "class": {class}, "model": {model}}
-		e, err := t.client.Explain(ctx, query)
+		explanation, err := t.client.Explain(ctx, query)
 		if err != nil {
 			return err
 		}
 		if t.output == "table" {
-			fmt.Printf("revision %d; lease: %q; this region: %q\n", e.Revision, e.Lease, e.Here)
-			for _, r := range e.Regions {
+			fmt.Printf("revision %d; lease: %q; this region: %q\n", explanation.Revision, explanation.Lease, explanation.Here)
+			for _, r := range explanation.Regions {
 				fmt.Printf("region %s: permitted %t, cut off %t, load %d of %d, round trip %v\n", r.Region, r.Permitted, r.Cut, r.Load, r.Slots, r.RoundTrip.Round(time.Microsecond))
 			}
 		}
-		sort.Slice(e.Engines, func(i, j int) bool { return e.Engines[i].Score < e.Engines[j].Score })
+		sort.Slice(explanation.Engines, func(i, j int) bool { return explanation.Engines[i].Score < explanation.Engines[j].Score })
 		var rows [][]string
-		for _, x := range e.Engines {
+		for _, x := range explanation.Engines {
 			rows = append(rows, []string{x.Engine, x.Refused, x.Score.Round(time.Microsecond).String(), fmt.Sprintf("%.1f of %d", x.Load, x.Slots), x.Health})
 		}
-		return t.print(e, []string{"ENGINE", "STANDING", "SCORE", "LOAD", "HEALTH"}, rows)
+		return t.print(explanation, []string{"ENGINE", "STANDING", "SCORE", "LOAD", "HEALTH"}, rows)
 	}}
 }
--- a/cmd/linenscale/trace.go
+++ b/cmd/linenscale/trace.go
@@ -11,17 +11,18 @@
 	"github.com/linenscale/linenscale/trace"
 )
 
-// traceCommand follows one request through the logs of many processes.
+// traceCommand returns the subcommand that prints the log lines of one request, and of the engines and
+// hosts that it passed, from the logs of several processes.
 func traceCommand() subcommand {
 	c := flaggy.NewSubcommand("trace")
 	c.Description = "follows a request through log files, with what was believed of the engines and hosts that it met"
 	id, files := "", []string{}
 	c.AddPositionalValue(&id, "request", 1, true, "ID of the request")
 	c.StringSlice(&files, "f", "file", "log file; may be given often; default standard input")
-	return subcommand{c, func(context.Context, *tool) error { return follow(id, files) }}
+	return subcommand{c, func(context.Context, *tool) error { return printTrace(id, files) }}
 }
 
-func follow(id string, files []string) error {
+func printTrace(id string, files []string) error {
 	var lines []trace.Line
 	if len(files) == 0 {
 		var err error
@@ -30,17 +31,17 @@
 		}
 	}
 	for _, name := range files {
-		more, err := readLog(name)
+		logLines, err := readLog(name)
 		if err != nil {
 			return errors.Annotate(err, name)
 		}
-		lines = append(lines, more...)
+		lines = append(lines, logLines...)
 	}
-	found := trace.Follow(lines, id)
-	if len(found) == 0 {
+	matching := trace.Follow(lines, id)
+	if len(matching) == 0 {
 		return errors.NotFoundf("request %q in %d lines", id, len(lines))
 	}
-	for _, l := range found {
+	for _, l := range matching {
 		fmt.Println(l.Text)
 	}
 	return nil
