--- a/cmd/linenscale-lab/capacity.go
+++ b/cmd/linenscale-lab/capacity.go
@@ -8,7 +8,7 @@
 	"github.com/linenscale/linenscale/internal/capacity"
 )
 
-// capacityCommand measures the slopes of docs/CAPACITY.md.
+// capacityCommand prints the measurements of package capacity, on which docs/CAPACITY.md is based.
 type capacityCommand struct{ command *flaggy.Subcommand }
 
 func newCapacityCommand() *capacityCommand {
--- a/cmd/linenscale-lab/decisions.go
+++ b/cmd/linenscale-lab/decisions.go
@@ -8,7 +8,7 @@
 	"github.com/linenscale/linenscale/internal/bench"
 )
 
-// decisionsCommand compares the decisions of routing with baselines.
+// decisionsCommand compares routing decisions with baselines and writes plots. See package bench.
 type decisionsCommand struct {
 	command *flaggy.Subcommand
 	dir     string
--- a/cmd/linenscale-lab/load.go
+++ b/cmd/linenscale-lab/load.go
@@ -12,7 +12,8 @@
 	"github.com/linenscale/linenscale/load"
 )
 
-// loadCommand sends a load to the gateway, and to an engine directly.
+// loadCommand sends the same load to an engine directly and through the gateway, to compare their
+// latencies.
 type loadCommand struct {
 	command *flaggy.Subcommand
 	opts    load.Options
--- a/cmd/linenscale-lab/main.go
+++ b/cmd/linenscale-lab/main.go
@@ -1,5 +1,5 @@
-// Command linenscale-lab runs the stand-ins of an association, and loads a
-// running system.
+// Command linenscale-lab runs the stand-ins of an association, generates load for a running system,
+// and benchmarks routing decisions and the cost of growth in process.
 package main
 
 import (
@@ -38,8 +38,8 @@
 	flaggy.AttachSubcommand(decisions.command, 1)
 	placement := newPlacementCommand()
 	flaggy.AttachSubcommand(placement.command, 1)
-	slopes := newCapacityCommand()
-	flaggy.AttachSubcommand(slopes.command, 1)
+	capacity := newCapacityCommand()
+	flaggy.AttachSubcommand(capacity.command, 1)
 	flaggy.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -56,8 +56,8 @@
 		err = decisions.run()
 	case placement.command.Used:
 		err = placement.run()
-	case slopes.command.Used:
-		err = slopes.run()
+	case capacity.command.Used:
+		err = capacity.run()
 	default:
 		flaggy.ShowHelpAndExit("name a subcommand")
 	}
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab runs the stand-ins of one association: all its engines and plain
-// services, the platform's list and the network between its regions, on the
-// loopback addresses that its settings and declarations name.
+// Package lab runs the stand-ins of one association for trials on one machine: all its engines and
+// plain services, the platform's list of them, and the network between its regions. They listen on the
+// loopback addresses that the settings and declarations of the association name.
 package lab
 
 import (
@@ -19,28 +19,28 @@
 	"github.com/linenscale/linenscale/standin"
 )
 
-// Options shapes the stand-ins.
+// Options configures the stand-ins.
 type Options struct {
-	Delay       time.Duration // one way, between regions
-	PlatformLag time.Duration
-	Control     string // host:port for POST /cut
+	Delay       time.Duration // one-way delay between regions
+	PlatformLag time.Duration // delay until a change appears in the platform's list
+	Control     string        // address that accepts POST /cut, which partitions regions; "" for none
 	Engine      standin.EngineOptions
-	PlainTime   time.Duration
+	PlainTime   time.Duration // time that a plain service takes for a call
 }
 
-// Run serves every stand-in until ctx ends.
+// Run runs all stand-ins until ctx ends or one of them fails.
 func Run(ctx context.Context, s settings.Settings, opts Options) error {
 	config, err := declare.LoadConfig(s.DeclarationsDir(), s.Objects()...)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	platform := standin.NewPlatform(opts.PlatformLag, time.Now)
-	wan := standin.NewWAN(opts.Delay, width.New(width.Usual), links(s), regionOf(s))
+	wan := standin.NewWAN(opts.Delay, width.New(width.Usual), links(s), regionLookup(s))
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	for i, e := range declare.Each[declare.Engine](config) {
 		ip, _, _ := net.SplitHostPort(e.Address)
 		platform.Set(ip, "live")
-		handler := back(config, e, opts, uint64(i))
+		handler := newBackend(config, e, opts, uint64(i))
 		group.Go(func(ctx context.Context) error { return serve(ctx, e.Address, handler) })
 	}
 	if s.Platform != "" {
@@ -54,7 +54,7 @@
 	return group.Wait()
 }
 
-func back(config declare.Config, e declare.Engine, opts Options, seed uint64) http.Handler {
+func newBackend(config declare.Config, e declare.Engine, opts Options, seed uint64) http.Handler {
 	service, _ := config.Service(e.Service)
 	if service.Type == declare.ServicePlain {
 		return standin.NewPlain(e.Name, opts.PlainTime)
@@ -64,7 +64,8 @@
 	return standin.NewEngine(engine)
 }
 
-// links gives the wide-area addresses of every host.
+// links returns, for every host that has a wide-area address, the links that forward its hand-over and
+// control ports.
 func links(s settings.Settings) []standin.Link {
 	var out []standin.Link
 	for _, h := range s.Hosts {
@@ -79,7 +80,7 @@
 	return out
 }
 
-func regionOf(s settings.Settings) func(ip string) string {
+func regionLookup(s settings.Settings) func(ip string) string {
 	regions := map[string]string{}
 	for _, h := range s.Hosts {
 		ip, _, _ := net.SplitHostPort(h.Control)
@@ -93,7 +94,7 @@
 	if err != nil {
 		return errors.Annotate(err, "stand-in")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -102,4 +103,4 @@
 	return nil
 }
 
-const headerTime = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
