--- a/cmd/linenscale-lab/capacity.go
+++ b/cmd/linenscale-lab/capacity.go
@@ -8,7 +8,8 @@
 	"github.com/linenscale/linenscale/internal/capacity"
 )
 
-// capacityCommand prints the measurements of package capacity, on which docs/CAPACITY.md is based.
+// capacityCommand prints the measurements of package capacity, on which docs/CAPACITY.md
+// is based.
 type capacityCommand struct{ command *flaggy.Subcommand }
 
 func newCapacityCommand() *capacityCommand {
--- a/cmd/linenscale-lab/decisions.go
+++ b/cmd/linenscale-lab/decisions.go
@@ -8,7 +8,8 @@
 	"github.com/linenscale/linenscale/internal/bench"
 )
 
-// decisionsCommand compares routing decisions with baselines and writes plots. See package bench.
+// decisionsCommand compares routing decisions with baselines and writes plots. See
+// package bench.
 type decisionsCommand struct {
 	command *flaggy.Subcommand
 	dir     string
--- a/cmd/linenscale-lab/load.go
+++ b/cmd/linenscale-lab/load.go
@@ -12,8 +12,8 @@
 	"github.com/linenscale/linenscale/load"
 )
 
-// loadCommand sends the same load to an engine directly and through the gateway, to compare their
-// latencies.
+// loadCommand sends the same load to an engine directly and through the gateway, to
+// compare their latencies.
 type loadCommand struct {
 	command *flaggy.Subcommand
 	opts    load.Options
--- a/cmd/linenscale-lab/main.go
+++ b/cmd/linenscale-lab/main.go
@@ -1,5 +1,5 @@
-// Command linenscale-lab runs the stand-ins of an association, generates load for a running system,
-// and benchmarks routing decisions and the cost of growth in process.
+// Command linenscale-lab runs the stand-ins of an association, generates load for a
+// running system, and benchmarks routing decisions and the cost of growth in process.
 package main
 
 import (
--- a/cmd/linenscale/change.go
+++ b/cmd/linenscale/change.go
@@ -29,8 +29,8 @@
 	c.Bool(&f.prune, "p", "prune", "delete services, engines and selectors that the folder lacks")
 }
 
-// plan is the change that makes the configuration match the declarations of a folder, with a summary
-// line for each object that is added (+), changed (~) or deleted (-).
+// plan is the change that makes the configuration match the declarations of a folder,
+// with a summary line for each object that is added (+), changed (~) or deleted (-).
 type plan struct {
 	change  declare.Change
 	loaded  []declare.Loaded
@@ -128,8 +128,8 @@
 	}}
 }
 
-// validate applies the change to the current configuration and returns the result, or the faults that
-// make it invalid with their positions in the folder's files.
+// validate applies the change to the current configuration and returns the result, or the
+// faults that make it invalid with their positions in the folder's files.
 func (p *plan) validate(ctx context.Context, t *tool) (declare.Config, error) {
 	config, err := t.client.Config(ctx)
 	if err != nil {
@@ -202,9 +202,9 @@
 	return declare.Ref{Kind: declare.Kind(kind), Name: name}, nil
 }
 
-// submit sends a change, and prints its outcome and what the operator can do next. It returns
-// errRejected if the change was not accepted. If the outcome isn't known, the same change can be sent
-// again under its ID.
+// submit sends a change, and prints its outcome and what the operator can do next. It
+// returns errRejected if the change was not accepted. If the outcome isn't known, the
+// same change can be sent again under its ID.
 func (t *tool) submit(ctx context.Context, change declare.Change, loaded []declare.Loaded) error {
 	out, err := t.client.Change(ctx, change)
 	if err != nil {
--- a/cmd/linenscale/engines.go
+++ b/cmd/linenscale/engines.go
@@ -53,8 +53,8 @@
 	return rows
 }
 
-// formatDuration formats a duration for a table, rounded to milliseconds. Zero means unknown or none
-// and becomes "".
+// formatDuration formats a duration for a table, rounded to milliseconds. Zero means
+// unknown or none and becomes "".
 func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
--- a/cmd/linenscale/main.go
+++ b/cmd/linenscale/main.go
@@ -1,6 +1,6 @@
-// Command linenscale is the operators' command-line tool. It reads and changes the configuration
-// through the operators' API of any entry host, shows what gateways report next to their metrics, and
-// traces requests through log files.
+// Command linenscale is the operators' command-line tool. It reads and changes the
+// configuration through the operators' API of any entry host, shows what gateways report
+// next to their metrics, and traces requests through log files.
 package main
 
 import (
@@ -25,7 +25,8 @@
 	exitRejected = 3 // the change was not accepted
 )
 
-// errRejected reports that a change was decided on and rejected. The reason has been printed.
+// errRejected reports that a change was decided on and rejected. The reason has been
+// printed.
 var errRejected = errors.New("not accepted")
 
 // tool holds the API client and the global flags, which all subcommands share.
--- a/cmd/linenscale/metrics.go
+++ b/cmd/linenscale/metrics.go
@@ -13,12 +13,12 @@
 	"github.com/juju/errors"
 )
 
-// maxResponseBytes limits the size of a response. It suffices for 14,000 client accounts at some 300
-// bytes each, four times over.
+// maxResponseBytes limits the size of a response. It suffices for 14,000 client accounts
+// at some 300 bytes each, four times over.
 const maxResponseBytes = 16 << 20
 
-// readGateways fetches a JSON array from a path of each gateway and converts each array with wrap.
-// addresses holds the metrics addresses of the gateways, comma separated.
+// readGateways fetches a JSON array from a path of each gateway and converts each array
+// with wrap. addresses holds the metrics addresses of the gateways, comma separated.
 func readGateways[T, G any](ctx context.Context, addresses string, timeout time.Duration, path string, wrap func(gateway string, items []T) G) ([]G, error) {
 	if addresses == "" {
 		return nil, errors.NotValidf("no gateway: name their metrics' addresses by -H, which")
--- a/cmd/linenscale/print.go
+++ b/cmd/linenscale/print.go
@@ -13,7 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// print writes value as JSON or YAML, or header and rows as a table, depending on the output flag.
+// print writes value as JSON or YAML, or header and rows as a table, depending on the
+// output flag.
 func (t *tool) print(value any, header []string, rows [][]string) error {
 	switch t.output {
 	case "json":
--- a/cmd/linenscale/trace.go
+++ b/cmd/linenscale/trace.go
@@ -11,8 +11,8 @@
 	"github.com/linenscale/linenscale/trace"
 )
 
-// traceCommand returns the subcommand that prints the log lines of one request, and of the engines and
-// hosts that it passed, from the logs of several processes.
+// traceCommand returns the subcommand that prints the log lines of one request, and of
+// the engines and hosts that it passed, from the logs of several processes.
 func traceCommand() subcommand {
 	c := flaggy.NewSubcommand("trace")
 	c.Description = "follows a request through log files, with what was believed of the engines and hosts that it met"
--- a/cmd/linenscaled/main.go
+++ b/cmd/linenscaled/main.go
@@ -1,7 +1,8 @@
 // Command linenscaled runs one host of the linenscale inference gateway.
 //
-// A host either has a settings file that lists all hosts and is given its own name, or runs as a
-// member, whose settings name no other host and which discovers the others through seeds.
+// A host either has a settings file that lists all hosts and is given its own name, or
+// runs as a member, whose settings name no other host and which discovers the others
+// through seeds.
 package main
 
 import (
@@ -55,8 +56,8 @@
 // settingsVariable is the environment variable with the default path of the settings file.
 const settingsVariable = "LINENSCALE_SETTINGS"
 
-// runListedHost runs one host of a settings file that lists all hosts. If check is set, it only
-// validates the settings and declarations.
+// runListedHost runs one host of a settings file that lists all hosts. If check is set,
+// it only validates the settings and declarations.
 func runListedHost(path, host, level string, check bool) {
 	s, err := settings.Read(path)
 	if err != nil {
@@ -80,8 +81,8 @@
 	}
 }
 
-// runMember runs a host that discovers the others through seeds. If check is set, it only validates
-// the settings.
+// runMember runs a host that discovers the others through seeds. If check is set, it only
+// validates the settings.
 func runMember(path, level string, check bool) {
 	s, err := settings.ReadMember(path)
 	if err != nil {
@@ -117,18 +118,18 @@
 	}
 }
 
-// memoryLimitPercent is the share of the host's memory that is set as the soft limit of the Go
-// runtime, near which it collects garbage more often. The rest is left for data that has
-// arrived and that the process hasn't read yet.
+// memoryLimitPercent is the share of the host's memory that is set as the soft limit of
+// the Go runtime, near which it collects garbage more often. The rest is left for data
+// that has arrived and that the process hasn't read yet.
 const memoryLimitPercent = 60
 
-// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is below Go's
-// default of 100 because hosts have little memory: more frequent collections cost less than a
-// larger heap.
+// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is
+// below Go's default of 100 because hosts have little memory: more frequent collections
+// cost less than a larger heap.
 const gcPercent = 50
 
-// forwardHangups requests a reload of the settings for each SIGHUP until ctx ends. An unhandled
-// SIGHUP would terminate the process.
+// forwardHangups requests a reload of the settings for each SIGHUP until ctx ends. An
+// unhandled SIGHUP would terminate the process.
 func forwardHangups(ctx context.Context, reload chan<- struct{}) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -7,8 +7,8 @@
 	"github.com/linenscale/linenscale/internal/blockcache"
 )
 
-// engine models an engine with continuous batching: a batch of slots, a bounded queue and a prefix
-// cache.
+// engine models an engine with continuous batching: a batch of slots, a bounded queue and
+// a prefix cache.
 type engine struct {
 	name         string
 	service      string
@@ -66,8 +66,8 @@
 	return true
 }
 
-// enqueue adds a request to the engine's queue. Engines honour priorities: quick requests come
-// before long ones.
+// enqueue adds a request to the engine's queue. Engines honour priorities: quick requests
+// come before long ones.
 func (e *engine) enqueue(j *job) {
 	at := len(e.waiting)
 	for at > 0 && e.waiting[at-1].arrival.long && !j.arrival.long {
@@ -108,7 +108,8 @@
 	j.onDone(w.time.Now(), ok)
 }
 
-// recordLoad appends the current load to the history, which it limits to what delayed reports need.
+// recordLoad appends the current load to the history, which it limits to what delayed
+// reports need.
 func (e *engine) recordLoad(w *world) {
 	e.loadHistory = append(e.loadHistory, load{w.time.Now(), e.running, len(e.waiting)})
 	for len(e.loadHistory) > 2 && w.time.Now().Sub(e.loadHistory[1].at) > w.opts.ReportLag {
@@ -116,8 +117,8 @@
 	}
 }
 
-// laggedLoad returns the load that the engine reports now: its load ReportLag ago, or none if it
-// hides its load.
+// laggedLoad returns the load that the engine reports now: its load ReportLag ago, or
+// none if it hides its load.
 func (e *engine) laggedLoad(w *world) load {
 	at := w.time.Now().Add(-w.opts.ReportLag)
 	lagged := load{at: at}
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -46,7 +46,8 @@
 	return save(p, dir, file)
 }
 
-// maxNameLength is the length in bytes to which a table's name is cut in the label of its bars.
+// maxNameLength is the length in bytes to which a table's name is cut in the label of its
+// bars.
 const maxNameLength = 22
 
 func shorten(names []string) []string {
@@ -57,8 +58,8 @@
 	return out
 }
 
-// Lines writes a line chart to a file in dir: one line per policy, with the values of the tables
-// over x.
+// Lines writes a line chart to a file in dir: one line per policy, with the values of the
+// tables over x.
 func Lines(dir, file, title, xLabel, yLabel string, x []float64, tables []Table, value func(Result) float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -6,7 +6,8 @@
 	"github.com/juju/errors"
 )
 
-// Report runs all comparisons and writes the results as text to w and as SVG plots into dir.
+// Report runs all comparisons and writes the results as text to w and as SVG plots into
+// dir.
 func Report(w io.Writer, dir string) error {
 	engines, overload, retries, regions := EngineChoice(), Overload(), Retries(), Associations()
 	for _, tables := range [][]Table{engines, overload, retries, regions} {
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -27,8 +27,8 @@
 // Seeds is the number of runs per result. Each run has its own arrivals.
 const Seeds = 4
 
-// Run runs the simulation once for each seed, which replaces opts.Seed, and returns the result over
-// the requests of all runs.
+// Run runs the simulation once for each seed, which replaces opts.Seed, and returns the
+// result over the requests of all runs.
 func Run(opts Options) Result {
 	combined := &world{opts: opts}
 	for seed := range uint64(Seeds) {
--- a/internal/bench/scenarios.go
+++ b/internal/bench/scenarios.go
@@ -17,15 +17,15 @@
 	Result Result
 }
 
-// Table compares the policies in one scenario, on the same arrivals. The first row is the policy of
-// the daemon; the others are baselines.
+// Table compares the policies in one scenario, on the same arrivals. The first row is the
+// policy of the daemon; the others are baselines.
 type Table struct {
 	Name string
 	Rows []Row
 }
 
-// baseOptions returns a scenario with one region of three hosts and twelve engines. load is a
-// multiple of their capacity.
+// baseOptions returns a scenario with one region of three hosts and twelve engines. load
+// is a multiple of their capacity.
 func baseOptions(load float64) Options {
 	return Options{
 		Seed: 1, Duration: 60 * time.Second, Slots: 8, EnginePolicy: route.PrefixBounded{}, RegionPolicy: RegionHome,
@@ -38,8 +38,8 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// requestTime is the mean time that a request holds a slot of a nearly full batch, with half of the
-// long prompts cached. The capacity is computed from it.
+// requestTime is the mean time that a request holds a slot of a nearly full batch, with
+// half of the long prompts cached. The capacity is computed from it.
 const requestTime = 1550 * time.Millisecond
 
 // capacity returns the requests per second that so many engines of 8 slots can answer.
@@ -68,8 +68,8 @@
 	}
 }
 
-// EngineChoice compares the policies that choose an engine: under load, with a slow engine, with an
-// engine that hides its load, and with stale reports.
+// EngineChoice compares the policies that choose an engine: under load, with a slow
+// engine, with an engine that hides its load, and with stale reports.
 func EngineChoice() []Table {
 	cases := []struct {
 		name string
@@ -105,8 +105,8 @@
 // Loads are the loads of Overload, as multiples of the capacity.
 var Loads = []float64{1, 2, 5, 10}
 
-// Overload compares the daemon's bounded queue with the same queue without deadlines, at several
-// multiples of the capacity.
+// Overload compares the daemon's bounded queue with the same queue without deadlines, at
+// several multiples of the capacity.
 func Overload() []Table {
 	var tables []Table
 	for _, load := range Loads {
@@ -121,7 +121,8 @@
 	return tables
 }
 
-// Retries measures the retry budget and the ejection of engines while half of the engines fail.
+// Retries measures the retry budget and the ejection of engines while half of the engines
+// fail.
 func Retries() []Table {
 	o := withFaults(baseOptions(0.3), func(w *World) {
 		w.At(10*time.Second, func() {
@@ -133,8 +134,8 @@
 	return []Table{{Name: "half of the engines fail from 10 s on, load 0.3", Rows: []Row{{"budget and ejection", Run(o)}}}}
 }
 
-// associationOptions returns a scenario of three regions whose daily peaks are offset by a third of
-// a day each. The run stands for one day.
+// associationOptions returns a scenario of three regions whose daily peaks are offset by
+// a third of a day each. The run stands for one day.
 func associationOptions(names []string, weights route.Weights, permitted func(home, region string) bool) Options {
 	o := baseOptions(0)
 	o.Duration = 120 * time.Second
@@ -152,8 +153,8 @@
 	return o
 }
 
-// Associations compares the policies that choose a region, for two associations that differ in their
-// weights and in the regions that they permit.
+// Associations compares the policies that choose a region, for two associations that
+// differ in their weights and in the regions that they permit.
 func Associations() []Table {
 	cooperative := associationOptions([]string{"lagos", "abuja", "kano"}, route.Weights{Tail: 4, Cost: 1, Away: 1, Target: 380 * time.Millisecond}, func(home, region string) bool {
 		if home == "kano" {
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -161,7 +161,8 @@
 // after schedules fn to run after a delay.
 func (w *world) after(delay time.Duration, fn func()) { w.time.After(delay, fn) }
 
-// run schedules the arrivals, the periodic reports and the faults, and runs until no event is left.
+// run schedules the arrivals, the periodic reports and the faults, and runs until no
+// event is left.
 func (w *world) run() {
 	for _, r := range w.opts.Regions {
 		w.nextArrival(r, 0)
@@ -203,7 +204,8 @@
 	}
 }
 
-// exchangeDigests delivers each region's digest to all regions, after a delay of one second.
+// exchangeDigests delivers each region's digest to all regions, after a delay of one
+// second.
 func (w *world) exchangeDigests() {
 	next := map[string]route.Digest{}
 	for _, r := range w.opts.Regions {
@@ -220,8 +222,8 @@
 	w.after(time.Second, func() { w.digests = next })
 }
 
-// reportEviction delivers a cache event to the hosts of the engine's region after ReportLag, or
-// drops it with probability EventLoss.
+// reportEviction delivers a cache event to the hosts of the engine's region after
+// ReportLag, or drops it with probability EventLoss.
 func (w *world) reportEviction(e *engine, block uint64) {
 	if w.policyRandom.Float64() < w.opts.EventLoss {
 		return
@@ -245,7 +247,8 @@
 	})
 }
 
-// newArrival draws a request: a long review of one of a few hot documents, or a quick question.
+// newArrival draws a request: a long review of one of a few hot documents, or a quick
+// question.
 func (w *world) newArrival(home string) *arrival {
 	a := &arrival{at: w.time.Now(), home: home, account: fmt.Sprint(w.arrivalRandom.IntN(20)), long: w.arrivalRandom.Float64() < w.opts.LongShare}
 	if !a.long {
--- a/internal/blockcache/blockcache.go
+++ b/internal/blockcache/blockcache.go
@@ -3,8 +3,8 @@
 
 import "container/list"
 
-// Cache is an LRU cache of prompt blocks. It stores the identifiers of the blocks only. Create
-// one with New. It is not safe for concurrent use.
+// Cache is an LRU cache of prompt blocks. It stores the identifiers of the blocks only.
+// Create one with New. It is not safe for concurrent use.
 type Cache struct {
 	limit    int
 	recency  *list.List // of uint64, most recently used first
@@ -16,8 +16,8 @@
 	return &Cache{limit: limit, recency: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// Use looks up the blocks of a prompt and caches those that are missing. It returns the length of
-// the cached prefix in blocks and the blocks that were evicted.
+// Use looks up the blocks of a prompt and caches those that are missing. It returns the
+// length of the cached prefix in blocks and the blocks that were evicted.
 func (c *Cache) Use(chain []uint64) (hit int, evicted []uint64) {
 	for hit < len(chain) && c.elements[chain[hit]] != nil {
 		hit++
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity measures how the cost of each component (memory, time or message size) grows with
-// the size of a system. It measures each at four sizes at least, fits a line and extrapolates to a
-// target size.
+// Package capacity measures how the cost of each component (memory, time or message size)
+// grows with the size of a system. It measures each at four sizes at least, fits a line
+// and extrapolates to a target size.
 package capacity
 
 import (
@@ -27,7 +27,8 @@
 	"github.com/linenscale/linenscale/wal"
 )
 
-// measurement describes one cost, the sizes at which it is measured and the size to extrapolate to.
+// measurement describes one cost, the sizes at which it is measured and the size to
+// extrapolate to.
 type measurement struct {
 	name       string
 	sizeUnit   string // what the sizes count
@@ -37,8 +38,8 @@
 	measure    func(n int) (float64, error)
 }
 
-// Report measures all costs and writes a table of the fitted lines, their coefficients of determination
-// and the costs at the target sizes.
+// Report measures all costs and writes a table of the fitted lines, their coefficients of
+// determination and the costs at the target sizes.
 func Report(w io.Writer) error {
 	measurements := []measurement{
 		{"configuration as JSON", "engines", "bytes", []int{100, 500, 2000, 6000}, 12_000, configBytes},
@@ -83,7 +84,8 @@
 	return errors.Trace(err)
 }
 
-// newConfig returns a configuration whose engines are spread over 20 regions and 50 data centres.
+// newConfig returns a configuration whose engines are spread over 20 regions and 50 data
+// centres.
 func newConfig(engines, services int) (declare.Config, error) {
 	var c declare.Change
 	put := func(o declare.Object) { c.Puts = append(c.Puts, declare.Envelope{Object: o}) }
@@ -282,8 +284,8 @@
 	return s
 }
 
-// nextMessageBytes returns the size of a message on a connection that has sent others of its type. The
-// first message is larger, as gob sends the type with it.
+// nextMessageBytes returns the size of a message on a connection that has sent others of
+// its type. The first message is larger, as gob sends the type with it.
 func nextMessageBytes(message any) (float64, error) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty provides waits for background loops. A wait returns as soon as the loop's context
-// ends.
+// Package duty provides waits for background loops. A wait returns as soon as the loop's
+// context ends.
 package duty
 
 import (
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -21,8 +21,8 @@
 	// Output: 3
 }
 
-// TestWaitsEndWithContext guards against waits that ignore the end of their context: either would
-// block for an hour.
+// TestWaitsEndWithContext guards against waits that ignore the end of their context:
+// either would block for an hour.
 func TestWaitsEndWithContext(_ *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,8 +1,8 @@
 // Package loopback allocates a separate loopback network to each deployment under test.
 //
-// Packages tested in parallel, and several checkouts on one machine, run deployments at the
-// same time. With fixed addresses, a deployment would fail to bind an address that is in use
-// or would connect to a process of another deployment.
+// Packages tested in parallel, and several checkouts on one machine, run deployments at
+// the same time. With fixed addresses, a deployment would fail to bind an address that is
+// in use or would connect to a process of another deployment.
 package loopback
 
 import (
@@ -26,15 +26,15 @@
 // ErrTaken is returned by Claim if every network that it tried is claimed already.
 var ErrTaken = errors.New("no loopback network is free")
 
-// Network is a /24 loopback network that no other process on the machine has claimed. Create
-// one with Claim.
+// Network is a /24 loopback network that no other process on the machine has claimed.
+// Create one with Claim.
 type Network struct {
 	prefix   string
 	listener net.Listener
 }
 
-// Claim reserves a network until Close is called or the process ends. It returns ErrTaken if it
-// finds no free network.
+// Claim reserves a network until Close is called or the process ends. It returns ErrTaken
+// if it finds no free network.
 func Claim() (*Network, error) {
 	for range maxAttempts {
 		prefix := fmt.Sprintf("127.%d.%d.", firstOctet+rand.IntN(octetCount), rand.IntN(256))
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,11 +1,11 @@
-// Package recent indexes items by the version of their last change, so that the items changed
-// after a given version are found without a scan of all items.
+// Package recent indexes items by the version of their last change, so that the items
+// changed after a given version are found without a scan of all items.
 package recent
 
 import "slices"
 
-// Log orders items by the version of their last change. The zero value is empty. It is not safe
-// for concurrent use.
+// Log orders items by the version of their last change. The zero value is empty. It is
+// not safe for concurrent use.
 type Log[T comparable] struct {
 	changes []change[T] // in ascending order of version; an item may occur several times
 	latest  map[T]uint64
@@ -35,8 +35,8 @@
 // Forget removes an item, which Since then no longer returns.
 func (l *Log[T]) Forget(item T) { delete(l.latest, item) }
 
-// Since returns the items whose last change has a version above the given one, each once, the
-// most recently changed first.
+// Since returns the items whose last change has a version above the given one, each once,
+// the most recently changed first.
 func (l *Log[T]) Since(version uint64) []T {
 	var out []T
 	for _, c := range slices.Backward(l.changes) {
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -10,8 +10,8 @@
 	"github.com/linenscale/linenscale/internal/recent"
 )
 
-// TestSinceMatchesFullScan guards against items that Since omits, repeats or still returns after
-// Forget: it compares Since with a scan of a map.
+// TestSinceMatchesFullScan guards against items that Since omits, repeats or still
+// returns after their removal: it compares the results with a scan of a map.
 func TestSinceMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log recent.Log[int]
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,13 +1,14 @@
-// Package rendezvous implements rendezvous hashing (Thaler and Ravishankar, 1998). Hosts that rank
-// the same items for the same key agree on the order without communication. An item that is added
-// or removed doesn't change the order of the others.
+// Package rendezvous implements rendezvous hashing (Thaler and Ravishankar, 1998). Hosts
+// that rank the same items for the same key agree on the order without communication. An
+// item that is added or removed doesn't change the order of the others.
 package rendezvous
 
 import "math/bits"
 
-// Rank returns the rank of an item for a key; the item with the highest rank comes first. Both are
-// given by their hashes, which Rank combines with the finalizer of SplitMix64 (Steele, Lea and
-// Flood, 2014). That takes 2 ns; hashing both names together takes 25 ns.
+// Rank returns the rank of an item for a key; the item with the highest rank comes first.
+// Both are given by their hashes, which Rank combines with the finalizer of SplitMix64
+// (Steele, Lea and Flood, 2014). That takes 2 ns; hashing both names together takes 25
+// ns.
 func Rank(key, item uint64) uint64 {
 	x := key ^ bits.RotateLeft64(item, 31)
 	x ^= x >> 30
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -8,8 +8,9 @@
 	"github.com/linenscale/linenscale/internal/rendezvous"
 )
 
-// TestItemsRankFirstEquallyOften guards against a biased hash: each of eight items must rank first
-// for an eighth of the keys, within five standard deviations (of 33 keys each).
+// TestItemsRankFirstEquallyOften guards against a biased hash: each of eight items must
+// rank first for an eighth of the keys, within five standard deviations (of 33 keys
+// each).
 func TestItemsRankFirstEquallyOften(t *testing.T) {
 	const keys, items = 10_000, 8
 	first := make(map[uint64]int)
--- a/internal/simlog/simlog.go
+++ b/internal/simlog/simlog.go
@@ -1,9 +1,9 @@
 // Package simlog simulates the replicas of one Raft log in virtual time, for tests.
 //
-// A replica combines raft.Node, wal.Log on a disk that loses unsynced writes in a crash, and a state
-// machine. It saves, sends and applies in the same order as package replica. The simulated network
-// delays messages, loses them and can be partitioned. All random choices come from one seed, so a
-// seed determines the whole history.
+// A replica combines raft.Node, wal.Log on a disk that loses unsynced writes in a crash,
+// and a state machine. It saves, sends and applies in the same order as package replica.
+// The simulated network delays messages, loses them and can be partitioned. All random
+// choices come from one seed, so a seed determines the whole history.
 package simlog
 
 import (
@@ -42,8 +42,8 @@
 // tickInterval is how far one step advances the time.
 const tickInterval = 5 * time.Millisecond
 
-// Cluster is a set of replicas, the network between them and the virtual clock. It is not safe for
-// concurrent use.
+// Cluster is a set of replicas, the network between them and the virtual clock. It is not
+// safe for concurrent use.
 type Cluster struct {
 	Opts        Options
 	Random      *rand.Rand
@@ -133,8 +133,8 @@
 	n.Up, n.Paused = true, false
 }
 
-// Crash stops a replica immediately. Its disk loses the bytes that were not synced, except for up to
-// maxTorn of them. Pending proposals and reads fail.
+// Crash stops a replica immediately. Its disk loses the bytes that were not synced,
+// except for up to maxTorn of them. Pending proposals and reads fail.
 func (c *Cluster) Crash(n *Node, maxTorn int) {
 	n.Up = false
 	n.folder.Crash(maxTorn)
@@ -153,8 +153,8 @@
 
 var errCrashed = crashError{}
 
-// LoseDisk crashes a replica and deletes its folder. It restarts with a new ID, as a replica that
-// lost its log must not vote under the ID of the old one.
+// LoseDisk crashes a replica and deletes its folder. It restarts with a new ID, as a
+// replica that lost its log must not vote under the ID of the old one.
 func (c *Cluster) LoseDisk(n *Node) {
 	c.Crash(n, 0)
 	n.folder.Lose()
@@ -166,8 +166,8 @@
 // Cut partitions or reconnects the link from a to b, in this direction only.
 func (c *Cluster) Cut(a, b int, partitioned bool) { c.partitioned[[2]int{a, b}] = partitioned }
 
-// Isolate partitions a replica from all others: in drops the messages to it, and out those from it.
-// A direction that is false is reconnected.
+// Isolate partitions a replica from all others: in drops the messages to it, and out
+// those from it. A direction that is false is reconnected.
 func (c *Cluster) Isolate(n int, in, out bool) {
 	for i := range c.Nodes {
 		c.Cut(i, n, in)
@@ -175,7 +175,8 @@
 	}
 }
 
-// Disturb injects one random fault or recovers from one. It prefers the leader in half of the cases.
+// Disturb injects one random fault or recovers from one. It prefers the leader in half of
+// the cases.
 func (c *Cluster) Disturb() {
 	r := c.Random
 	n := c.Nodes[r.IntN(len(c.Nodes))]
@@ -202,8 +203,8 @@
 	}
 }
 
-// Mend starts, resumes and reconnects all replicas, so that a history also covers the recovery from
-// the faults.
+// Mend starts, resumes and reconnects all replicas, so that a history also covers the
+// recovery from the faults.
 func (c *Cluster) Mend() {
 	for _, n := range c.Nodes {
 		if !n.Up {
@@ -232,8 +233,8 @@
 	}
 }
 
-// Step advances the virtual time by one tickInterval: it delivers the messages that are due and ticks
-// each replica that is neither down nor paused.
+// Step advances the virtual time by one tickInterval: it delivers the messages that are
+// due and ticks each replica that is neither down nor paused.
 func (c *Cluster) Step() {
 	c.Now = c.Now.Add(tickInterval)
 	for len(c.queue) > 0 && !c.queue[0].deliverAt.After(c.Now) {
@@ -256,9 +257,9 @@
 	}
 }
 
-// Propose proposes a command at a replica. done is called at most once, with the result of the state
-// machine, or with an error if the replica rejects the proposal, another entry is committed at its
-// index, or the replica crashes.
+// Propose proposes a command at a replica. done is called at most once, with the result
+// of the state machine, or with an error if the replica rejects the proposal, another
+// entry is committed at its index, or the replica crashes.
 func (c *Cluster) Propose(n *Node, data []byte, done func(result any, err error)) {
 	index, term, err := n.Raft.Propose(c.Now, data)
 	if err != nil {
@@ -269,8 +270,9 @@
 	c.processReady(n)
 }
 
-// Read starts a linearizable read at a replica. done(true) is called once the replica's state machine
-// is recent enough to be read, done(false) if the read fails or the replica crashes.
+// Read starts a linearizable read at a replica. done(true) is called once the replica's
+// state machine is recent enough to be read, done(false) if the read fails or the replica
+// crashes.
 func (c *Cluster) Read(n *Node, done func(ok bool)) {
 	n.nextID++
 	n.reads[n.nextID] = &PendingRead{done: done}
@@ -303,8 +305,8 @@
 	}
 }
 
-// commitSaveProbability is the probability that a replica saves its commit index after a round of
-// work. Otherwise it restarts with an older one after a crash.
+// commitSaveProbability is the probability that a replica saves its commit index after a
+// round of work. Otherwise it restarts with an older one after a crash.
 const commitSaveProbability = 0.5
 
 func (c *Cluster) apply(n *Node, entries []raft.Entry) {
@@ -380,7 +382,8 @@
 	envelope  raft.Envelope
 }
 
-// messages implements heap.Interface, ordered by time of delivery and then by order of sending.
+// messages implements heap.Interface, ordered by time of delivery and then by order of
+// sending.
 type messages []message
 
 func (m messages) Len() int { return len(m) }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -9,8 +9,8 @@
 	"github.com/linenscale/linenscale/internal/steady"
 )
 
-// TestTimeIsMonotonicAndNearWallClock guards against a clock that runs backwards and against an
-// origin that isn't the wall-clock time.
+// TestTimeIsMonotonicAndNearWallClock guards against a clock that runs backwards and
+// against an origin that isn't the wall-clock time.
 func TestTimeIsMonotonicAndNearWallClock(t *testing.T) {
 	first := steady.Time()
 	must.False(t, steady.Time().Before(first))
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual is a discrete event scheduler in virtual time, for benchmarks and tests that
-// must be deterministic.
+// Package virtual is a discrete event scheduler in virtual time, for benchmarks and tests
+// that must be deterministic.
 package virtual
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Time runs events in the order of their times. Events at the same time run in the order in which
-// they were scheduled. Create one with New. It is not safe for concurrent use.
+// Time runs events in the order of their times. Events at the same time run in the order
+// in which they were scheduled. Create one with New. It is not safe for concurrent use.
 type Time struct {
 	now      time.Time
 	queue    events
--- a/internal/width/width.go
+++ b/internal/width/width.go
@@ -1,5 +1,5 @@
-// Package width limits the bandwidth between two regions for all their traffic together. The
-// stand-ins for the network between regions share one Ways.
+// Package width limits the bandwidth between two regions for all their traffic together.
+// The stand-ins for the network between regions share one Ways.
 package width
 
 import (
@@ -10,16 +10,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Usual is the default bandwidth between two regions in each direction, in bits per second. It
-// applies where users specify none.
+// Usual is the default bandwidth between two regions in each direction, in bits per
+// second. It applies where users specify none.
 const Usual = 2e9
 
-// burstBytes is how many bytes may pass at once: the capacity of a router's queue. No single write
-// is larger.
+// burstBytes is how many bytes may pass at once: the capacity of a router's queue. No
+// single write is larger.
 const burstBytes = 64 << 10
 
-// Ways limits the links between regions, with a separate limit for each direction. It is safe for
-// concurrent use. Create it with New.
+// Ways limits the links between regions, with a separate limit for each direction. It is
+// safe for concurrent use. Create it with New.
 type Ways struct {
 	bytesPerSecond float64 // per direction; 0 means no limit
 	mu             sync.Mutex
@@ -31,8 +31,8 @@
 	return &Ways{bytesPerSecond: bits / 8, limiters: make(map[[2]string]*rate.Limiter)}
 }
 
-// limiter returns the limiter of one direction between two regions, or nil if that direction is
-// unlimited, as traffic within a region is.
+// limiter returns the limiter of one direction between two regions, or nil if that
+// direction is unlimited, as traffic within a region is.
 func (w *Ways) limiter(from, to string) *rate.Limiter {
 	if w.bytesPerSecond <= 0 || from == to {
 		return nil
@@ -48,8 +48,8 @@
 	return limiter
 }
 
-// Pass blocks until the link has bandwidth for so many bytes of a connection. It returns an error
-// if ctx ends first or its deadline is too early.
+// Pass blocks until the link has bandwidth for so many bytes of a connection. It returns
+// an error if ctx ends first or its deadline is too early.
 func (w *Ways) Pass(ctx context.Context, from, to string, bytes int) error {
 	if limiter := w.limiter(from, to); limiter != nil {
 		return limiter.WaitN(ctx, min(bytes, burstBytes))
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Takes reports whether the link has bandwidth for a datagram of so many bytes now. A datagram
-// that doesn't pass is dropped, as by a router whose queue is full.
+// Takes reports whether the link has bandwidth for a datagram of so many bytes now. A
+// datagram that doesn't pass is dropped, as by a router whose queue is full.
 func (w *Ways) Takes(from, to string, bytes int) bool {
 	limiter := w.limiter(from, to)
 	return limiter == nil || limiter.AllowN(time.Now(), min(bytes, burstBytes))
--- a/internal/width/width_test.go
+++ b/internal/width/width_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestConnectionsOfOneDirectionShareBandwidth guards against a limit that applies to each
-// connection instead of all of a direction, or that also covers the other direction or traffic
-// within a region.
+// connection instead of all of a direction, or that also covers the other direction or
+// traffic within a region.
 func TestConnectionsOfOneDirectionShareBandwidth(t *testing.T) {
 	links := width.New(8e6) // 1 MB per second, bursts of 64 KiB
 	ctx := context.Background()
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,6 +1,7 @@
-// Package lab runs the stand-ins of one association for trials on one machine: all its engines and
-// plain services, the platform's list of them, and the network between its regions. They listen on the
-// loopback addresses that the settings and declarations of the association name.
+// Package lab runs the stand-ins of one association for trials on one machine: all its
+// engines and plain services, the platform's list of them, and the network between its
+// regions. They listen on the loopback addresses that the settings and declarations of
+// the association name.
 package lab
 
 import (
@@ -64,8 +65,8 @@
 	return standin.NewEngine(engine)
 }
 
-// links returns, for every host that has a wide-area address, the links that forward its hand-over and
-// control ports.
+// links returns, for every host that has a wide-area address, the links that forward its
+// hand-over and control ports.
 func links(s settings.Settings) []standin.Link {
 	var out []standin.Link
 	for _, h := range s.Hosts {
