--- a/cmd/linenscale-soak/main.go
+++ b/cmd/linenscale-soak/main.go
@@ -23,7 +23,7 @@
 func main() {
 	program, dir := "bin/linenscaled", ""
 	seed, seeds, gateways, engines, regions := uint64(0), 1, 2, 2, 3
-	injectFor, mbits := 20*time.Second, width.Usual/megabit
+	injectFor, mbits := 20*time.Second, width.DefaultBitsPerSecond/megabit
 	flaggy.SetName("linenscale-soak")
 	flaggy.SetDescription("does harm to real processes and checks what was promised")
 	flaggy.String(&program, "p", "program", "path of linenscaled")
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -177,10 +177,10 @@
 			}
 			for i := range 12_000 { // one simulated minute
 				if i%200 == 199 {
-					c.Disturb()
+					c.InjectFault()
 				}
 				if i%3000 == 2999 {
-					c.Mend()
+					c.Recover()
 				}
 				c.Step()
 				for _, o := range operators {
--- a/daemon/cut_test.go
+++ b/daemon/cut_test.go
@@ -61,7 +61,7 @@
 		ip, _, _ := net.SplitHostPort(h.Control)
 		regions[ip] = h.Region
 	}
-	wan := standin.NewWAN(time.Millisecond, width.New(width.Usual), links, func(ip string) string { return regions[ip] })
+	wan := standin.NewWAN(time.Millisecond, width.New(width.DefaultBitsPerSecond), links, func(ip string) string { return regions[ip] })
 	ctx, cancel := context.WithCancel(context.Background())
 	group := pool.New()
 	group.Go(func() { _ = wan.Run(ctx) })
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -111,7 +111,7 @@
 	policyRandom  *rand.Rand // for the choices of the policies
 	arrivalRandom *rand.Rand // for the arrivals, which are the same for every policy
 	start         time.Time
-	time          *virtual.Time
+	time          *virtual.Scheduler
 	engines       []*engine
 	byName        map[string]*engine
 	regionOf      map[string]string
--- a/internal/dispatchbench/engine.go
+++ b/internal/dispatchbench/engine.go
@@ -42,7 +42,7 @@
 // engine is one incarnation of an engine.
 type engine struct {
 	EngineModel
-	clock      *virtual.Time
+	clock      *virtual.Scheduler
 	id         string // of the incarnation
 	address    string
 	region     string
--- a/internal/dispatchbench/simulation.go
+++ b/internal/dispatchbench/simulation.go
@@ -74,7 +74,7 @@
 // Simulation is the state of one simulation.
 type Simulation struct {
 	Options
-	clock            *virtual.Time
+	clock            *virtual.Scheduler
 	start            time.Time
 	random           *rand.Rand // for the choices; arrivals have their own
 	traffic          *trafficGenerator
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -23,8 +23,8 @@
 	maxAttempts = 1000
 )
 
-// ErrTaken is returned by Claim if every network that it tried is claimed already.
-var ErrTaken = errors.New("no loopback network is free")
+// ErrNoFreeNetwork is returned by Claim if every network that it tried is claimed already.
+var ErrNoFreeNetwork = errors.New("no loopback network is free")
 
 // Network is a /24 loopback network that no other process on the machine has claimed.
 // Create one with Claim.
@@ -33,7 +33,7 @@
 	listener net.Listener
 }
 
-// Claim reserves a network until Close is called or the process ends. It returns ErrTaken
+// Claim reserves a network until Close is called or the process ends. It returns ErrNoFreeNetwork
 // if it finds no free network.
 func Claim() (*Network, error) {
 	for range maxAttempts {
@@ -43,7 +43,7 @@
 			return &Network{prefix, listener}, nil
 		}
 	}
-	return nil, ErrTaken
+	return nil, ErrNoFreeNetwork
 }
 
 // IP returns the address of a host of the network; host is from 1 to 253.
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -20,8 +20,8 @@
 // items, before it compacts.
 const maxSuperseded = 64
 
-// Note records that an item has changed. Versions must ascend from call to call.
-func (l *Log[T]) Note(item T, version uint64) {
+// Record records that an item has changed. Versions must ascend from call to call.
+func (l *Log[T]) Record(item T, version uint64) {
 	if l.latest == nil {
 		l.latest = make(map[T]uint64)
 	}
@@ -32,12 +32,12 @@
 	}
 }
 
-// Forget removes an item, which Since then no longer returns.
-func (l *Log[T]) Forget(item T) { delete(l.latest, item) }
+// Remove removes an item, which ChangedSince then no longer returns.
+func (l *Log[T]) Remove(item T) { delete(l.latest, item) }
 
-// Since returns the items whose last change has a version above the given one, each once,
+// ChangedSince returns the items whose last change has a version above the given one, each once,
 // the most recently changed first.
-func (l *Log[T]) Since(version uint64) []T {
+func (l *Log[T]) ChangedSince(version uint64) []T {
 	var out []T
 	for _, c := range slices.Backward(l.changes) {
 		if c.version <= version {
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -10,7 +10,7 @@
 	"github.com/linenscale/linenscale/internal/recent"
 )
 
-// TestSinceMatchesFullScan guards against items that Since omits, repeats or still
+// TestSinceMatchesFullScan guards against items that ChangedSince omits, repeats or still
 // returns after their removal: it compares the results with a scan of a map.
 func TestSinceMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -20,12 +20,12 @@
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			item := rapid.IntRange(0, 20).Draw(t, "thing")
 			if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
-				log.Forget(item)
+				log.Remove(item)
 				delete(reference, item)
 				continue
 			}
 			version++
-			log.Note(item, version)
+			log.Record(item, version)
 			reference[item] = version
 		}
 		since := uint64(rapid.IntRange(0, int(version)).Draw(t, "since"))
@@ -35,7 +35,7 @@
 				want = append(want, item)
 			}
 		}
-		got := log.Since(since)
+		got := log.ChangedSince(since)
 		slices.Sort(got)
 		slices.Sort(want)
 		if !slices.Equal(want, got) {
@@ -46,9 +46,9 @@
 
 func ExampleLog() {
 	var log recent.Log[string]
-	log.Note("a", 1)
-	log.Note("b", 2)
-	log.Note("a", 3)
-	fmt.Println(log.Since(1), log.Since(2))
+	log.Record("a", 1)
+	log.Record("b", 2)
+	log.Record("a", 3)
+	fmt.Println(log.ChangedSince(1), log.ChangedSince(2))
 	// Output: [a b] [a]
 }
--- a/internal/simlog/simlog.go
+++ b/internal/simlog/simlog.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Seed          uint64
 	Voters        int
-	Spares        int // replicas that are not members at first
+	NonMembers    int // replicas that are not members at first
 	Election      time.Duration
 	Heartbeat     time.Duration
 	NoLease       bool          // see raft.Options
@@ -94,7 +94,7 @@
 	for i := range opts.Voters {
 		voters = append(voters, id(i, 1))
 	}
-	for i := range opts.Voters + opts.Spares {
+	for i := range opts.Voters + opts.NonMembers {
 		n := &Node{Index: i, ID: id(i, 1), folder: disk.NewMemory(), incarnation: 1}
 		if i < opts.Voters {
 			log, _, err := wal.Open(n.folder)
@@ -163,21 +163,23 @@
 	n.ID = id(n.Index, n.incarnation)
 }
 
-// Cut partitions or reconnects the link from a to b, in this direction only.
-func (c *Cluster) Cut(a, b int, partitioned bool) { c.partitioned[[2]int{a, b}] = partitioned }
+// SetPartitioned partitions or reconnects the link from a to b, in this direction only.
+func (c *Cluster) SetPartitioned(a, b int, partitioned bool) {
+	c.partitioned[[2]int{a, b}] = partitioned
+}
 
 // Isolate partitions a replica from all others: in drops the messages to it, and out
 // those from it. A direction that is false is reconnected.
 func (c *Cluster) Isolate(n int, in, out bool) {
 	for i := range c.Nodes {
-		c.Cut(i, n, in)
-		c.Cut(n, i, out)
+		c.SetPartitioned(i, n, in)
+		c.SetPartitioned(n, i, out)
 	}
 }
 
-// Disturb injects one random fault or recovers from one. It prefers the leader in half of
+// InjectFault injects one random fault or recovers from one. It prefers the leader in half of
 // the cases.
-func (c *Cluster) Disturb() {
+func (c *Cluster) InjectFault() {
 	r := c.Random
 	n := c.Nodes[r.IntN(len(c.Nodes))]
 	if leader := c.Leader(); leader != nil && r.Float64() < 0.5 {
@@ -203,9 +205,9 @@
 	}
 }
 
-// Mend starts, resumes and reconnects all replicas, so that a history also covers the
+// Recover starts, resumes and reconnects all replicas, so that a history also covers the
 // recovery from the faults.
-func (c *Cluster) Mend() {
+func (c *Cluster) Recover() {
 	for _, n := range c.Nodes {
 		if !n.Up {
 			c.Start(n)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Time runs events in the order of their times. Events at the same time run in the order
+// Scheduler runs events in the order of their times. Events at the same time run in the order
 // in which they were scheduled. Create one with New. It is not safe for concurrent use.
-type Time struct {
+type Scheduler struct {
 	now      time.Time
 	queue    events
 	sequence int
 }
 
 // New returns a scheduler whose clock is at start.
-func New(start time.Time) *Time { return &Time{now: start} }
+func New(start time.Time) *Scheduler { return &Scheduler{now: start} }
 
 // Now returns the time of the running event.
-func (t *Time) Now() time.Time { return t.now }
+func (t *Scheduler) Now() time.Time { return t.now }
 
 // After schedules fn to run after a delay. A negative delay counts as zero.
-func (t *Time) After(delay time.Duration, fn func()) {
+func (t *Scheduler) After(delay time.Duration, fn func()) {
 	t.sequence++
 	heap.Push(&t.queue, event{t.now.Add(max(0, delay)), t.sequence, fn})
 }
 
 // Every schedules fn to run at the current time and then at each interval, until it returns
 // false.
-func (t *Time) Every(interval time.Duration, fn func() bool) {
+func (t *Scheduler) Every(interval time.Duration, fn func() bool) {
 	var tick func()
 	tick = func() {
 		if fn() {
@@ -40,7 +40,7 @@
 }
 
 // Run runs events, including those that they schedule, until the queue is empty.
-func (t *Time) Run() {
+func (t *Scheduler) Run() {
 	for len(t.queue) > 0 {
 		e := heap.Pop(&t.queue).(event)
 		t.now = e.at
--- a/internal/width/width_test.go
+++ b/internal/width/width_test.go
@@ -18,7 +18,7 @@
 	ctx := context.Background()
 	countAllowed := func(from, to string) int {
 		n := 0
-		for n < 100 && links.Takes(from, to, 10_000) {
+		for n < 100 && links.Allow(from, to, 10_000) {
 			n++
 		}
 		return n
@@ -28,9 +28,9 @@
 	must.Eq(t, 6, countAllowed("b", "a"), must.Sprint("each direction has its own limit"))
 	must.Eq(t, 6, countAllowed("a", "c"))
 	must.Eq(t, 100, countAllowed("a", "a"), must.Sprint("traffic within a region is unlimited"))
-	must.NoError(t, links.Pass(ctx, "a", "b", 10_000))
+	must.NoError(t, links.Wait(ctx, "a", "b", 10_000))
 	shortCtx, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	must.Error(t, links.Pass(shortCtx, "a", "b", 60_000), must.Sprint("the link has no bandwidth before the deadline"))
-	must.NoError(t, width.New(0).Pass(ctx, "a", "b", 1<<40))
+	must.Error(t, links.Wait(shortCtx, "a", "b", 60_000), must.Sprint("the link has no bandwidth before the deadline"))
+	must.NoError(t, width.New(0).Wait(ctx, "a", "b", 1<<40))
 }
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -36,7 +36,7 @@
 		return errors.Trace(err)
 	}
 	platform := standin.NewPlatform(opts.PlatformLag, time.Now)
-	wan := standin.NewWAN(opts.Delay, width.New(width.Usual), links(s), regionLookup(s))
+	wan := standin.NewWAN(opts.Delay, width.New(width.DefaultBitsPerSecond), links(s), regionLookup(s))
 	group := pool.New().WithContext(ctx).WithCancelOnError()
 	for i, e := range declare.ObjectsOf[declare.Engine](config) {
 		ip, _, _ := net.SplitHostPort(e.Address)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -113,12 +113,12 @@
 		h := &history{cluster: c}
 		for range 150 {
 			if c.Random.Float64() < 0.1 {
-				c.Disturb()
+				c.InjectFault()
 			}
 			h.putAndRead()
 			c.Run(time.Duration(c.Random.IntN(400)) * time.Millisecond)
 		}
-		c.Mend()
+		c.Recover()
 		c.Run(10 * time.Second)
 		h.putAndRead()
 		c.Run(5 * time.Second)
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -31,7 +31,7 @@
 
 func newCluster(seed uint64, voterCount, spareCount int) *simlog.Cluster {
 	return simlog.New(simlog.Options{
-		Seed: seed, Voters: voterCount, Spares: spareCount, Election: election, Heartbeat: heartbeat,
+		Seed: seed, Voters: voterCount, NonMembers: spareCount, Election: election, Heartbeat: heartbeat,
 		Delay: 40 * time.Millisecond, SnapshotEvery: 10, New: func() simlog.Machine { return &recordingMachine{} },
 	})
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -295,7 +295,7 @@
 func (t *Table) recordChange(e *entry) {
 	t.lastChange++
 	e.changeNumber = t.lastChange
-	t.changeLog.Note(e, e.changeNumber)
+	t.changeLog.Record(e, e.changeNumber)
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -331,7 +331,7 @@
 			unresponsive = append(unresponsive, e.Engine)
 		case age > retention:
 			delete(t.engines, id)
-			t.changeLog.Forget(e)
+			t.changeLog.Remove(e)
 			t.removeAddress(e)
 		}
 	}
@@ -347,7 +347,7 @@
 		return nil, number
 	}
 	var out []Engine
-	for _, e := range t.changeLog.Since(number) {
+	for _, e := range t.changeLog.ChangedSince(number) {
 		if matches(e.Engine) {
 			out = append(out, e.Engine)
 		}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -102,7 +102,7 @@
 func (r *Roster) recordChange(e *entry) {
 	r.lastChange++
 	e.lastChange = r.lastChange
-	r.changeLog.Note(e, e.lastChange)
+	r.changeLog.Record(e, e.lastChange)
 	r.sorted = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -135,7 +135,7 @@
 			expired = append(expired, e.Host)
 		case e.removed && age > removalRetention:
 			delete(r.hosts, name)
-			r.changeLog.Forget(e)
+			r.changeLog.Remove(e)
 		}
 	}
 	return expired
@@ -183,7 +183,7 @@
 	if after == r.lastChange {
 		return nil, nil, after
 	}
-	for _, e := range r.changeLog.Since(after) {
+	for _, e := range r.changeLog.ChangedSince(after) {
 		if e.removed {
 			removed = append(removed, e.Name)
 		} else {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -26,7 +26,7 @@
 type Network struct {
 	ctx       context.Context // ends all forwarding
 	group     *conc.WaitGroup // its goroutines may start others, also while Wait is called
-	bandwidth *width.Ways     // limit between regions
+	bandwidth *width.Links    // limit between regions
 
 	mu      sync.Mutex
 	regions map[string]string // regions by host name
@@ -40,7 +40,7 @@
 
 // NewNetwork returns a network without hosts, whose traffic between regions is limited by
 // bandwidth. Forwarding ends with ctx.
-func NewNetwork(ctx context.Context, group *conc.WaitGroup, bandwidth *width.Ways) *Network {
+func NewNetwork(ctx context.Context, group *conc.WaitGroup, bandwidth *width.Links) *Network {
 	return &Network{ctx: ctx, group: group, bandwidth: bandwidth, regions: make(map[string]string), hosts: make(map[string]string), faults: make(map[[2]string]LinkFault), conns: make(map[net.Conn][2]string)}
 }
 
@@ -201,7 +201,7 @@
 	for {
 		count, err := in.Read(buffer)
 		if count > 0 {
-			if !n.waitFault(func() LinkFault { return n.faultBetween(from, to) }) || n.bandwidth.Pass(n.ctx, a, b, count) != nil {
+			if !n.waitFault(func() LinkFault { return n.faultBetween(from, to) }) || n.bandwidth.Wait(n.ctx, a, b, count) != nil {
 				return
 			}
 			if _, err := out.Write(buffer[:count]); err != nil {
@@ -267,7 +267,7 @@
 			}
 			name := n.hostName(from)
 			a, b := n.regionsOf(name, host)
-			if !n.faultBetween(name, host).Blocked && n.bandwidth.Takes(a, b, count) {
+			if !n.faultBetween(name, host).Blocked && n.bandwidth.Allow(a, b, count) {
 				_, _ = conn.WriteToUDP(buffer[:count], to) // a datagram that can't be sent counts as lost
 			}
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -63,7 +63,7 @@
 
 func run(t *testing.T, opts soak.Options, injectFor time.Duration) {
 	t.Helper()
-	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = buildProgram(t), newLogDir(t), 3, width.Usual
+	opts.Program, opts.Dir, opts.Regions, opts.Bandwidth = buildProgram(t), newLogDir(t), 3, width.DefaultBitsPerSecond
 	report, err := soak.Run(context.Background(), opts, injectFor)
 	must.NoError(t, err)
 	t.Log(report)
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -29,7 +29,7 @@
 // use.
 type WAN struct {
 	delay     time.Duration
-	bandwidth *width.Ways
+	bandwidth *width.Links
 	links     []Link
 	regionOf  func(ip string) string // region of the IP address that a connection comes from
 
@@ -39,7 +39,7 @@
 
 // NewWAN returns a network with a one-way delay and with a limit on the bandwidth between
 // two regions.
-func NewWAN(delay time.Duration, bandwidth *width.Ways, links []Link, regionOf func(ip string) string) *WAN {
+func NewWAN(delay time.Duration, bandwidth *width.Links, links []Link, regionOf func(ip string) string) *WAN {
 	return &WAN{delay: delay, bandwidth: bandwidth, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
@@ -130,7 +130,7 @@
 			data := make([]byte, 16<<10)
 			got, err := from.Read(data)
 			if got > 0 {
-				if n.bandwidth.Pass(ctx, a, b, got) != nil {
+				if n.bandwidth.Wait(ctx, a, b, got) != nil {
 					return
 				}
 				chunks <- chunk{data[:got], time.Now().Add(n.delay)}
