--- a/allowance/bench_test.go
+++ b/allowance/bench_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkAsk admits requests of one account.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkAdmit admits requests of one account.
+func BenchmarkAdmit(b *testing.B) {
 	now := time.Unix(1000, 0)
 	m := newMeter("lagos", "abuja", "kano")
 	m.SetAccounts([]catalog.Account{{Name: "club", Allowance: tokens(1e9)}}, now)
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -16,10 +16,10 @@
 	"github.com/linenscale/linenscale/telemetry"
 )
 
-// Beat records an engine's heartbeat. If the engine drains, it returns once the gateways
+// Heartbeat records an engine's heartbeat. If the engine drains, it returns once the gateways
 // concerned have acknowledged that. closer is the address of a closer control host for
 // later heartbeats, or "".
-func (c *Controller) Beat(ctx context.Context, e registry.Engine) (closer string) {
+func (c *Controller) Heartbeat(ctx context.Context, e registry.Engine) (closer string) {
 	if c.engines.Heartbeat(e) {
 		c.Log.Info("engine", zap.String("engine", e.ID), zap.String("service", e.Service), zap.String("address", e.Address),
 			zap.String("data_centre", e.DataCentre), zap.Stringer("phase", e.Phase), zap.Int64("born", e.Born), zap.Int64("sequence", e.Sequence), zap.Duration("cold_for", max(0, e.ColdUntil.Sub(c.Clock()))))
@@ -30,9 +30,9 @@
 	return c.closerControlHost(e.DataCentre)
 }
 
-// Leave records that an engine has left, and returns once the gateways have acknowledged
+// MarkLeft records that an engine has left, and returns once the gateways have acknowledged
 // it. born is the start time of the engine's incarnation, or 0 if the engine didn't state it.
-func (c *Controller) Leave(ctx context.Context, id string, born int64) {
+func (c *Controller) MarkLeft(ctx context.Context, id string, born int64) {
 	c.engines.MarkLeft(id, born)
 	e, _ := c.engines.Get(id)
 	c.Log.Info("engine left", zap.String("engine", id), zap.String("service", e.Service), zap.String("address", e.Address))
--- a/controller/freshness_test.go
+++ b/controller/freshness_test.go
@@ -13,7 +13,7 @@
 // freshness returns as of when the gateway's state is known to be current; false if
 // unknown.
 func (g *gatewayHost) freshness() (time.Duration, bool) {
-	return g.follower.FreshUntil(g.follower.State().Index)
+	return g.follower.FreshAsOf(g.follower.State().Index)
 }
 
 // TestGatewayTracksFreshness guards against a gateway that takes the replies of a
@@ -30,7 +30,7 @@
 		eventually(t, stepTimeout, note, func() bool { at, ok := g.freshness(); return ok && g.version() == 1 && at > start })
 	}
 	expectConfirmation("the state is confirmed")
-	before, known := g.follower.FreshUntil(0)
+	before, known := g.follower.FreshAsOf(0)
 	at, _ := g.freshness()
 	must.True(t, !known || before < at, must.Sprint("an earlier state isn't current for longer"))
 
--- a/controller/gateways_test.go
+++ b/controller/gateways_test.go
@@ -80,7 +80,7 @@
 	remote := newGateway(t, n, prefix+"101", "c", hosts[0].seeds)
 	putCatalog(t, hosts[1], 1)
 	eventually(t, stepTimeout, "the catalog arrives", func() bool { return g.version() == 1 && remote.version() == 1 })
-	hosts[2].c.Beat(context.Background(), testEngine("i-1", "a", 1))
+	hosts[2].c.Heartbeat(context.Background(), testEngine("i-1", "a", 1))
 	eventually(t, stepTimeout, "the engine is known in its region", func() bool { _, ok := g.engines.Get("i-1"); return ok })
 	_, known := remote.engines.Get("i-1")
 	must.False(t, known, must.Sprint("another region's engine"))
@@ -90,7 +90,7 @@
 	draining := testEngine("i-1", "a", 2)
 	draining.Phase = registry.Draining
 	eventually(t, stepTimeout, "the gateway is connected to all control hosts", func() bool { return g.follower.ConnectedCount() == 3 })
-	hosts[1].c.Beat(context.Background(), draining)
+	hosts[1].c.Heartbeat(context.Background(), draining)
 	e, _ := g.engines.Get("i-1")
 	must.Eq(t, registry.Draining, e.Phase)
 
@@ -122,14 +122,14 @@
 	hosts[1].drainTimeout, hosts[1].log = 50*time.Millisecond, zap.New(core)
 	hosts[1].start()
 	eventually(t, stepTimeout, "the gateway follows the new incarnation", func() bool {
-		hosts[1].c.Beat(context.Background(), testEngine("i-1", "a", time.Now().UnixNano()))
+		hosts[1].c.Heartbeat(context.Background(), testEngine("i-1", "a", time.Now().UnixNano()))
 		_, known := g.engines.Get("i-1")
 		return known && slices.Equal(hosts[1].c.Entries("h", "lagos", "a"), []string{prefix + "100:80"})
 	})
 	n.isolate(prefix+"100", true)
 	draining := testEngine("i-1", "a", time.Now().UnixNano())
 	draining.Phase = registry.Draining
-	hosts[1].c.Beat(context.Background(), draining)
+	hosts[1].c.Heartbeat(context.Background(), draining)
 	must.Positive(t, logs.FilterMessage("engine answered before all gateways acknowledged its state").Len())
 }
 
@@ -140,7 +140,7 @@
 	t.Parallel()
 	n, hosts := newHosts(t)
 	putCatalog(t, hosts[0], 1)
-	hosts[0].c.Beat(context.Background(), testEngine("i-1", "a", 7))
+	hosts[0].c.Heartbeat(context.Background(), testEngine("i-1", "a", 7))
 	time.Sleep(800 * time.Millisecond) // the engines are saved a moment after they change
 	for _, h := range hosts {
 		h.losePower()
@@ -150,7 +150,7 @@
 	}
 	g := newGateway(t, n, strings.TrimSuffix(hosts[0].ip, "1")+"100", "a", hosts[0].seeds)
 	eventually(t, stepTimeout, "the engine is known", func() bool { _, ok := g.engines.Get("i-1"); return ok })
-	hosts[1].c.Beat(context.Background(), testEngine("i-1", "a", 6)) // older than the last heartbeat
+	hosts[1].c.Heartbeat(context.Background(), testEngine("i-1", "a", 6)) // older than the last heartbeat
 	e, _ := g.engines.Get("i-1")
 	must.Eq(t, int64(7), e.Sequence)
 	eventually(t, stepTimeout, "it times out without heartbeats", func() bool {
@@ -195,7 +195,7 @@
 	ip := strings.TrimSuffix(hosts[0].ip, "1") + "100"
 	g := newGateway(t, n, ip, "a", hosts[0].seeds)
 	putCatalog(t, hosts[0], 1)
-	hosts[0].c.Beat(context.Background(), testEngine("i-1", "a", 1))
+	hosts[0].c.Heartbeat(context.Background(), testEngine("i-1", "a", 1))
 	eventually(t, stepTimeout, "the gateway has the catalog and the engine", func() bool { _, ok := g.engines.Get("i-1"); return ok && g.version() == 1 })
 	n.isolate(ip, true)
 	eventually(t, stepTimeout, "the gateway is disconnected", func() bool { return g.follower.ConnectedCount() == 0 })
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -78,7 +78,7 @@
 	for i := range gateways * 10 / 6 {
 		e := testEngine(fmt.Sprintf("i-%08d", i), "a", 1)
 		e.Address = fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)
-		c.Beat(context.Background(), e)
+		c.Heartbeat(context.Background(), e)
 	}
 	for i := range gateways {
 		centre := []string{"a", "b", "c"}[i%3]
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -137,7 +137,7 @@
 		Self: self, Dialect: platform.Dialect{}, Dispatcher: dispatcher, Gateways: follower.Gateways,
 		Engines: client, Dialer: dialer, Peers: relay.New(m.peerDialer(false), relay.Options{IdleTimeout: peerIdleTimeout}), Log: m.log, Metrics: m.metrics,
 		Random: rand.Uint64, Clock: steady.Time, StopTimeout: m.settings.StopTime - stopMargin,
-		KeyLease:   ingress.KeyLease{RevokedWithin: m.settings.KeysRevokedWithin, FreshAsOf: follower.FreshUntil, Steady: steady.Now},
+		KeyLease:   ingress.KeyLease{RevokedWithin: m.settings.KeysRevokedWithin, FreshAsOf: follower.FreshAsOf, Steady: steady.Now},
 		Allowances: meter, Regions: regions,
 	})
 	group.Go(follower.Run)
--- a/declare/config.go
+++ b/declare/config.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// Change is an atomic step from one configuration to the next. With applies it.
+// Change is an atomic step from one configuration to the next. Config.Apply applies it.
 type Change struct {
 	// ID is chosen by the client, which resends a change under the same ID.
 	ID string `json:"id"`
--- a/dispatch/crashes.go
+++ b/dispatch/crashes.go
@@ -53,7 +53,7 @@
 	now := d.Clock()
 	e, known := d.enginesByHash[hashString(suspect.Incarnation)]
 	if (known && e.Phase != registry.Ready) || d.isDraining(hashString(suspect.Incarnation), now) {
-		d.crashDetector.ConfirmCrash(suspect.Incarnation) // it was shutting down
+		d.crashDetector.RemoveSuspect(suspect.Incarnation) // it was shutting down
 		return
 	}
 	d.engineCrashed(suspect.Incarnation, "connection refused", now)
@@ -73,13 +73,13 @@
 	for _, incarnation := range suspects {
 		switch phase, registered := phases[incarnation]; {
 		case d.isDraining(hashString(incarnation), now) && (!registered || phase >= registry.Unresponsive):
-			d.crashDetector.ConfirmCrash(incarnation) // it announced draining in its answers
+			d.crashDetector.RemoveSuspect(incarnation) // it announced draining in its answers
 		case !registered:
 			d.engineCrashed(incarnation, "no longer registered", now)
 		case phase == registry.Unresponsive:
 			d.engineCrashed(incarnation, "no heartbeat", now)
 		case phase == registry.Left:
-			d.crashDetector.ConfirmCrash(incarnation) // it shut down as announced
+			d.crashDetector.RemoveSuspect(incarnation) // it shut down as announced
 		}
 	}
 }
@@ -87,7 +87,7 @@
 // engineCrashed records that an engine has ended, and counts the crash against the
 // requests whose connections to it broke. The lock is held.
 func (d *Dispatcher) engineCrashed(incarnation, evidence string, now time.Time) {
-	requests := d.crashDetector.ConfirmCrash(incarnation)
+	requests := d.crashDetector.RemoveSuspect(incarnation)
 	if len(requests) == 0 {
 		return
 	}
--- a/dispatch/crashes_test.go
+++ b/dispatch/crashes_test.go
@@ -31,7 +31,7 @@
 	must.Eq(t, 1, len(g.SuspectEngines()))
 	must.Eq(t, "i-0", (<-g.SuspectEngines()).Incarnation)
 	env.advance(1) // so that the next request is later than the breaks
-	acquire(t, g, longRequest("r2", "p")).FirstByte(true)
+	acquire(t, g, longRequest("r2", "p")).RecordFirstByte(true)
 	acquire(t, g, longRequest("r3", "p")).Done(dispatch.Broken)
 	must.Eq(t, 1, len(g.SuspectEngines()), must.Sprint("suspected again: it had answered after the first breaks"))
 	env.heartbeat(registry.Engine{ID: "i-0", Born: 5})
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -223,7 +223,7 @@
 	for n := range 100 {
 		ticket := acquire(t, g, dispatch.Request{ID: fmt.Sprint(n), Service: "portal"})
 		env.now = env.now.Add(15 * time.Millisecond)
-		ticket.FirstByte(true)
+		ticket.RecordFirstByte(true)
 		ticket.Done(dispatch.Answered)
 	}
 	admitted := 0
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// Accepted records that the engine has not rejected the request, which ends the trial after
+// RecordAccepted records that the engine has not rejected the request, which ends the trial after
 // a backoff.
-func (t *Ticket) Accepted() {
+func (t *Ticket) RecordAccepted() {
 	d := t.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/pushback_test.go
+++ b/dispatch/pushback_test.go
@@ -94,7 +94,7 @@
 	must.StrContains(t, requireNotRun(t, err).Message, "1 resting")
 	env.advance(time.Millisecond)
 	second := acquire(t, env.gateways[0], unsharedRequest("second"))
-	second.Accepted()
+	second.RecordAccepted()
 	acquire(t, env.gateways[0], unsharedRequest("third"))
 }
 
@@ -105,8 +105,8 @@
 	env := newTestEnv(1, 1)
 	earlier := acquire(t, env.gateways[0], unsharedRequest("before"))
 	env.announceBackoff(t, 0, "i-0", time.Second)
-	earlier.Accepted()
-	earlier.FirstByte(true)
+	earlier.RecordAccepted()
+	earlier.RecordFirstByte(true)
 	earlier.Done(dispatch.Answered)
 	_, err := env.gateways[0].Acquire(unsharedRequest("r"))
 	must.StrContains(t, requireNotRun(t, err).Message, "1 resting")
@@ -151,7 +151,7 @@
 	ticket := acquire(t, env.gateways[gateway], req)
 	must.Eq(t, engine, ticket.Engine)
 	ticket.ApplyDraining()
-	ticket.Accepted()
+	ticket.RecordAccepted()
 	ticket.Done(dispatch.Answered)
 }
 
@@ -231,8 +231,8 @@
 		ticket := acquire(t, env.gateways[gateway], unsharedRequest(fmt.Sprint(i)))
 		switch {
 		case ticket.Engine != "i-0":
-			ticket.Accepted()
-			ticket.FirstByte(true)
+			ticket.RecordAccepted()
+			ticket.RecordFirstByte(true)
 			ticket.Done(dispatch.Answered)
 		case rejects(gateway):
 			rejected++
@@ -240,8 +240,8 @@
 			ticket.Done(dispatch.Shed)
 		default:
 			served++
-			ticket.Accepted()
-			ticket.FirstByte(true)
+			ticket.RecordAccepted()
+			ticket.RecordFirstByte(true)
 			ticket.Done(dispatch.Answered)
 		}
 	}
--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -39,7 +39,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, fp := range f.crashDetector.ConfirmCrash(engine) {
+	for _, fp := range f.crashDetector.RemoveSuspect(engine) {
 		f.quarantine.RecordCrash(fp, incarnation(engine, now), now)
 	}
 }
--- a/fleet/pushback.go
+++ b/fleet/pushback.go
@@ -109,8 +109,8 @@
 	f.pushback.EndDraining(key, sent)
 }
 
-// Accepted records that the engine did not reject the request.
-func (t *Ticket) Accepted() {
+// RecordAccepted records that the engine did not reject the request.
+func (t *Ticket) RecordAccepted() {
 	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/pushback_test.go
+++ b/fleet/pushback_test.go
@@ -43,7 +43,7 @@
 	f.Tick()
 	first := acquire(t, f, c)
 	mustReject(t, f, c)
-	first.Accepted()
+	first.RecordAccepted()
 	acquire(t, f, c)
 }
 
--- a/follow/freshness.go
+++ b/follow/freshness.go
@@ -32,10 +32,10 @@
 	l.freshness = l.freshness[max(0, len(l.freshness)-maxFreshnessPoints):]
 }
 
-// FreshUntil returns the time of the steady clock until which every accepted command is
+// FreshAsOf returns the time of the steady clock until which every accepted command is
 // contained in the state with that index, according to any control host. It returns
 // false if no control host has reported one.
-func (f *Follower) FreshUntil(index uint64) (at time.Duration, known bool) {
+func (f *Follower) FreshAsOf(index uint64) (at time.Duration, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.links {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,7 +67,7 @@
 	Finish(ctx context.Context, call once.Call, answer once.Answer) error
 	// Release deletes the intent of a call that was not sent.
 	Release(ctx context.Context, call once.Call) error
-	// Lose records that the outcome of a call will never be known.
+	// MarkUnknown records that the outcome of a call will never be known.
 	MarkUnknown(ctx context.Context, call once.Call) error
 }
 
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -31,7 +31,7 @@
 	draining := resp.Header.Get(relay.HeaderDraining) == "true"
 	ticket.ApplyPushback(signal, draining)
 	if !rejected {
-		ticket.Accepted()
+		ticket.RecordAccepted()
 	}
 	if _, isBackoff := signal.(pushback.Backoff); isBackoff {
 		s.Metrics.CountPushbackEvent(ticket.Engine, "rest_asked")
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -150,7 +150,7 @@
 	}
 	defer resp.Body.Close()
 	succeeded := resp.StatusCode == http.StatusOK
-	return s.relayAnswer(x, resp, func() { x.firstByteAfter = ticket.FirstByte(succeeded) })
+	return s.relayAnswer(x, resp, func() { x.firstByteAfter = ticket.RecordFirstByte(succeeded) })
 }
 
 // misdirectedAnswer is the error for an answer from another engine than the one that the
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -30,7 +30,7 @@
 func (s *Server) recordPushback(x *exchange, ticket *dispatch.Ticket, resp *http.Response, answer AnswerMetadata) {
 	ticket.ApplyPushback(answer.Pushback)
 	if !answer.NotRun && resp.StatusCode != http.StatusServiceUnavailable {
-		ticket.Accepted()
+		ticket.RecordAccepted()
 	}
 	switch signal := answer.Pushback.(type) {
 	case pushback.Backoff:
--- a/internal/dispatchbench/strategy.go
+++ b/internal/dispatchbench/strategy.go
@@ -49,7 +49,7 @@
 		return "", ticketCallbacks{}, err
 	}
 	done := false
-	return t.Engine, ticketCallbacks{limitReceived: t.ApplyLimit, firstEvent: func() { t.FirstByte(true) }, done: func(o dispatch.Outcome) {
+	return t.Engine, ticketCallbacks{limitReceived: t.ApplyLimit, firstEvent: func() { t.RecordFirstByte(true) }, done: func(o dispatch.Outcome) {
 		if !done {
 			done = true
 			t.Done(o)
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// ConfirmCrash records that an engine has crashed. It returns the requests whose connections
+// RemoveSuspect records that an engine has crashed. It returns the requests whose connections
 // broke with it, once.
-func (d *CrashDetector) ConfirmCrash(engine string) []Fingerprint {
+func (d *CrashDetector) RemoveSuspect(engine string) []Fingerprint {
 	s, ok := d.suspects[engine]
 	if !ok {
 		return nil
--- a/quarantine/detector_test.go
+++ b/quarantine/detector_test.go
@@ -61,8 +61,8 @@
 			must.True(t, d.RecordBreak("e", 1, start))
 			must.False(t, d.RecordBreak("e", 2, start.Add(time.Second)), must.Sprint("already suspected"))
 			test.event(d)
-			must.Eq(t, test.crashed, d.ConfirmCrash("e"))
-			must.SliceEmpty(t, d.ConfirmCrash("e"), must.Sprint("each crash returns its requests once"))
+			must.Eq(t, test.crashed, d.RemoveSuspect("e"))
+			must.SliceEmpty(t, d.RemoveSuspect("e"), must.Sprint("each crash returns its requests once"))
 		})
 	}
 }
@@ -76,5 +76,5 @@
 		}
 	}
 	must.SliceLen(t, 128, d.Suspects())
-	must.SliceLen(t, 128, d.ConfirmCrash("0"))
+	must.SliceLen(t, 128, d.RemoveSuspect("0"))
 }
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// BenchmarkSince measures the query for one change among 3,000 engines, which every waiting
+// BenchmarkChangedSince measures the query for one change among 3,000 engines, which every waiting
 // host makes after every change. It takes 0.5 us, against 50 us for a scan of all engines.
-func BenchmarkSince(b *testing.B) {
+func BenchmarkChangedSince(b *testing.B) {
 	table, _ := newTable("x")
 	for i := range 3000 {
 		e := heartbeat(fmt.Sprintf("i-%d", i), 1)
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -164,7 +164,7 @@
 	must.Eq(t, registry.Unresponsive, phaseOf(t, table, "i-1"))
 }
 
-func TestSinceReturnsOnlyChanges(t *testing.T) {
+func TestChangedSinceReturnsOnlyChanges(t *testing.T) {
 	table, c := newTable("x")
 	table.Heartbeat(heartbeat("i-1", 1))
 	changes, number := table.ChangedSince(0, anyEngine)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -51,10 +51,10 @@
 	// NotRun is true if the engine can't have received any byte of the request,
 	// or if it reports that it ran no part of it.
 	NotRun bool
-	// Shed is true if the engine rejected the request because of its load. This
+	// Overloaded is true if the engine rejected the request because of its load. This
 	// doesn't count as a failure of the engine's health.
 	Overloaded bool
-	// Broken is true if the connection ended before the header of an answer
+	// ConnectionBroken is true if the connection ended before the header of an answer
 	// arrived.
 	ConnectionBroken bool
 	cause            error
@@ -75,28 +75,28 @@
 	Body       io.Reader // nil for none
 	BodyLength int64     // length of Body in bytes; -1 if unknown
 	AttemptID  string    // identity of the attempt, sent in HeaderAttempt
-	// Echoes is true if the engine echoes the attempt's identity. Only then may
+	// EchoesAttempt is true if the engine echoes the attempt's identity. Only then may
 	// the call use a pooled connection.
 	EchoesAttempt bool
-	// Fresh requires a connection of its own, for a call that must not be
+	// OwnConnection requires a connection of its own, for a call that must not be
 	// repeated.
 	OwnConnection bool
-	// Judge checks the status and headers of the answer, and returns an error,
+	// CheckAnswer checks the status and headers of the answer, and returns an error,
 	// usually a *Failure, if the answer can't be forwarded. If CheckAnswer is nil, the
 	// call follows linenscale's own engine protocol: Send sets HeaderAttempt, and
 	// checks that the answer isn't marked as not run, echoes the attempt if EchoesAttempt
 	// is set, and is framed so that truncation can be detected.
 	CheckAnswer func(*http.Response) error
-	// Wanted runs once a new connection for the call is open, before anything is
+	// CheckUsable runs once a new connection for the call is open, before anything is
 	// written to it. Opening may take so long that the engine has announced in
 	// the meantime that it accepts no requests. An error ends the call as not
-	// run. Wanted may be nil; it doesn't run if a pooled connection is reused.
+	// run. CheckUsable may be nil; it doesn't run if a pooled connection is reused.
 	CheckUsable func() error
-	// Head receives an engine's answer to this attempt before CheckAnswer checks it,
+	// OnAnswer receives an engine's answer to this attempt before CheckAnswer checks it,
 	// including a rejection, to read what the headers report about the engine. It
 	// may be nil.
 	OnAnswer func(*http.Response)
-	// Informed receives the headers of each informational response (1xx), on
+	// OnInformational receives the headers of each informational response (1xx), on
 	// another goroutine. It may be nil.
 	OnInformational func(http.Header)
 }
@@ -166,7 +166,7 @@
 }
 
 // Send makes the attempt and returns the answer, with its headers read and its body
-// open. The error is a *Failure or the error that call.Judge returned. Cancelling
+// open. The error is a *Failure or the error that call.CheckAnswer returned. Cancelling
 // ctx closes the connection, which cancels the engine's work.
 func (c *Client) Send(ctx context.Context, call Call) (*http.Response, error) {
 	var connected atomic.Bool
--- a/settings/member.go
+++ b/settings/member.go
@@ -44,7 +44,7 @@
 	DataDir string `yaml:"data_dir"`
 	// Regions maps each data centre to its region.
 	Regions map[string]string `yaml:"regions"`
-	// Losses is how many voting control hosts may be down at the same time.
+	// MaxVoterLosses is how many voting control hosts may be down at the same time.
 	MaxVoterLosses int `yaml:"losses"`
 	// Heartbeat is the interval at which engines renew their registration.
 	Heartbeat time.Duration `yaml:"heartbeat"`
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounds of a BoundedWriter writer.
+// Bounds of a BoundedWriter.
 const (
 	// flushInterval is how long a line may stay in the buffer. Together with
 	// maxBufferedBytes it bounds the output to 1.25 MB per second.
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -1,8 +1,9 @@
 // Package telemetry provides the logger and the metrics of a process.
 //
 // The log has one line of key=value pairs (logfmt) for each event. Metrics are
-// OpenTelemetry instruments, exposed to a Prometheus scrape. Both are bounded: Bounded drops
-// log lines instead of blocking, and accounts and engines share a counter beyond a limit.
+// OpenTelemetry instruments, exposed to a Prometheus scrape. Both are bounded: a
+// BoundedWriter drops log lines instead of blocking, and accounts and engines share a
+// counter beyond a limit.
 package telemetry
 
 import (
