--- a/follow/follow.go
+++ b/follow/follow.go
@@ -281,7 +281,7 @@
 	l.aheadSince = time.Time{}
 	f.mu.Unlock()
 	if newer {
-		f.Log.Info("ledger state applied", zap.String("from", l.address), zap.Uint64("index", state.Index),
+		f.Log.Info("newer ledger state fetched", zap.String("from", l.address), zap.Uint64("index", state.Index),
 			zap.Int64("version", state.Catalog.Version), zap.Strings("evacuated", state.Evacuated))
 		f.OnState(state)
 	}
