--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -72,8 +72,8 @@
 	LinkRate   float64 `json:"linkRate,omitempty"`
 }
 
-// CanTransferCache reports whether an engine can fetch the cached prefix blocks of a prompt from
-// another engine.
+// CanTransferCache reports whether an engine can fetch the cached prefix blocks of a prompt
+// from another engine.
 func (m ModelSpec) CanTransferCache() bool { return m.TokenBytes > 0 && m.LinkRate > 0 }
 
 // Limits bounds the size and timing of what callers send. A zero field means no limit.
@@ -94,8 +94,8 @@
 	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
-// PickService draws the service for a request in proportion to the backends' weights, or returns
-// "" if no backend has a positive weight. random is 64 uniformly distributed bits.
+// PickService draws the service for a request in proportion to the backends' weights, or
+// returns "" if no backend has a positive weight. random is 64 uniformly distributed bits.
 func (r Route) PickService(random uint64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -168,9 +168,10 @@
 	return Route{}, false
 }
 
-// BoundRoutesByRegion returns, for each region, the number of routes of the host that are bound to that
-// region. The map is empty if no route of the host is bound to regions. Routes of one host
-// may be bound to disjoint sets of regions, so there may be no region that serves them all.
+// BoundRoutesByRegion returns, for each region, the number of routes of the host that are
+// bound to that region. The map is empty if no route of the host is bound to regions.
+// Routes of one host may be bound to disjoint sets of regions, so there may be no region
+// that serves them all.
 func (t *Table) BoundRoutesByRegion(host string) map[string]int {
 	homes := make(map[string]int)
 	for _, r := range t.routesByHost[host] {
--- a/declare/load.go
+++ b/declare/load.go
@@ -29,8 +29,8 @@
 	return puts
 }
 
-// WithPositions converts a *InvalidError into LoadErrors that begin with the file and line of the
-// object at fault, as far as loaded has it. It returns any other error unchanged.
+// WithPositions converts a *InvalidError into LoadErrors that begin with the file and line
+// of the object at fault, as far as loaded has it. It returns any other error unchanged.
 func WithPositions(err error, loaded []LoadedObject) error {
 	var faults *InvalidError
 	if !errors.As(err, &faults) {
--- a/declare/object.go
+++ b/declare/object.go
@@ -284,8 +284,9 @@
 	return l
 }
 
-// AddressFromOtherRegion returns the address at which hosts of other regions connect to address, which is
-// one of the host's own: WideArea with the same port if WideArea is set, else address.
+// AddressFromOtherRegion returns the address at which hosts of other regions connect to
+// address, which is one of the host's own: WideArea with the same port if WideArea is set,
+// else address.
 func (h Host) AddressFromOtherRegion(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if h.WideArea == "" || err != nil {
--- a/dispatch/pushback.go
+++ b/dispatch/pushback.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// RecordAccepted records that the engine has not rejected the request, which ends the trial after
-// a backoff.
+// RecordAccepted records that the engine has not rejected the request, which ends the trial
+// after a backoff.
 func (t *Ticket) RecordAccepted() {
 	d := t.dispatcher
 	d.mu.Lock()
--- a/dispatch/remote.go
+++ b/dispatch/remote.go
@@ -16,8 +16,8 @@
 	cached     map[string]cachedBlocks // by service: prompt blocks sent there
 }
 
-// RemoteRequest is a request handed over to another region. It counts as load of that region until
-// its answer begins, it fails, or the region's own report includes it.
+// RemoteRequest is a request handed over to another region. It counts as load of that
+// region until its answer begins, it fails, or the region's own report includes it.
 type RemoteRequest struct {
 	dispatcher *Dispatcher
 	region     *remoteRegion
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -74,9 +74,9 @@
 	return l.plus(Load{-o.Requests, -o.Unread, -o.Reserved, -o.ReadRate})
 }
 
-// RecordFirstByte records the first byte of the answer: the prompt has been read. It returns the
-// time since the ticket was issued. served is false if the answer is a failure of the
-// engine itself, which says nothing about its throughput.
+// RecordFirstByte records the first byte of the answer: the prompt has been read. It
+// returns the time since the ticket was issued. served is false if the answer is a failure
+// of the engine itself, which says nothing about its throughput.
 func (t *Ticket) RecordFirstByte(served bool) time.Duration {
 	d := t.dispatcher
 	d.mu.Lock()
--- a/fleet/crashes.go
+++ b/fleet/crashes.go
@@ -33,8 +33,9 @@
 	return &request.NotRun{Reason: request.ReasonQuarantined, Message: rejection.Error() + "; fingerprint " + fp.String(), RetryAfter: rejection.RetryAfter}
 }
 
-// ConnectionRefused records that an engine refuses connections, which means that its process has
-// ended. Requests whose connections to it broke just before are reported as the cause.
+// ConnectionRefused records that an engine refuses connections, which means that its
+// process has ended. Requests whose connections to it broke just before are reported as the
+// cause.
 func (f *Fleet) ConnectionRefused(engine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -37,7 +37,8 @@
 	return f.limits.LatestReports(f.clock())
 }
 
-// ReceiveLimitReports applies the limit reports of another host of this region, which are age old.
+// ReceiveLimitReports applies the limit reports of another host of this region, which are
+// age old.
 func (f *Fleet) ReceiveLimitReports(reports []ratelimit.LimitReport, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -33,8 +33,8 @@
 	listener net.Listener
 }
 
-// Claim reserves a network until Close is called or the process ends. It returns ErrNoFreeNetwork
-// if it finds no free network.
+// Claim reserves a network until Close is called or the process ends. It returns
+// ErrNoFreeNetwork if it finds no free network.
 func Claim() (*Network, error) {
 	for range maxAttempts {
 		prefix := fmt.Sprintf("127.%d.%d.", firstOctet+rand.IntN(octetCount), rand.IntN(256))
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -35,8 +35,8 @@
 // Remove removes an item, which ChangedSince then no longer returns.
 func (l *Log[T]) Remove(item T) { delete(l.latest, item) }
 
-// ChangedSince returns the items whose last change has a version above the given one, each once,
-// the most recently changed first.
+// ChangedSince returns the items whose last change has a version above the given one, each
+// once, the most recently changed first.
 func (l *Log[T]) ChangedSince(version uint64) []T {
 	var out []T
 	for _, c := range slices.Backward(l.changes) {
--- a/internal/width/width.go
+++ b/internal/width/width.go
@@ -10,8 +10,8 @@
 	"golang.org/x/time/rate"
 )
 
-// DefaultBitsPerSecond is the default bandwidth between two regions in each direction, in bits per
-// second. It applies where users specify none.
+// DefaultBitsPerSecond is the default bandwidth between two regions in each direction, in
+// bits per second. It applies where users specify none.
 const DefaultBitsPerSecond = 2e9
 
 // burstBytes is how many bytes may pass at once: the capacity of a router's queue. No
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -136,8 +136,8 @@
 	return RenewalRequest{h.host, h.incarnation, h.view.Seq}
 }
 
-// HandleRenewalRequest decides on a peer's request. It grants a renewal only if this host is established
-// and the peer's view is not older than its own.
+// HandleRenewalRequest decides on a peer's request. It grants a renewal only if this host
+// is established and the peer's view is not older than its own.
 func (h *Holder) HandleRenewalRequest(now time.Time, request RenewalRequest) RenewalReply {
 	granted := h.established && request.Seq >= h.view.Seq
 	if granted {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -125,8 +125,8 @@
 	return EncodeCompressed(e)
 }
 
-// EncodeCompressed encodes a value as compressed JSON. Catalogs are sent between regions, and are large
-// and repetitive.
+// EncodeCompressed encodes a value as compressed JSON. Catalogs are sent between regions,
+// and are large and repetitive.
 func EncodeCompressed(value any) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -142,7 +142,8 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeCompressed decodes the output of EncodeCompressed into the variable that value points to.
+// DecodeCompressed decodes the output of EncodeCompressed into the variable that value
+// points to.
 func DecodeCompressed(data []byte, value any) error {
 	decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// LinearEstimator estimates the duration of work as a fixed time plus a time per unit. NewLinearEstimator
-// returns one.
+// LinearEstimator estimates the duration of work as a fixed time plus a time per unit.
+// NewLinearEstimator returns one.
 type LinearEstimator struct {
 	// Sums of the least-squares fit over all observations, weighted by age; x is the
 	// work and y the duration in ns.
--- a/raft/node.go
+++ b/raft/node.go
@@ -12,10 +12,11 @@
 	ID                ID
 	ElectionTimeout   time.Duration // minimum time without a message from a leader before an election
 	HeartbeatInterval time.Duration // interval between a leader's heartbeats
-	// SkipLeaseWait states that nothing relies on LeaseUntil. A replica that has just started then
-	// doesn't wait for the end of a leader's lease that it may have supported before. If all
-	// replicas are killed at once, this brings back a leader that can confirm reads after
-	// 0.8 s instead of 2.1 s (five voters in three regions, 80 ms one-way delay).
+	// SkipLeaseWait states that nothing relies on LeaseUntil. A replica that has just
+	// started then doesn't wait for the end of a leader's lease that it may have supported
+	// before. If all replicas are killed at once, this brings back a leader that can
+	// confirm reads after 0.8 s instead of 2.1 s (five voters in three regions, 80 ms
+	// one-way delay).
 	SkipLeaseWait bool
 	Random        *rand.Rand
 }
@@ -96,7 +97,8 @@
 }
 
 // ReadResult is the result of Node.ReadIndex: the read may be served once Index has been
-// applied. OK is false if the replica is not the leader or lost the leadership before the confirmation.
+// applied. OK is false if the replica is not the leader or lost the leadership before the
+// confirmation.
 type ReadResult struct {
 	ID    uint64
 	Index uint64
@@ -390,8 +392,9 @@
 	}
 }
 
-// TransferLeadership hands the leadership to another voter and steps down. It returns false, and
-// changes nothing, if this replica is not the leader or the voter's log is not up to date.
+// TransferLeadership hands the leadership to another voter and steps down. It returns
+// false, and changes nothing, if this replica is not the leader or the voter's log is not
+// up to date.
 func (n *Node) TransferLeadership(now time.Time, to ID) bool {
 	n.advanceClock(now)
 	p := n.peers[to]
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestFastElectionAfterRestartWithoutLease kills all replicas and restarts them within 100 ms,
-// on hosts that get CPU time only once per 100 ms. With SkipLeaseWait a leader must exist within
-// 0.9 s in nine of ten runs; the wait for a lease takes at least 1.4 s.
+// TestFastElectionAfterRestartWithoutLease kills all replicas and restarts them within 100
+// ms, on hosts that get CPU time only once per 100 ms. With SkipLeaseWait a leader must
+// exist within 0.9 s in nine of ten runs; the wait for a lease takes at least 1.4 s.
 func TestFastElectionAfterRestartWithoutLease(t *testing.T) {
 	const runs = 100
 	fastElections := 0
--- a/raft/types.go
+++ b/raft/types.go
@@ -171,8 +171,8 @@
 var (
 	// ErrNotLeader means that this replica is not the leader. Nothing was proposed.
 	ErrNotLeader = errors.New("this replica is not the leader")
-	// ErrMembershipChangeRejected means that the membership can't be changed in this way now: an
-	// earlier change or the first entry of the leader's term is not committed yet, or the
-	// change adds or removes more than one voter. Nothing was proposed.
+	// ErrMembershipChangeRejected means that the membership can't be changed in this way
+	// now: an earlier change or the first entry of the leader's term is not committed yet,
+	// or the change adds or removes more than one voter. Nothing was proposed.
 	ErrMembershipChangeRejected = errors.New("a membership change is not committed yet")
 )
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -7,8 +7,9 @@
 	"github.com/linenscale/linenscale/registry"
 )
 
-// BenchmarkChangedSince measures the query for one change among 3,000 engines, which every waiting
-// host makes after every change. It takes 0.5 us, against 50 us for a scan of all engines.
+// BenchmarkChangedSince measures the query for one change among 3,000 engines, which every
+// waiting host makes after every change. It takes 0.5 us, against 50 us for a scan of all
+// engines.
 func BenchmarkChangedSince(b *testing.B) {
 	table, _ := newTable("x")
 	for i := range 3000 {
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// ReadBarrier waits until the state machine has applied everything that was committed at the time of
-// the call. What the caller then reads from the state machine is linearizable.
+// ReadBarrier waits until the state machine has applied everything that was committed at
+// the time of the call. What the caller then reads from the state machine is linearizable.
 func (r *Replica) ReadBarrier(ctx context.Context) error {
 	request := readRequest{make(chan error, 1)}
 	select {
@@ -85,8 +85,9 @@
 	}
 }
 
-// TransferLeadership hands the leadership to another voter, before a planned stop. It has no effect if
-// the queue is full, this replica is not the leader, or the voter's log is not up to date.
+// TransferLeadership hands the leadership to another voter, before a planned stop. It has
+// no effect if the queue is full, this replica is not the leader, or the voter's log is not
+// up to date.
 func (r *Replica) TransferLeadership(to raft.ID) {
 	select {
 	case r.inputs <- transferRequest{to}:
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -151,9 +151,9 @@
 	return index
 }
 
-// TestSuspendedLeaderLosesLease suspends a leader while the others elect a new one. A clock that
-// stands still during the suspension would leave it its old lease after the resume, and it
-// would renew leases under an old configuration.
+// TestSuspendedLeaderLosesLease suspends a leader while the others elect a new one. A clock
+// that stands still during the suspension would leave it its old lease after the resume,
+// and it would renew leases under an old configuration.
 func TestSuspendedLeaderLosesLease(t *testing.T) {
 	c := newCluster(t)
 	first := c.waitForLeader(t)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -21,8 +21,8 @@
 // Fault is a fault that an engine or plain service shows on command.
 type Fault string
 
-// The faults. A plain service shows only FaultStall, FaultCrash, FaultDisconnect, FaultDuplicate and
-// FaultLate.
+// The faults. A plain service shows only FaultStall, FaultCrash, FaultDisconnect,
+// FaultDuplicate and FaultLate.
 const (
 	FaultNone         Fault = ""
 	FaultDisconnect   Fault = "cut"      // break the connection halfway; the stream can be resumed
--- a/standin/wan.go
+++ b/standin/wan.go
@@ -43,9 +43,9 @@
 	return &WAN{delay: delay, bandwidth: bandwidth, links: links, regionOf: regionOf, partitioned: make(map[string]bool)}
 }
 
-// SetPartitioned partitions a region from the others, or ends the partition. Meanwhile, bytes on open
-// connections are held back and nothing is reset, as in a network that silently drops every
-// packet.
+// SetPartitioned partitions a region from the others, or ends the partition. Meanwhile,
+// bytes on open connections are held back and nothing is reset, as in a network that
+// silently drops every packet.
 func (n *WAN) SetPartitioned(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -72,8 +72,9 @@
 // predictionErrorBuckets holds the bucket bounds of prediction errors, in seconds.
 var predictionErrorBuckets = []float64{-1, -0.3, -0.1, -0.03, 0, 0.03, 0.1, 0.3, 1, 3}
 
-// RecordPredictionError records the error of a predicted time to the first byte of an engine's answer:
-// later is the actual less the predicted time, negative for an early answer.
+// RecordPredictionError records the error of a predicted time to the first byte of an
+// engine's answer: later is the actual less the predicted time, negative for an early
+// answer.
 func (m *Metrics) RecordPredictionError(service string, later time.Duration) {
 	m.predictionError.Record(context.Background(), later.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 }
@@ -106,8 +107,8 @@
 	m.attempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("outcome", outcome)))
 }
 
-// RecordFirstByte records the time to the first byte of an answer, and how much of it the request
-// waited for a slot.
+// RecordFirstByte records the time to the first byte of an answer, and how much of it the
+// request waited for a slot.
 func (m *Metrics) RecordFirstByte(service string, total, queued time.Duration) {
 	attrs := metric.WithAttributes(attribute.String("service", service))
 	m.firstByte.Record(context.Background(), total.Seconds(), attrs)
--- a/trip/trip.go
+++ b/trip/trip.go
@@ -111,8 +111,8 @@
 	return t.estimateFor(place).timeout(slack)
 }
 
-// RetryConnectTimeout is ConnectTimeout for callers that retry. After one timeout it is twice as
-// long, after two it is three times as long, and then the sequence restarts. It
+// RetryConnectTimeout is ConnectTimeout for callers that retry. After one timeout it is
+// twice as long, after two it is three times as long, and then the sequence restarts. It
 // never exceeds MaxTimeout.
 func (t *Table) RetryConnectTimeout(place string, slack time.Duration) time.Duration {
 	t.mu.Lock()
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -136,8 +136,8 @@
 	Region string
 }
 
-// NextMembership returns the next membership change towards the target number of live voters, and
-// the reason for it. The reason is empty if no change is needed.
+// NextMembership returns the next membership change towards the target number of live
+// voters, and the reason for it. The reason is empty if no change is needed.
 func NextMembership(status raft.Status, candidates []Candidate, policy Policy, now time.Time) (next raft.Membership, reason string) {
 	members := status.Members
 	lost := lostVoter(status, candidates, policy, now)
