--- a/ingress/accounts_test.go
+++ b/ingress/accounts_test.go
@@ -129,9 +129,9 @@
 	must.Eq(t, http.StatusUnauthorized, do(t, g, requestWithKeys("/safe/1", "k-club")).Status)
 }
 
-// TestAccountsRunOnlyInTheirHomeRegions hands over a request whose account may only run in
+// TestAccountsRunOnlyInTheirRegions hands over a request whose account may only run in
 // another region. The gateway there authenticates the key again, against its own catalog.
-func TestAccountsRunOnlyInTheirHomeRegions(t *testing.T) {
+func TestAccountsRunOnlyInTheirRegions(t *testing.T) {
 	lagos, kano, engines := twoRegions(t)
 	for _, g := range []*gateway{lagos, kano} {
 		declareAccounts(g, accounts)
