--- a/agent/agent.go
+++ b/agent/agent.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	// The rules and the engines take effect before holder.SetView, which acknowledges
+	// The rules and the engines take effect before holder.AdoptView, which acknowledges
 	// the view.
 	a.guard = guard
 	a.Fleet.ApplyConfig(view.Config, pendingEngines(view))
