--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// RemoveSuspect records that an engine has crashed. It returns the requests whose connections
-// broke with it, once.
+// RemoveSuspect removes an engine from the suspects, because it has crashed or was shutting
+// down. It returns the requests whose connections to it broke, once.
 func (d *CrashDetector) RemoveSuspect(engine string) []Fingerprint {
 	s, ok := d.suspects[engine]
 	if !ok {
